--- /dev/null
+++ b/compat/wire_test.go
@@ -0,0 +1,72 @@
+package compat
+
+import (
+	"bytes"
+	"encoding/base64"
+	"encoding/gob"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/lotuswing/lotuswing/link"
+	"github.com/lotuswing/lotuswing/relay"
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+)
+
+// sent lists the arguments and replies of all calls between balancers.
+var sent = map[string]any{
+	"AcquireArgs":      link.AcquireArgs{},
+	"AcquireReply":     link.AcquireReply{},
+	"AwaitArgs":        link.AwaitArgs{},
+	"Done":             link.Done{},
+	"CancelArgs":       link.CancelArgs{},
+	"RenewArgs":        link.RenewArgs{},
+	"Digest":           link.Digest{},
+	"ReachArgs":        link.ReachArgs{},
+	"FetchArgs":        link.FetchArgs{},
+	"FetchReply":       link.FetchReply{},
+	"OfferArgs":        link.OfferArgs{},
+	"UnconfirmedArgs":  link.UnconfirmedArgs{},
+	"UnconfirmedReply": link.UnconfirmedReply{},
+	"SignArgs":         link.SignArgs{},
+	"ChangesArgs":      relay.ChangesArgs{},
+	"ChangesReply":     relay.ChangesReply{},
+}
+
+// TestCallsBetweenBalancers: what a balancer of 3ccb4a4 sent is read without
+// loss, and what is sent now has the fields that it reads.
+func TestCallsBetweenBalancers(t *testing.T) {
+	for name, v := range sent {
+		t.Run(name, func(t *testing.T) {
+			golden.Assert(t, shape(reflect.TypeOf(v), 0), name+".shape.golden")
+			want := filled(v)
+			if golden.FlagUpdate() {
+				assert.NilError(t, os.WriteFile(golden.Path(name+".gob.golden"), encoded(t, want), 0o600))
+			}
+			raw, err := base64.StdEncoding.DecodeString(strings.TrimSpace(string(golden.Get(t, name+".gob.golden"))))
+			assert.NilError(t, err)
+			got := reflect.New(reflect.TypeOf(v))
+			assert.NilError(t, gob.NewDecoder(bytes.NewReader(raw)).Decode(got.Interface()))
+			assert.DeepEqual(t, got.Elem().Interface(), want)
+		})
+	}
+}
+
+// encoded returns the gob stream of a value in base64.
+func encoded(t *testing.T, v any) []byte {
+	t.Helper()
+	var out bytes.Buffer
+	assert.NilError(t, gob.NewEncoder(&out).Encode(v))
+	return []byte(base64.StdEncoding.EncodeToString(out.Bytes()) + "\n")
+}
+
+// TestMethodNames: net/rpc finds methods by these names.
+func TestMethodNames(t *testing.T) {
+	names := []string{
+		link.Acquire, link.Await, link.Complete, link.Cancel, link.Renew, link.Exchange, link.Reach, link.Fetch,
+		link.Offer, link.Unconfirmed, link.Sign,
+	}
+	golden.Assert(t, strings.Join(names, "\n")+"\n", "methods.golden")
+}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"os"
 	"os/exec"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -24,15 +25,17 @@
 // binaryVariable makes the test binary run a balancer instead of the tests.
 const binaryVariable = "LOTUSWING_SOAK_BALANCER"
 
-func soakOnce(t *testing.T, seed uint64, length time.Duration) soak.Result {
+// present returns the command of a balancer of the present version.
+func present(settings, _ string) *exec.Cmd {
+	cmd := exec.Command(os.Args[0], "run", "--settings", settings)
+	cmd.Env = append(os.Environ(), binaryVariable+"=1")
+	return cmd
+}
+
+func soakOnce(t *testing.T, seed uint64, length time.Duration, command func(settings, log string) *exec.Cmd) soak.Result {
 	t.Helper()
 	result, err := soak.Run(context.Background(), soak.Config{
-		Seed: seed, For: length, Balancers: 3, Callers: 4, Keep: t.TempDir(),
-		Command: func(settings, _ string) *exec.Cmd {
-			cmd := exec.Command(os.Args[0], "run", "--settings", settings)
-			cmd.Env = append(os.Environ(), binaryVariable+"=1")
-			return cmd
-		},
+		Seed: seed, For: length, Balancers: 3, Callers: 4, Keep: t.TempDir(), Command: command,
 	})
 	assert.NilError(t, err)
 	return result
@@ -51,8 +54,28 @@
 // TestSoak plays a short soak for each seed.
 func TestSoak(t *testing.T) {
 	for _, s := range seeds {
-		result := soakOnce(t, s.seed, 6*time.Second)
+		result := soakOnce(t, s.seed, 6*time.Second, present)
 		assert.Assert(t, result.Statuses[http.StatusOK] > 0, "nothing was served: %v", result.Statuses)
 		assert.Equal(t, len(result.Violations), 0, "seed %d (%s): %s", s.seed, s.cause, fmt.Sprint(result.Violations))
 	}
 }
+
+// olderVariable names a lotuswing binary of an earlier version; where it is not
+// set, both versions of a fleet are the present one. .ci/older sets it.
+const olderVariable = "LOTUSWING_OLDER_BINARY"
+
+// TestSoakOfTwoVersions plays a soak in which each start of a balancer, the first
+// one and those after a fault, is in turn of an earlier version and of the
+// present one, so that each becomes the relay of the other.
+func TestSoakOfTwoVersions(t *testing.T) {
+	var starts atomic.Int64
+	alternate := func(settings, log string) *exec.Cmd {
+		if path := os.Getenv(olderVariable); path != "" && starts.Add(1)%2 == 1 {
+			return exec.Command(path, "run", "--settings", settings)
+		}
+		return present(settings, log)
+	}
+	result := soakOnce(t, 3, 6*time.Second, alternate)
+	assert.Assert(t, result.Statuses[http.StatusOK] > 0, "nothing was served: %v", result.Statuses)
+	assert.Equal(t, len(result.Violations), 0, "%s", fmt.Sprint(result.Violations))
+}
--- a/systemtest/harness_test.go
+++ b/systemtest/harness_test.go
@@ -61,10 +61,17 @@
 	return p.log.String()
 }
 
+// start runs one of the product's binaries.
 func start(t *testing.T, binary string, args ...string) *process {
 	t.Helper()
-	p := &process{t: t, cmd: exec.Command(os.Args[0], args...), done: make(chan struct{})}
-	p.cmd.Env = append(os.Environ(), binaryVariable+"="+binary)
+	cmd := exec.Command(os.Args[0], args...)
+	cmd.Env = append(os.Environ(), binaryVariable+"="+binary)
+	return startCommand(t, cmd)
+}
+
+func startCommand(t *testing.T, cmd *exec.Cmd) *process {
+	t.Helper()
+	p := &process{t: t, cmd: cmd, done: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = p, p
 	assert.NilError(t, p.cmd.Start())
 	go func() {
@@ -76,7 +83,7 @@
 		_ = p.cmd.Process.Kill()
 		<-p.done
 		if t.Failed() {
-			t.Logf("%s %v:\n%s", binary, args, tail(p.output()))
+			t.Logf("%v:\n%s", cmd.Args, tail(p.output()))
 		}
 	})
 	return p
@@ -195,6 +202,12 @@
 
 // addBalancer starts a balancer in a zone; it is listed at the next list.
 func (f *fleet) addBalancer(id, zone string, tenants ...string) *balancerProcess {
+	f.t.Helper()
+	return f.addBalancerRunning(func(args ...string) *process { return start(f.t, "lotuswing", args...) }, id, zone, tenants...)
+}
+
+// addBalancerRunning starts a balancer with a command of its own.
+func (f *fleet) addBalancerRunning(run func(args ...string) *process, id, zone string, tenants ...string) *balancerProcess {
 	f.t.Helper()
 	const chosen = "127.0.0.1:0" // the process chooses its ports
 	settings := map[string]any{
@@ -209,7 +222,7 @@
 	assert.NilError(f.t, err)
 	file := filepath.Join(f.t.TempDir(), id+".jsonc")
 	assert.NilError(f.t, os.WriteFile(file, raw, 0o600))
-	b := &balancerProcess{id: id, process: start(f.t, "lotuswing", "run", "--settings", file)}
+	b := &balancerProcess{id: id, process: run("run", "--settings", file)}
 	b.listen = b.printed(`started: .* listen=(\S+)`)
 	b.admin = b.printed(`started: .* admin=(\S+)`)
 	b.link = b.printed(`started: .* link=(\S+)`)
