--- a/control/control.go
+++ b/control/control.go
@@ -49,7 +49,6 @@
 	addStandins(a)
 	addEditing(a)
 	addStatus(a)
-	addExperiment(a)
 	addDemo(a)
 	addReplay(a)
 	addTrace(a)
