--- a/balancer/serve.go
+++ b/balancer/serve.go
@@ -116,11 +116,9 @@
 		Deadline: x.deadline,
 		Avoid:    tried,
 
-		Kind:       x.route.Team + "/" + x.route.Kind.Name,
-		Accepted:   x.accepted,
-		Target:     x.route.Kind.Target,
-		Priority:   x.route.Kind.Priority,
-		Repeatable: x.route.Kind.Repeatable,
+		Kind:     x.route.Team + "/" + x.route.Kind.Name,
+		Accepted: x.accepted,
+		Target:   x.route.Kind.Target,
 	})
 	if refused != nil && refused.Reason == reason.Expired && !time.Now().Before(x.deadline) {
 		refused.Reason = reason.DeadlineWaiting
@@ -175,8 +173,6 @@
 	case res.Reason == reason.EndpointRefused:
 		e.Outcome = contract.Shed
 		e.Load = b.load(res)
-	case x.r.Context().Err() == nil && res.Answer == nil && res.Reason == reason.DialFailed:
-		e.Unheard = true
 	case x.r.Context().Err() != nil, res.Reason == reason.NothingWritten:
 		e.Outcome = contract.Unused // says nothing about the endpoint
 	}
--- a/coord/retry/retry.go
+++ b/coord/retry/retry.go
@@ -30,7 +30,6 @@
 	Verdict    verdict.Verdict
 	Replayable bool // the body can be sent again from its start
 	Deadline   time.Time
-	Expected   time.Duration // service time expected of another attempt
 }
 
 // Decision says whether to repeat and, if not, why.
@@ -46,7 +45,7 @@
 		return Decision{Reason: reason.AnswerUnknown}
 	case a.Number >= p.most(a.Verdict), !a.Replayable, !budget.Covers(now):
 		return Decision{Reason: reason.RetryExhausted}
-	case now.Add(a.Expected).After(a.Deadline):
+	case now.After(a.Deadline):
 		return Decision{Reason: reason.TooLate}
 	}
 	return Decision{Again: true}
--- a/node/acquire.go
+++ b/node/acquire.go
@@ -35,11 +35,9 @@
 	Avoid    []string
 
 	// For a fleet that estimates when an answer would come.
-	Kind       string        // request kind, whose usual service time is learnt
-	Accepted   time.Time     // when the request came
-	Target     time.Duration // an answer within it has its full worth; 0 for none
-	Priority   int           // 0 is the most urgent
-	Repeatable bool
+	Kind     string        // request kind, whose usual service time is learnt
+	Accepted time.Time     // when the request came
+	Target   time.Duration // an answer within it has its full worth; 0 for none
 }
 
 // Grant is the right to send one request to one endpoint.
@@ -85,7 +83,6 @@
 	Took     time.Duration
 	Load     link.Load
 	Replaced bool // another incarnation answers at the endpoint's address
-	Unheard  bool // no connection could be opened, or it ended without an answer
 }
 
 // Acquire gets a grant from the home of the service, waiting as long as the
@@ -94,7 +91,7 @@
 	end := time.Now().Add(a.Patience)
 	for {
 		home, ok := n.snapshot.Load().homes[a.Service]
-		if !ok || n.cfg.Alone || n.local.isSilent(home.ID, time.Now()) {
+		if !ok || n.local.isSilent(home.ID, time.Now()) {
 			return n.alone(ctx, a, end)
 		}
 		a.Patience = time.Until(end)
--- a/node/node.go
+++ b/node/node.go
@@ -51,8 +51,6 @@
 	Log      hclog.Logger
 	Metrics  metrics.Registry
 	Listener net.Listener // for links; nil to listen on Settings.Link
-	// Alone makes every choice without a home, to compare with.
-	Alone bool
 }
 
 // Node is a running part of the fleet.
--- a/server/server.go
+++ b/server/server.go
@@ -36,8 +36,6 @@
 	Settings settings.Settings
 	Log      hclog.Logger
 	Traces   io.Writer // of the exporter "stderr"
-	// Alone makes every choice without a home, to compare with.
-	Alone bool
 	// Source of configuration and endpoints; nil for those of peers.
 	Source directory.Source
 	// Relays says what balancers need that hand on the source's changes; nil
@@ -139,7 +137,6 @@
 		Settings: cfg.Settings,
 		Log:      cfg.Log.Named("node"),
 		Metrics:  s.metrics,
-		Alone:    cfg.Alone,
 	})
 	if err != nil {
 		return err
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -17,7 +17,6 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/lotuswing/lotuswing/coord/store"
 	"github.com/lotuswing/lotuswing/examples"
-	"github.com/lotuswing/lotuswing/load"
 	"github.com/lotuswing/lotuswing/server"
 	"github.com/lotuswing/lotuswing/settings"
 	"github.com/lotuswing/lotuswing/standin"
@@ -34,11 +33,6 @@
 }
 
 func newRig(t testing.TB, balancers, endpoints int) *rig {
-	t.Helper()
-	return newRigOf(t, balancers, endpoints, false, func() http.Handler { return http.HandlerFunc(instant) })
-}
-
-func newRigOf(t testing.TB, balancers, endpoints int, alone bool, handler func() http.Handler) *rig {
 	t.Helper()
 	r := &rig{store: standin.NewStore(standin.StoreOptions{})}
 	storeServer := httptest.NewServer(r.store)
@@ -46,7 +40,7 @@
 	r.publish(t, 1)
 	var vms []vm.VM
 	for i := range endpoints {
-		e := httptest.NewServer(handler())
+		e := httptest.NewServer(http.HandlerFunc(instant))
 		t.Cleanup(e.Close)
 		addr := e.Listener.Addr().String()
 		r.endpoints = append(r.endpoints, addr)
@@ -58,7 +52,7 @@
 			i, storeServer.URL, storeServer.URL+"/v1/vms")
 		s, err := settings.Parse("rig", []byte(text))
 		assert.NilError(t, err)
-		srv, err := server.Start(server.Config{Settings: s, Log: hclog.NewNullLogger(), Traces: io.Discard, Alone: alone})
+		srv, err := server.Start(server.Config{Settings: s, Log: hclog.NewNullLogger(), Traces: io.Discard})
 		assert.NilError(t, err)
 		t.Cleanup(srv.Kill)
 		r.servers = append(r.servers, srv)
@@ -259,35 +253,3 @@
 	assert.NilError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
-
-// BenchmarkPolicies compares, over sockets, contracts from a home with choosing
-// alone (two choices by own requests in flight), at 70 and 90 percent of the
-// slots of ten endpoints with a queue, from eight balancers. It checks the
-// ranking that package experiment finds in virtual time.
-func BenchmarkPolicies(b *testing.B) {
-	const mean, slots, count = 20 * time.Millisecond, 3, 10
-	for _, percent := range []int{70, 90} {
-		for _, alone := range []bool{false, true} {
-			b.Run(fmt.Sprintf("load=%d/alone=%v", percent, alone), func(b *testing.B) {
-				r := newRigOf(b, 8, count, alone, func() http.Handler {
-					return standin.NewEndpoint(standin.EndpointOptions{Slots: slots, Queue: 200, ServiceTime: mean, Spread: 0.8})
-				})
-				var targets []string
-				for _, s := range r.servers {
-					targets = append(targets, "http://"+s.Addr())
-				}
-				plan := load.Plan{
-					Targets: targets, Host: "medina.bennani", Method: http.MethodGet, Path: "/cases/1",
-					Rate: float64(percent) / 100 * slots * count / mean.Seconds(), For: 10 * time.Second,
-				}
-				for b.Loop() {
-					report, err := load.Run(context.Background(), plan)
-					assert.NilError(b, err)
-					b.ReportMetric(float64(report.Quantile(0.5).Milliseconds()), "p50-ms")
-					b.ReportMetric(float64(report.Quantile(0.99).Milliseconds()), "p99-ms")
-					b.ReportMetric(100*float64(report.Calls-report.Ran)/float64(report.Calls), "%not-ran")
-				}
-			})
-		}
-	}
-}
--- a/tenant/tenant.go
+++ b/tenant/tenant.go
@@ -121,7 +121,6 @@
 
 	// Of routes by prefix; zero in templates.
 	Target      time.Duration // an answer within it has its full worth
-	Priority    int           // 0 is the most urgent
 	MaxAttempts int           // endpoints that one request may be sent to; 0 for the default
 	MaxBody     int64         // bytes of a request's body; 0 for the process's limit alone
 
