--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -24,10 +24,10 @@
 
 	"github.com/go-kit/kit/endpoint"
 	"github.com/hashicorp/go-hclog"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 	"github.com/lotuswing/lotuswing/coord/retry"
 	"github.com/lotuswing/lotuswing/coord/verdict"
-	"github.com/lotuswing/lotuswing/node"
 	"github.com/lotuswing/lotuswing/settings"
 	"github.com/lotuswing/lotuswing/telemetry"
 	"github.com/lotuswing/lotuswing/tenant"
@@ -50,8 +50,8 @@
 	Route(host, method, path string) (tenant.Route, reason.Code)
 	Service(tenantName, service string) (tenant.Service, int)
 	Ready() (ok bool, why string)
-	Acquire(ctx context.Context, a node.Ask) (node.Grant, *node.Refusal)
-	Complete(g node.Grant, e node.Ending)
+	Acquire(ctx context.Context, a placement.Request) (placement.Grant, *placement.Refusal)
+	Complete(g placement.Grant, e placement.Result)
 }
 
 // Config of a handler.
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -18,11 +18,10 @@
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/lotuswing/lotuswing/balancer"
-	"github.com/lotuswing/lotuswing/coord/contract"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 	"github.com/lotuswing/lotuswing/coord/verdict"
 	"github.com/lotuswing/lotuswing/internal/faulty"
-	"github.com/lotuswing/lotuswing/node"
 	"github.com/lotuswing/lotuswing/settings"
 	"github.com/lotuswing/lotuswing/telemetry"
 	"github.com/lotuswing/lotuswing/tenant"
@@ -42,9 +41,9 @@
 // fakeFleet grants the endpoints in turn, leaving out those to be avoided.
 type fakeFleet struct {
 	cfg       *tenant.Config
-	endpoints []contract.Endpoint
+	endpoints []placement.Endpoint
 	sequence  atomic.Uint64
-	refuse    *node.Refusal
+	refuse    *placement.Refusal
 	// refuseAfter, where above 0, is how many grants there are.
 	refuseAfter int
 
@@ -52,7 +51,7 @@
 	waiting, left chan struct{}
 
 	mu      sync.Mutex
-	endings []node.Ending
+	endings []placement.Result
 	granted int
 }
 
@@ -68,9 +67,9 @@
 
 func (f *fakeFleet) Ready() (bool, string) { return true, "" }
 
-func (f *fakeFleet) Acquire(ctx context.Context, a node.Ask) (node.Grant, *node.Refusal) {
+func (f *fakeFleet) Acquire(ctx context.Context, a placement.Request) (placement.Grant, *placement.Refusal) {
 	if f.refuse != nil {
-		return node.Grant{}, f.refuse
+		return placement.Grant{}, f.refuse
 	}
 	if f.waiting != nil {
 		close(f.waiting)
@@ -78,24 +77,24 @@
 		close(f.left)
 	}
 	if ctx.Err() != nil {
-		return node.Grant{}, &node.Refusal{Reason: reason.CallerLeft}
+		return placement.Grant{}, &placement.Refusal{Reason: reason.CallerLeft}
 	}
 	f.mu.Lock()
 	f.granted++
 	over := f.refuseAfter > 0 && f.granted > f.refuseAfter
 	f.mu.Unlock()
 	if over {
-		return node.Grant{}, &node.Refusal{Reason: reason.TooLate}
+		return placement.Grant{}, &placement.Refusal{Reason: reason.TooLate}
 	}
 	for _, e := range f.endpoints {
 		if !strings.Contains(strings.Join(a.Avoid, " "), e.VM) {
-			return node.Grant{ID: a.ID, Service: a.Service, Endpoint: e}, nil
+			return placement.Grant{ID: a.ID, Service: a.Service, Endpoint: e}, nil
 		}
 	}
-	return node.Grant{ID: a.ID, Service: a.Service, Endpoint: f.endpoints[0]}, nil
+	return placement.Grant{ID: a.ID, Service: a.Service, Endpoint: f.endpoints[0]}, nil
 }
 
-func (f *fakeFleet) Complete(_ node.Grant, e node.Ending) {
+func (f *fakeFleet) Complete(_ placement.Grant, e placement.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.endings = append(f.endings, e)
@@ -103,7 +102,7 @@
 
 // ending waits for the report of an attempt, which comes after the caller has
 // its answer.
-func (f *fakeFleet) ending(i int) node.Ending {
+func (f *fakeFleet) ending(i int) placement.Result {
 	for {
 		f.mu.Lock()
 		if len(f.endings) > i {
@@ -136,7 +135,7 @@
 		assert.NilError(t, err)
 		t.Cleanup(e.Close)
 		b.endpoints = append(b.endpoints, e)
-		b.fleet.endpoints = append(b.fleet.endpoints, contract.Endpoint{VM: fmt.Sprintf("e%d", i), Addr: e.Addr(), Slots: 3})
+		b.fleet.endpoints = append(b.fleet.endpoints, placement.Endpoint{VM: fmt.Sprintf("e%d", i), Addr: e.Addr(), Slots: 3})
 	}
 	tracing, err := telemetry.NewTracing("none", io.Discard)
 	assert.NilError(t, err)
@@ -238,7 +237,7 @@
 	got := b.call(t, "POST", "/once", "petition", "stamped", http.Header{})
 	assert.Equal(t, got.status, http.StatusOK)
 	assert.Equal(t, b.endpoints[1].Ran("petition"), 1)
-	assert.Equal(t, b.fleet.ending(0).Outcome, contract.Shed)
+	assert.Equal(t, b.fleet.ending(0).Outcome, placement.Shed)
 }
 
 // TestBareRejectionIsRepeatedForReadsOnly: an endpoint that rejects everything
@@ -248,7 +247,7 @@
 	b.endpoints[0].Set(faulty.Bare503)
 	got := b.call(t, "GET", "/read", "read", "", http.Header{})
 	assert.Equal(t, got.status, http.StatusOK)
-	assert.Equal(t, b.fleet.ending(0).Outcome, contract.Failed)
+	assert.Equal(t, b.fleet.ending(0).Outcome, placement.Failed)
 	got = b.call(t, "POST", "/once", "filing", "x", http.Header{})
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Equal(t, got.verdict, "ran")
@@ -306,7 +305,7 @@
 // with the time to come back.
 func TestRefusalIsAnsweredAtOnce(t *testing.T) {
 	b := newBench(t, 1)
-	b.fleet.refuse = &node.Refusal{Reason: reason.TooLate, RetryAfter: 1500 * time.Millisecond}
+	b.fleet.refuse = &placement.Refusal{Reason: reason.TooLate, RetryAfter: 1500 * time.Millisecond}
 	got := b.call(t, "GET", "/read", "k", "", http.Header{})
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Equal(t, got.verdict, "not-run")
@@ -332,7 +331,7 @@
 	}()
 	_, err = http.DefaultClient.Do(req)
 	assert.Assert(t, err != nil)
-	assert.Equal(t, b.fleet.ending(0).Outcome, contract.Unused)
+	assert.Equal(t, b.fleet.ending(0).Outcome, placement.Unused)
 	assert.Equal(t, b.ran("k"), 1)
 }
 
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/lotuswing/lotuswing/balancer"
-	"github.com/lotuswing/lotuswing/coord/contract"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 	"github.com/lotuswing/lotuswing/coord/retry"
 	"github.com/lotuswing/lotuswing/internal/scripted"
@@ -87,7 +87,7 @@
 		assert.NilError(t, err)
 		t.Cleanup(e.Close)
 		b.endpoints[i] = e
-		fleet.endpoints = append(fleet.endpoints, contract.Endpoint{VM: []string{"e0", "e1"}[i], Addr: e.Addr()})
+		fleet.endpoints = append(fleet.endpoints, placement.Endpoint{VM: []string{"e0", "e1"}[i], Addr: e.Addr()})
 	}
 	tracing, err := telemetry.NewTracing("none", io.Discard)
 	assert.NilError(t, err)
--- a/balancer/relay_test.go
+++ b/balancer/relay_test.go
@@ -13,7 +13,7 @@
 	"strings"
 	"testing"
 
-	"github.com/lotuswing/lotuswing/coord/contract"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"gotest.tools/v3/assert"
 )
 
@@ -29,7 +29,7 @@
 	end.Start()
 	t.Cleanup(end.Close)
 	b := newBench(t, 0)
-	b.fleet.endpoints = []contract.Endpoint{{VM: "e0", Addr: end.Listener.Addr().String(), Slots: 3}}
+	b.fleet.endpoints = []placement.Endpoint{{VM: "e0", Addr: end.Listener.Addr().String(), Slots: 3}}
 	if http2 {
 		service := b.fleet.cfg.Services["pool"]
 		service.Protocol = "h2c"
--- a/balancer/serve.go
+++ b/balancer/serve.go
@@ -7,12 +7,10 @@
 	"net/http"
 	"time"
 
-	"github.com/lotuswing/lotuswing/coord/contract"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 	"github.com/lotuswing/lotuswing/coord/retry"
 	"github.com/lotuswing/lotuswing/coord/verdict"
-	"github.com/lotuswing/lotuswing/link"
-	"github.com/lotuswing/lotuswing/node"
 	"github.com/lotuswing/lotuswing/telemetry"
 	"github.com/lotuswing/lotuswing/upstream"
 	"go.opentelemetry.io/otel/attribute"
@@ -104,11 +102,11 @@
 	return nil
 }
 
-func (b *Balancer) acquire(ctx context.Context, x *exchange, tried []string) (node.Grant, error) {
+func (b *Balancer) acquire(ctx context.Context, x *exchange, tried []string) (placement.Grant, error) {
 	ctx, span := b.cfg.Tracing.Tracer.Start(ctx, "wait")
 	defer span.End()
 	patience := min(time.Until(x.accepted.Add(x.route.Kind.Patience)), time.Until(x.deadline))
-	grant, refused := b.cfg.Fleet.Acquire(ctx, node.Ask{
+	grant, refused := b.cfg.Fleet.Acquire(ctx, placement.Request{
 		ID:       b.cfg.Fleet.NextID(),
 		Service:  x.route.ServiceKey(),
 		Class:    x.route.Kind.Class,
@@ -125,13 +123,13 @@
 	}
 	if refused != nil {
 		x.noPlace(len(tried)+1, refused)
-		return node.Grant{}, refusal{reason: refused.Reason, message: "service " + x.route.ServiceKey(), retryAfter: refused.RetryAfter}
+		return placement.Grant{}, refusal{reason: refused.Reason, message: "service " + x.route.ServiceKey(), retryAfter: refused.RetryAfter}
 	}
 	span.SetAttributes(attribute.String("vm", grant.Endpoint.VM), attribute.String("home", grant.HomeID))
 	return grant, nil
 }
 
-func (b *Balancer) send(ctx context.Context, x *exchange, grant node.Grant, body *upstream.Body) upstream.Result {
+func (b *Balancer) send(ctx context.Context, x *exchange, grant placement.Grant, body *upstream.Body) upstream.Result {
 	ctx, span := b.cfg.Tracing.Tracer.Start(ctx, "send")
 	defer span.End()
 	res := b.client(x.route).Send(ctx, upstream.Request{
@@ -157,7 +155,7 @@
 
 // attemptID names an attempt to the endpoint: the caller's name where that goes
 // through, else that of the grant.
-func (b *Balancer) attemptID(x *exchange, grant node.Grant) string {
+func (b *Balancer) attemptID(x *exchange, grant placement.Grant) string {
 	if b.cfg.Policy.Dialect.CallersID {
 		return x.id
 	}
@@ -165,16 +163,16 @@
 }
 
 // complete reports an attempt that the endpoint did not run to its end.
-func (b *Balancer) complete(x *exchange, grant node.Grant, res *upstream.Result, sent time.Time) {
-	e := node.Ending{Outcome: contract.Failed, Took: time.Since(sent)}
+func (b *Balancer) complete(x *exchange, grant placement.Grant, res *upstream.Result, sent time.Time) {
+	e := placement.Result{Outcome: placement.Failed, Took: time.Since(sent)}
 	switch {
 	case res.Reason == reason.EndpointReplaced:
 		e.Replaced = true
 	case res.Reason == reason.EndpointRefused:
-		e.Outcome = contract.Shed
+		e.Outcome = placement.Shed
 		e.Load = b.load(res)
 	case x.r.Context().Err() != nil, res.Reason == reason.NothingWritten:
-		e.Outcome = contract.Unused // says nothing about the endpoint
+		e.Outcome = placement.Unused // says nothing about the endpoint
 	}
 	b.cfg.Fleet.Complete(grant, e)
 }
@@ -228,7 +226,7 @@
 }
 
 // load returns the endpoint's word about its load on an answer.
-func (b *Balancer) load(res *upstream.Result) link.Load {
+func (b *Balancer) load(res *upstream.Result) placement.LoadReport {
 	d := &b.cfg.Policy.Dialect
 	return d.ParseLoad(res.Answer.Header.Get(d.Load))
 }
@@ -272,13 +270,13 @@
 const comeBackShare = 8
 
 // answer passes an endpoint's answer on and reports how the exchange ended.
-func (b *Balancer) answer(x *exchange, grant node.Grant, res *upstream.Result, sent time.Time) error {
-	e := node.Ending{
-		Outcome: contract.Completed,
+func (b *Balancer) answer(x *exchange, grant placement.Grant, res *upstream.Result, sent time.Time) error {
+	e := placement.Result{
+		Outcome: placement.Completed,
 		Load:    b.load(res),
 	}
 	if res.Answer.StatusCode >= http.StatusInternalServerError {
-		e.Outcome = contract.Failed // failing fast must not look like being fast
+		e.Outcome = placement.Failed // failing fast must not look like being fast
 	}
 	defer func() {
 		e.Took = time.Since(sent)
@@ -290,9 +288,9 @@
 	err := b.relay(x, res)
 	switch {
 	case x.r.Context().Err() != nil || errors.Is(err, errCallerGone):
-		e.Outcome = contract.Unused
+		e.Outcome = placement.Unused
 	case errors.Is(err, errCutShort):
-		e.Outcome = contract.Failed
+		e.Outcome = placement.Failed
 	}
 	if err != nil {
 		// The caller must see a broken answer, never a clean short one.
--- a/balancer/story.go
+++ b/balancer/story.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/lotuswing/lotuswing/node"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/telemetry"
 	"github.com/lotuswing/lotuswing/upstream"
 )
@@ -11,7 +11,7 @@
 // chosen records the choice of an endpoint, before the request goes out, so that
 // the log tells where it went even if this process dies. Where the request must
 // not run twice, this is done above the rate, too.
-func (x *exchange) chosen(attempt int, g node.Grant) {
+func (x *exchange) chosen(attempt int, g placement.Grant) {
 	age := int64(-1)
 	if g.Choice.Age >= 0 {
 		age = g.Choice.Age.Milliseconds()
@@ -27,14 +27,14 @@
 }
 
 // noPlace records that no endpoint was found.
-func (x *exchange) noPlace(attempt int, r *node.Refusal) {
+func (x *exchange) noPlace(attempt int, r *placement.Refusal) {
 	x.story.Line(telemetry.EventNoPlace).Int("attempt", int64(attempt)).Text("reason", string(r.Reason)).
 		Int("known", int64(r.Search.Known)).Int("ejected", int64(r.Search.Ejected)).Int("full", int64(r.Search.Full)).
 		Millis("best_ms", r.Search.Best).Int("probes", int64(r.Search.Probes)).Millis("waited_ms", time.Since(x.looking)).Done()
 }
 
 // attempted records what became of an attempt.
-func (x *exchange) attempted(attempt int, g node.Grant, res *upstream.Result, sent time.Time) {
+func (x *exchange) attempted(attempt int, g placement.Grant, res *upstream.Result, sent time.Time) {
 	line := x.story.Line(telemetry.EventAttempt).Int("attempt", int64(attempt)).Text("endpoint", g.Endpoint.VM).
 		Text("verdict", res.Verdict.String()).Text("reason", string(res.Reason))
 	status := 0
--- a/coord/contract/admit.go
+++ b/coord/contract/admit.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 )
 
@@ -41,17 +42,17 @@
 		}
 		n++
 	}
-	if r.Class == Patient {
-		n += l.queues[Interactive].len()
+	if r.Class == placement.Patient {
+		n += l.queues[placement.Interactive].len()
 	}
 	return n
 }
 
 // estimate returns how long n requests take to clear the given slots.
 func (l *Ledger) estimate(n, usable int) time.Duration {
-	mean := max(l.base[Interactive].typical(), l.base[Patient].typical())
-	if l.queues[Patient].len() == 0 && l.base[Interactive].samples > 0 {
-		mean = l.base[Interactive].typical()
+	mean := max(l.base[placement.Interactive].typical(), l.base[placement.Patient].typical())
+	if l.queues[placement.Patient].len() == 0 && l.base[placement.Interactive].samples > 0 {
+		mean = l.base[placement.Interactive].typical()
 	}
 	return time.Duration(float64(n) * float64(mean) / float64(usable))
 }
--- a/coord/contract/bench_test.go
+++ b/coord/contract/bench_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/lotuswing/lotuswing/coord/contract"
+	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
 // BenchmarkDecide measures one acquire with its complete, at three sizes and
@@ -25,10 +26,10 @@
 				for g := range goroutines {
 					wg.Go(func() {
 						for i := range b.N / goroutines {
-							r := request(strconv.Itoa(g*b.N+i), contract.Interactive, start)
+							r := request(strconv.Itoa(g*b.N+i), placement.Interactive, start)
 							mu.Lock()
 							l.Acquire(start, r)
-							l.Complete(start, r.ID, contract.Completed, 20*time.Millisecond)
+							l.Complete(start, r.ID, placement.Completed, 20*time.Millisecond)
 							mu.Unlock()
 						}
 					})
--- a/coord/contract/choose.go
+++ b/coord/contract/choose.go
@@ -4,6 +4,8 @@
 	"math"
 	"slices"
 	"time"
+
+	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
 // dispatch grants free slots to waiting requests, after those whose patience
@@ -30,17 +32,17 @@
 }
 
 // nextClass says whose turn it is, if anybody's.
-func (l *Ledger) nextClass(now time.Time) (Class, bool) {
-	patient, hasPatient := l.queues[Patient].head()
-	hasInteractive := l.queues[Interactive].len() > 0
+func (l *Ledger) nextClass(now time.Time) (placement.Class, bool) {
+	patient, hasPatient := l.queues[placement.Patient].head()
+	hasInteractive := l.queues[placement.Interactive].len() > 0
 	share := max(1, int(l.opts.PatientShare*float64(l.usableSlots(now))))
 	switch {
-	case hasPatient && patient.overdue(now) && (!hasInteractive || l.inUse[Patient] < share):
-		return Patient, true
+	case hasPatient && patient.overdue(now) && (!hasInteractive || l.inUse[placement.Patient] < share):
+		return placement.Patient, true
 	case hasInteractive:
-		return Interactive, true
+		return placement.Interactive, true
 	case hasPatient && l.spare(now):
-		return Patient, true
+		return placement.Patient, true
 	}
 	return 0, false
 }
@@ -60,7 +62,7 @@
 	var best *slots
 	bestTier, bestCost := tierSlow, math.Inf(1)
 	depth := 0
-	if w.Class == Interactive {
+	if w.Class == placement.Interactive {
 		depth = l.overbook.depth(now, l.opts)
 	}
 	for _, s := range l.order {
@@ -94,7 +96,7 @@
 	}
 	typical := float64(l.base[w.Class].typical())
 	extra := time.Duration((s.health.Slowness()/l.median - 1) * typical)
-	ahead := l.queues[Interactive].len() + l.queues[Patient].len()
+	ahead := l.queues[placement.Interactive].len() + l.queues[placement.Patient].len()
 	return l.estimate(ahead, max(1, l.goodSlots(now))) > extra
 }
 
--- a/coord/contract/contract.go
+++ b/coord/contract/contract.go
@@ -17,7 +17,7 @@
 //	l := contract.NewLedger(contract.Options{})
 //	l.SetEndpoints(now, endpoints, marks.Has)
 //	for _, d := range l.Acquire(now, req) { deliver(d) }
-//	for _, d := range l.Complete(now, id, contract.Completed, took) { deliver(d) }
+//	for _, d := range l.Complete(now, id, placement.Completed, took) { deliver(d) }
 //	for _, d := range l.Tick(now) { deliver(d) }
 //
 // Each call returns the decisions that it caused, which may concern requests
@@ -25,53 +25,19 @@
 package contract
 
 import (
-	"fmt"
 	"time"
 
 	"github.com/lotuswing/lotuswing/coord/health"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 )
 
-// Class says how a request waits.
-type Class uint8
-
-const (
-	// Interactive requests have a person waiting.
-	Interactive Class = iota
-	// Patient requests may wait long but must be answered.
-	Patient
-	classes
-)
-
-// String returns the name used in configuration.
-func (c Class) String() string {
-	return [...]string{"interactive", "patient"}[c]
-}
-
-// ParseClass returns the class with a name.
-func ParseClass(s string) (Class, error) {
-	for c := range classes {
-		if c.String() == s {
-			return c, nil
-		}
-	}
-	return 0, fmt.Errorf("contract: class %q is none of interactive, patient", s)
-}
-
-// Endpoint is one incarnation of a server of the service.
-type Endpoint struct {
-	VM    string // identity of the VM, never used again
-	Addr  string
-	Zone  string
-	Slots int
-}
-
 // Request asks for a contract.
 type Request struct {
 	ID        string
 	Holder    string // the balancer that asks
 	Zone      string // of the balancer
-	Class     Class
+	Class     placement.Class
 	WaitUntil time.Time // patience: a contract is of no use after this
 	Deadline  time.Time // of the whole request
 	Avoid     []string  // VMs that refused it already
@@ -96,26 +62,10 @@
 type Decision struct {
 	Request    string
 	Kind       Kind
-	Endpoint   Endpoint      // where granted
-	Until      time.Time     // where granted: end of the contract unless renewed
-	Reason     reason.Code   // where refused
-	RetryAfter time.Duration // where refused
-}
-
-// Outcome of a request under a contract.
-type Outcome uint8
-
-// The outcomes.
-const (
-	Completed Outcome = iota // the endpoint answered
-	Shed                     // the endpoint said that it did not run it
-	Failed                   // no connection, or a broken or late answer
-	Unused                   // the caller left before anything was sent
-)
-
-// String returns the word used in traces.
-func (o Outcome) String() string {
-	return [...]string{"completed", "shed", "failed", "unused"}[o]
+	Endpoint   placement.Endpoint // where granted
+	Until      time.Time          // where granted: end of the contract unless renewed
+	Reason     reason.Code        // where refused
+	RetryAfter time.Duration      // where refused
 }
 
 // Options of a ledger. Zero fields take the defaults.
--- a/coord/contract/endpoint.go
+++ b/coord/contract/endpoint.go
@@ -5,13 +5,14 @@
 	"time"
 
 	"github.com/lotuswing/lotuswing/coord/health"
+	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
 // contractHeld is a contract that has not ended.
 type contractHeld struct {
 	id      string
 	holder  string
-	class   Class
+	class   placement.Class
 	granted time.Time
 	until   time.Time
 	booked  bool // granted beyond the slots
@@ -19,7 +20,7 @@
 
 // slots is the ledger's account of one endpoint.
 type slots struct {
-	Endpoint
+	placement.Endpoint
 	health     health.State
 	held       map[string]contractHeld
 	leaving    bool
@@ -30,7 +31,7 @@
 	sheds      int       // in a row
 }
 
-func newSlots(e Endpoint, opts Options) *slots {
+func newSlots(e placement.Endpoint, opts Options) *slots {
 	return &slots{Endpoint: e, health: health.New(opts.Health), held: map[string]contractHeld{}}
 }
 
--- a/coord/contract/ledger.go
+++ b/coord/contract/ledger.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/lotuswing/lotuswing/coord/health"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 )
 
@@ -18,10 +19,10 @@
 	endpoints map[string]*slots
 	order     []*slots // by VM
 	owner     map[string]*slots
-	queues    [classes]queue
-	base      [classes]usual
-	drains    [classes]drain
-	inUse     [classes]int // contracts
+	queues    [placement.Classes]queue
+	base      [placement.Classes]usual
+	drains    [placement.Classes]drain
+	inUse     [placement.Classes]int // contracts
 	median    float64
 	overbook  overbooking
 	learning  time.Time            // nothing is granted before this time
@@ -99,7 +100,7 @@
 // SetEndpoints replaces the list of endpoints. What is known of an endpoint
 // that stays in the list, and its contracts, are kept. An endpoint that leaves
 // reports as leaving gets nothing from now on.
-func (l *Ledger) SetEndpoints(now time.Time, list []Endpoint, leaves func(vm string) bool) []Decision {
+func (l *Ledger) SetEndpoints(now time.Time, list []placement.Endpoint, leaves func(vm string) bool) []Decision {
 	next := make(map[string]*slots, len(list))
 	for _, e := range list {
 		s, ok := l.endpoints[e.VM]
@@ -183,7 +184,7 @@
 
 // Complete ends a contract and learns from its outcome. took counts from the
 // sending of the request.
-func (l *Ledger) Complete(now time.Time, id string, o Outcome, took time.Duration) []Decision {
+func (l *Ledger) Complete(now time.Time, id string, o placement.Outcome, took time.Duration) []Decision {
 	s, ok := l.owner[id]
 	if !ok {
 		l.ended[id] = now
@@ -193,22 +194,22 @@
 	l.drop(s, id)
 	l.ended[id] = now
 	switch o {
-	case Completed:
+	case placement.Completed:
 		s.sheds = 0
 		l.base[class].add(took)
 		s.health = s.health.WithCompletion(float64(took) / float64(max(l.base[class].typical(), 1)))
-	case Shed:
+	case placement.Shed:
 		s.shed(now, l.opts)
 		if booked { // our own doing
 			l.overbook = l.overbook.withShed(now, l.opts)
 		}
-	case Failed:
+	case placement.Failed:
 		s.health = s.health.WithFailure(now)
 		if s.health.Ejected(now) && l.tooManyEjected(now) {
 			s.health = s.health.WithoutEjection()
 			s.pauseUntil = now.Add(failedPause)
 		}
-	case Unused:
+	case placement.Unused:
 	}
 	return l.dispatch(now)
 }
@@ -237,7 +238,7 @@
 			return nil
 		}
 	}
-	return l.Complete(now, id, Unused, 0)
+	return l.Complete(now, id, placement.Unused, 0)
 }
 
 // Renew extends contracts that are still in use.
@@ -253,7 +254,7 @@
 
 // Adopt notes a request that a balancer already has in flight, as a new home
 // learns of those that another home, or none, has granted.
-func (l *Ledger) Adopt(now time.Time, holder, id, vm string, class Class) {
+func (l *Ledger) Adopt(now time.Time, holder, id, vm string, class placement.Class) {
 	s, ok := l.endpoints[vm]
 	if _, over := l.ended[id]; !ok || over || l.owner[id] != nil {
 		return // a report of use may arrive after that of the end
--- a/coord/contract/ledger_test.go
+++ b/coord/contract/ledger_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/lotuswing/lotuswing/coord/contract"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 	"gotest.tools/v3/assert"
 )
@@ -18,15 +19,15 @@
 
 func never(string) bool { return false }
 
-func endpoints(n int) []contract.Endpoint {
-	list := make([]contract.Endpoint, n)
+func endpoints(n int) []placement.Endpoint {
+	list := make([]placement.Endpoint, n)
 	for i := range list {
-		list[i] = contract.Endpoint{VM: fmt.Sprintf("e%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", i), Zone: "z", Slots: 3}
+		list[i] = placement.Endpoint{VM: fmt.Sprintf("e%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", i), Zone: "z", Slots: 3}
 	}
 	return list
 }
 
-func request(id string, class contract.Class, now time.Time) contract.Request {
+func request(id string, class placement.Class, now time.Time) contract.Request {
 	return contract.Request{
 		ID: id, Holder: "h", Zone: "z", Class: class,
 		WaitUntil: now.Add(time.Second), Deadline: now.Add(10 * time.Second),
@@ -95,17 +96,17 @@
 	}
 }
 
-func (m *model) step(rng *rand.Rand, i int, list []contract.Endpoint) {
+func (m *model) step(rng *rand.Rand, i int, list []placement.Endpoint) {
 	switch roll := rng.IntN(100); {
 	case roll < 45:
 		id := fmt.Sprintf("r%d", i)
-		r := request(id, contract.Class(rng.IntN(2)), m.now)
+		r := request(id, placement.Class(rng.IntN(2)), m.now)
 		m.waiting[id] = r
 		m.take(m.ledger.Acquire(m.now, r))
 	case roll < 85:
 		for id := range m.granted {
 			delete(m.granted, id)
-			outcome := contract.Outcome(rng.IntN(4))
+			outcome := placement.Outcome(rng.IntN(4))
 			m.take(m.ledger.Complete(m.now, id, outcome, time.Duration(1+rng.IntN(50))*time.Millisecond))
 			break
 		}
@@ -131,8 +132,8 @@
 	t.Helper()
 	for i := range 20 {
 		id := fmt.Sprintf("warm-%d", i)
-		l.Acquire(now, request(id, contract.Interactive, now))
-		l.Complete(now, id, contract.Completed, took)
+		l.Acquire(now, request(id, placement.Interactive, now))
+		l.Complete(now, id, placement.Completed, took)
 	}
 }
 
@@ -144,7 +145,7 @@
 	settle(t, l, start, 400*time.Millisecond)
 	var last contract.Decision
 	for i := range 20 {
-		last = l.Acquire(start, request(fmt.Sprintf("r%d", i), contract.Interactive, start))[0]
+		last = l.Acquire(start, request(fmt.Sprintf("r%d", i), placement.Interactive, start))[0]
 	}
 	assert.Equal(t, last.Kind, contract.Refused)
 	assert.Equal(t, last.Reason, reason.TooLate)
@@ -158,9 +159,9 @@
 	l.SetEndpoints(start, endpoints(1), never)
 	now := start
 	for i := range 3 {
-		l.Acquire(now, request(fmt.Sprintf("busy-%d", i), contract.Interactive, now))
+		l.Acquire(now, request(fmt.Sprintf("busy-%d", i), placement.Interactive, now))
 	}
-	patient := request("patient", contract.Patient, now)
+	patient := request("patient", placement.Patient, now)
 	patient.WaitUntil = now.Add(10 * time.Second)
 	patient.Deadline = now.Add(time.Minute)
 	assert.Equal(t, l.Acquire(now, patient)[0].Kind, contract.Queued)
@@ -170,10 +171,10 @@
 	}
 	for i := 0; now.Before(patient.WaitUntil); i++ {
 		now = now.Add(10 * time.Millisecond)
-		l.Acquire(now, request(fmt.Sprintf("i%d", i), contract.Interactive, now))
+		l.Acquire(now, request(fmt.Sprintf("i%d", i), placement.Interactive, now))
 		done := holding[0]
 		holding = holding[1:]
-		for _, d := range l.Complete(now, done, contract.Completed, 30*time.Millisecond) {
+		for _, d := range l.Complete(now, done, placement.Completed, 30*time.Millisecond) {
 			if d.Request == "patient" {
 				return
 			}
@@ -193,13 +194,13 @@
 	for i := range 200 {
 		now = now.Add(5 * time.Millisecond)
 		id := fmt.Sprintf("r%d", i)
-		d := l.Acquire(now, request(id, contract.Interactive, now))[0]
+		d := l.Acquire(now, request(id, placement.Interactive, now))[0]
 		assert.Equal(t, d.Kind, contract.Granted)
 		if d.Endpoint.VM == "e1" {
 			toBad++
-			l.Complete(now, id, contract.Failed, 0)
+			l.Complete(now, id, placement.Failed, 0)
 		} else {
-			l.Complete(now, id, contract.Completed, 20*time.Millisecond)
+			l.Complete(now, id, placement.Completed, 20*time.Millisecond)
 		}
 	}
 	assert.Assert(t, toBad > 0 && toBad <= 6, "%d of 200 requests went to the failing endpoint", toBad)
@@ -215,11 +216,11 @@
 	for i := range 1000 {
 		now = now.Add(time.Millisecond)
 		id := fmt.Sprintf("r%d", i)
-		d := l.Acquire(now, request(id, contract.Interactive, now))[0]
+		d := l.Acquire(now, request(id, placement.Interactive, now))[0]
 		assert.Assert(t, d.Kind != contract.Refused, "%v", d)
 		if d.Kind == contract.Granted {
 			granted++
-			l.Complete(now, id, contract.Shed, 0)
+			l.Complete(now, id, placement.Shed, 0)
 		} else {
 			l.Cancel(now, id)
 		}
@@ -236,10 +237,10 @@
 	for i := range 200 {
 		now = now.Add(10 * time.Millisecond)
 		id := fmt.Sprintf("r%d", i)
-		d := l.Acquire(now, request(id, contract.Interactive, now))[0]
+		d := l.Acquire(now, request(id, placement.Interactive, now))[0]
 		assert.Assert(t, d.Kind != contract.Refused, "%v", d)
 		if d.Kind == contract.Granted {
-			l.Complete(now, id, contract.Failed, 0)
+			l.Complete(now, id, placement.Failed, 0)
 		} else {
 			l.Cancel(now, id)
 		}
@@ -256,14 +257,14 @@
 	for i := range 400 {
 		now = now.Add(5 * time.Millisecond)
 		id := fmt.Sprintf("r%d", i)
-		d := l.Acquire(now, request(id, contract.Interactive, now))[0]
+		d := l.Acquire(now, request(id, placement.Interactive, now))[0]
 		assert.Equal(t, d.Kind, contract.Granted)
 		took := 20 * time.Millisecond
 		if d.Endpoint.VM == "e2" {
 			toSlow++
 			took *= 10
 		}
-		l.Complete(now, id, contract.Completed, took)
+		l.Complete(now, id, placement.Completed, took)
 	}
 	assert.Assert(t, toSlow > 0 && toSlow <= 4, "%d of 400 requests went to the slow endpoint", toSlow)
 }
@@ -276,14 +277,14 @@
 	settle(t, l, start, 20*time.Millisecond)
 	for i := range 6 {
 		id := fmt.Sprintf("slow-%d", i)
-		l.Adopt(start, "h", id, "e2", contract.Interactive)
-		l.Complete(start, id, contract.Completed, 200*time.Millisecond)
+		l.Adopt(start, "h", id, "e2", placement.Interactive)
+		l.Complete(start, id, placement.Completed, 200*time.Millisecond)
 	}
 	l.Tick(start)
 	kinds := map[contract.Kind]int{}
 	toSlow := 0
 	for i := range 12 {
-		d := l.Acquire(start, request(fmt.Sprintf("r%d", i), contract.Interactive, start))[0]
+		d := l.Acquire(start, request(fmt.Sprintf("r%d", i), placement.Interactive, start))[0]
 		kinds[d.Kind]++
 		if d.Endpoint.VM == "e2" {
 			toSlow++
@@ -299,9 +300,9 @@
 	l := contract.NewLedger(contract.Options{TTL: 3 * time.Second, Overbook: -1})
 	l.SetEndpoints(start, endpoints(1), never)
 	for i := range 3 {
-		l.Acquire(start, request(fmt.Sprintf("r%d", i), contract.Interactive, start))
+		l.Acquire(start, request(fmt.Sprintf("r%d", i), placement.Interactive, start))
 	}
-	waiting := request("next", contract.Interactive, start.Add(2500*time.Millisecond))
+	waiting := request("next", placement.Interactive, start.Add(2500*time.Millisecond))
 	assert.Equal(t, l.Acquire(start.Add(2500*time.Millisecond), waiting)[0].Kind, contract.Queued)
 	l.Renew(start.Add(2*time.Second), []string{"r0", "r1"})
 	granted := l.Tick(start.Add(3 * time.Second))
@@ -314,8 +315,8 @@
 func TestLateReportOfUseAdoptsNothing(t *testing.T) {
 	l := contract.NewLedger(exact)
 	l.SetEndpoints(start, endpoints(1), never)
-	l.Complete(start, "elsewhere", contract.Completed, time.Millisecond)
-	l.Adopt(start, "h", "elsewhere", "e0", contract.Interactive)
+	l.Complete(start, "elsewhere", placement.Completed, time.Millisecond)
+	l.Adopt(start, "h", "elsewhere", "e0", placement.Interactive)
 	assert.Equal(t, l.Status(start).Endpoints[0].InFlight, 0)
 }
 
@@ -330,8 +331,8 @@
 	l.Leaving("e3")
 	for i := range 3 {
 		id := fmt.Sprintf("r%d", i)
-		l.Adopt(start, "h", id, "e4", contract.Interactive)
-		l.Complete(start, id, contract.Failed, 0)
+		l.Adopt(start, "h", id, "e4", placement.Interactive)
+		l.Complete(start, id, placement.Failed, 0)
 	}
 	list := l.Unconfirmed(start, time.Second)
 	assert.Equal(t, len(list), 2)
@@ -346,10 +347,10 @@
 	l.Begin(start)
 	l.SetEndpoints(start, endpoints(1), never)
 	for i := range 2 {
-		assert.Equal(t, l.Acquire(start, request(fmt.Sprintf("r%d", i), contract.Interactive, start))[0].Kind, contract.Queued)
+		assert.Equal(t, l.Acquire(start, request(fmt.Sprintf("r%d", i), placement.Interactive, start))[0].Kind, contract.Queued)
 	}
-	l.Adopt(start, "h", "old-1", "e0", contract.Interactive)
-	l.Adopt(start, "h", "old-2", "e0", contract.Interactive)
+	l.Adopt(start, "h", "old-1", "e0", placement.Interactive)
+	l.Adopt(start, "h", "old-2", "e0", placement.Interactive)
 	assert.Equal(t, len(l.Tick(start.Add(99*time.Millisecond))), 0)
 	granted := l.Tick(start.Add(100 * time.Millisecond))
 	assert.Equal(t, len(granted), 1)
@@ -363,15 +364,15 @@
 	l := contract.NewLedger(contract.Options{OverbookOff: 10 * time.Second})
 	l.SetEndpoints(start, endpoints(1), never)
 	for i := range 4 {
-		d := l.Acquire(start, request(fmt.Sprintf("r%d", i), contract.Interactive, start))[0]
+		d := l.Acquire(start, request(fmt.Sprintf("r%d", i), placement.Interactive, start))[0]
 		assert.Equal(t, d.Kind, contract.Granted)
 	}
-	assert.Equal(t, l.Acquire(start, request("waits", contract.Interactive, start))[0].Kind, contract.Queued)
-	assert.Equal(t, len(l.Complete(start, "r3", contract.Shed, 0)), 0)
+	assert.Equal(t, l.Acquire(start, request("waits", placement.Interactive, start))[0].Kind, contract.Queued)
+	assert.Equal(t, len(l.Complete(start, "r3", placement.Shed, 0)), 0)
 	later := start.Add(500 * time.Millisecond)
-	granted := l.Complete(later, "r0", contract.Completed, time.Millisecond)
+	granted := l.Complete(later, "r0", placement.Completed, time.Millisecond)
 	assert.Equal(t, granted[0].Request, "waits")
-	assert.Equal(t, l.Acquire(later, request("next", contract.Interactive, later))[0].Kind, contract.Queued)
+	assert.Equal(t, l.Acquire(later, request("next", placement.Interactive, later))[0].Kind, contract.Queued)
 }
 
 // TestNewHomeAdopts: contracts that another home granted take their slots.
@@ -379,7 +380,7 @@
 	l := contract.NewLedger(exact)
 	l.SetEndpoints(start, endpoints(1), never)
 	for i := range 3 {
-		l.Adopt(start, "h", fmt.Sprintf("r%d", i), "e0", contract.Interactive)
+		l.Adopt(start, "h", fmt.Sprintf("r%d", i), "e0", placement.Interactive)
 	}
-	assert.Equal(t, l.Acquire(start, request("x", contract.Interactive, start))[0].Kind, contract.Queued)
+	assert.Equal(t, l.Acquire(start, request("x", placement.Interactive, start))[0].Kind, contract.Queued)
 }
--- a/coord/contract/state.go
+++ b/coord/contract/state.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/lotuswing/lotuswing/coord/health"
+	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
 // State is all that a ledger knows, as it stands at the head of a trace.
@@ -24,25 +25,25 @@
 
 // EndpointState is the account of one endpoint.
 type EndpointState struct {
-	Endpoint   Endpoint        `json:"endpoint"`
-	Health     health.Snapshot `json:"health"`
-	Held       []HeldState     `json:"held"`
-	Leaving    bool            `json:"leaving"`
-	Cold       bool            `json:"cold"`
-	LastSign   time.Time       `json:"last_sign"`
-	PauseUntil time.Time       `json:"pause_until"`
-	LastTrial  time.Time       `json:"last_trial"`
-	Sheds      int             `json:"sheds"`
+	Endpoint   placement.Endpoint `json:"endpoint"`
+	Health     health.Snapshot    `json:"health"`
+	Held       []HeldState        `json:"held"`
+	Leaving    bool               `json:"leaving"`
+	Cold       bool               `json:"cold"`
+	LastSign   time.Time          `json:"last_sign"`
+	PauseUntil time.Time          `json:"pause_until"`
+	LastTrial  time.Time          `json:"last_trial"`
+	Sheds      int                `json:"sheds"`
 }
 
 // HeldState is one contract.
 type HeldState struct {
-	ID      string    `json:"id"`
-	Holder  string    `json:"holder"`
-	Class   Class     `json:"class"`
-	Granted time.Time `json:"granted"`
-	Until   time.Time `json:"until"`
-	Booked  bool      `json:"booked"`
+	ID      string          `json:"id"`
+	Holder  string          `json:"holder"`
+	Class   placement.Class `json:"class"`
+	Granted time.Time       `json:"granted"`
+	Until   time.Time       `json:"until"`
+	Booked  bool            `json:"booked"`
 }
 
 // WaitingState is one request in a queue.
@@ -78,7 +79,7 @@
 		slices.SortFunc(e.Held, func(a, b HeldState) int { return compareStrings(a.ID, b.ID) })
 		st.Endpoints = append(st.Endpoints, e)
 	}
-	for c := range classes {
+	for c := range placement.Classes {
 		for _, w := range l.queues[c].items {
 			st.Waiting = append(st.Waiting, WaitingState{Request: w.Request, Since: w.since})
 		}
--- a/coord/contract/status.go
+++ b/coord/contract/status.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
 // Status is a snapshot of a ledger for operators.
@@ -14,7 +16,7 @@
 
 // EndpointStatus is a snapshot of one endpoint.
 type EndpointStatus struct {
-	Endpoint
+	placement.Endpoint
 	InFlight int
 	Capacity int
 	Slowness float64
@@ -24,7 +26,7 @@
 // Status returns a snapshot.
 func (l *Ledger) Status(now time.Time) Status {
 	st := Status{Waiting: map[string]int{}, Typical: map[string]time.Duration{}}
-	for c := range classes {
+	for c := range placement.Classes {
 		st.Waiting[c.String()] = l.queues[c].len()
 		st.Typical[c.String()] = l.base[c].typical()
 	}
@@ -57,7 +59,7 @@
 // Unconfirmed returns the endpoints with nothing in flight that have shown no
 // sign of staying for the given time, the longest silent first. They are the
 // ones worth a measurement.
-func (l *Ledger) Unconfirmed(now time.Time, silent time.Duration) []Endpoint {
+func (l *Ledger) Unconfirmed(now time.Time, silent time.Duration) []placement.Endpoint {
 	var out []*slots
 	for _, s := range l.order {
 		excluded := s.leaving || s.health.Ejected(now) // gets nothing, whatever a probe says
@@ -66,7 +68,7 @@
 		}
 	}
 	sortBySign(out)
-	list := make([]Endpoint, len(out))
+	list := make([]placement.Endpoint, len(out))
 	for i, s := range out {
 		list[i] = s.Endpoint
 	}
--- a/coord/contract/step.go
+++ b/coord/contract/step.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"time"
+
+	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
 // Op names what is done to a ledger.
@@ -24,27 +26,27 @@
 
 // Held is a contract in use, as its holder reports it.
 type Held struct {
-	ID    string `json:"id"`
-	VM    string `json:"vm"`
-	Class Class  `json:"class"`
+	ID    string          `json:"id"`
+	VM    string          `json:"vm"`
+	Class placement.Class `json:"class"`
 }
 
 // Step is one operation on a ledger with its time and, in a trace, the
 // decisions that it led to. Fields that an operation does not use are zero.
 type Step struct {
-	At        time.Time     `json:"at"`
-	Op        Op            `json:"op"`
-	Endpoints []Endpoint    `json:"endpoints,omitempty"`
-	Leaving   []string      `json:"leaving,omitempty"` // of the endpoints
-	VM        string        `json:"vm,omitempty"`
-	Cold      bool          `json:"cold,omitempty"`
-	Request   Request       `json:"request,omitzero"`
-	ID        string        `json:"id,omitempty"`
-	Outcome   Outcome       `json:"outcome,omitempty"`
-	Took      time.Duration `json:"took,omitempty"`
-	Holder    string        `json:"holder,omitempty"`
-	Held      []Held        `json:"held,omitempty"`
-	Decisions []Decision    `json:"decisions,omitempty"`
+	At        time.Time            `json:"at"`
+	Op        Op                   `json:"op"`
+	Endpoints []placement.Endpoint `json:"endpoints,omitempty"`
+	Leaving   []string             `json:"leaving,omitempty"` // of the endpoints
+	VM        string               `json:"vm,omitempty"`
+	Cold      bool                 `json:"cold,omitempty"`
+	Request   Request              `json:"request,omitzero"`
+	ID        string               `json:"id,omitempty"`
+	Outcome   placement.Outcome    `json:"outcome,omitempty"`
+	Took      time.Duration        `json:"took,omitempty"`
+	Holder    string               `json:"holder,omitempty"`
+	Held      []Held               `json:"held,omitempty"`
+	Decisions []Decision           `json:"decisions,omitempty"`
 }
 
 // Apply does what a step says and returns the decisions.
--- a/coord/contract/trace_test.go
+++ b/coord/contract/trace_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"github.com/lotuswing/lotuswing/coord/contract"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 )
@@ -76,9 +77,9 @@
 	case 3:
 		return contract.Step{At: now, Op: contract.OpRenew, Holder: "h", Held: []contract.Held{{ID: id, VM: vm}}}
 	case 4, 5:
-		return contract.Step{At: now, Op: contract.OpComplete, ID: id, Outcome: contract.Outcome(rng.IntN(4)), Took: time.Duration(rng.IntN(40)) * time.Millisecond}
+		return contract.Step{At: now, Op: contract.OpComplete, ID: id, Outcome: placement.Outcome(rng.IntN(4)), Took: time.Duration(rng.IntN(40)) * time.Millisecond}
 	}
-	return contract.Step{At: now, Op: contract.OpAcquire, Request: request(fmt.Sprintf("r%d", i), contract.Class(rng.IntN(2)), now)}
+	return contract.Step{At: now, Op: contract.OpAcquire, Request: request(fmt.Sprintf("r%d", i), placement.Class(rng.IntN(2)), now)}
 }
 
 // TestBadTraceIsNamed: the line of what cannot be read is in the error.
--- a/direct/choose.go
+++ b/direct/choose.go
@@ -4,13 +4,11 @@
 	"context"
 	"time"
 
-	"github.com/lotuswing/lotuswing/coord/contract"
 	"github.com/lotuswing/lotuswing/coord/health"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 	"github.com/lotuswing/lotuswing/coord/selection"
 	"github.com/lotuswing/lotuswing/internal/pause"
-	"github.com/lotuswing/lotuswing/link"
-	"github.com/lotuswing/lotuswing/node"
 )
 
 // endpoint is what this process knows of one endpoint beside its entry.
@@ -40,7 +38,7 @@
 // Acquire chooses an endpoint for a request. While none will do it looks again,
 // until a part of the request's target has passed; then it takes one that will
 // still answer within the target, or refuses.
-func (f *Fleet) Acquire(ctx context.Context, a node.Ask) (node.Grant, *node.Refusal) {
+func (f *Fleet) Acquire(ctx context.Context, a placement.Request) (placement.Grant, *placement.Refusal) {
 	giveUp := f.giveUpAt(a)
 	probes := 0
 	var list ranking
@@ -51,23 +49,23 @@
 		blind := probes == before // no endpoint could be asked
 		switch {
 		case list.empty():
-			return node.Grant{}, f.refuse(a, &list, reason.NoEndpoint, probes)
+			return placement.Grant{}, f.refuse(a, &list, reason.NoEndpoint, probes)
 		case ctx.Err() != nil:
-			return node.Grant{}, f.refuse(a, &list, reason.CallerLeft, probes)
+			return placement.Grant{}, f.refuse(a, &list, reason.CallerLeft, probes)
 		case list.best().good, (blind || !now.Before(giveUp)) && list.best().acceptable(a, now):
 			return f.take(a, list.best(), probes), nil
 		case !now.Before(a.Deadline):
-			return node.Grant{}, f.refuse(a, &list, reason.Expired, probes)
+			return placement.Grant{}, f.refuse(a, &list, reason.Expired, probes)
 		case !now.Before(giveUp):
-			return node.Grant{}, f.refuse(a, &list, reason.TooLate, probes)
+			return placement.Grant{}, f.refuse(a, &list, reason.TooLate, probes)
 		}
 		pause.For(ctx, min(f.opts.LookAgain, giveUp.Sub(now)))
 	}
 }
 
 // refuse says why there is no endpoint, with what was known of them.
-func (f *Fleet) refuse(a node.Ask, list *ranking, code reason.Code, probes int) *node.Refusal {
-	search := node.Search{Known: len(list.list), Probes: probes}
+func (f *Fleet) refuse(a placement.Request, list *ranking, code reason.Code, probes int) *placement.Refusal {
+	search := placement.Search{Known: len(list.list), Probes: probes}
 	for i := range list.list {
 		if list.list[i].ejected {
 			search.Ejected++
@@ -79,12 +77,12 @@
 	if !list.empty() {
 		search.Best = list.best().estimate
 	}
-	return &node.Refusal{Reason: code, RetryAfter: f.comeBack(a), Search: search}
+	return &placement.Refusal{Reason: code, RetryAfter: f.comeBack(a), Search: search}
 }
 
 // look ranks the candidates after asking the most promising ones for their load;
 // while none of these will do, it asks others.
-func (f *Fleet) look(ctx context.Context, a node.Ask, list *ranking, probes *int) {
+func (f *Fleet) look(ctx context.Context, a placement.Request, list *ranking, probes *int) {
 	f.rank(list, a, time.Now())
 	for range f.opts.ProbeRounds {
 		if list.empty() || list.best().good && list.best().age(time.Now()) <= f.opts.ProbeFresh {
@@ -106,7 +104,7 @@
 // answer within the target. A request never waits at an endpoint: it would start
 // there at whatever pace the endpoint has when a slot becomes free, and an
 // endpoint whose slots are all taken is slower for everybody.
-func (c *candidate) acceptable(a node.Ask, now time.Time) bool {
+func (c *candidate) acceptable(a placement.Request, now time.Time) bool {
 	if c.busy >= c.slots {
 		return false
 	}
@@ -114,14 +112,14 @@
 }
 
 // giveUpAt returns when a request that has found no place is refused.
-func (f *Fleet) giveUpAt(a node.Ask) time.Time {
+func (f *Fleet) giveUpAt(a placement.Request) time.Time {
 	if a.Target <= 0 {
 		return time.Now().Add(f.opts.RefuseAfter)
 	}
 	return a.Accepted.Add(time.Duration(f.opts.RefuseShare * float64(a.Target)))
 }
 
-func (f *Fleet) comeBack(a node.Ask) time.Duration {
+func (f *Fleet) comeBack(a placement.Request) time.Duration {
 	if a.Target <= 0 {
 		return time.Second
 	}
@@ -132,24 +130,24 @@
 }
 
 // take gives a candidate the request.
-func (f *Fleet) take(a node.Ask, c *candidate, probes int) node.Grant {
+func (f *Fleet) take(a placement.Request, c *candidate, probes int) placement.Grant {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c.known.load = c.known.load.WithSent()
-	choice := node.Choice{
+	choice := placement.Choice{
 		Pace: c.known.load.Report().Pace, Busy: c.known.load.Busy(f.opts.Estimate, time.Now()), Estimate: c.estimate, Age: -1, Probes: probes,
 	}
 	if age := c.known.load.Age(time.Now()); age < oldestAge {
 		choice.Age = age
 	}
-	return node.Grant{ID: a.ID, Service: a.Service, Endpoint: c.entry.Endpoint, Class: a.Class, Kind: a.Kind, Choice: choice}
+	return placement.Grant{ID: a.ID, Service: a.Service, Endpoint: c.entry.Endpoint, Class: a.Class, Kind: a.Kind, Choice: choice}
 }
 
 // oldestAge is the age from which a report counts as none in the log.
 const oldestAge = time.Hour
 
 // Complete takes in how a request ended.
-func (f *Fleet) Complete(g node.Grant, e node.Ending) {
+func (f *Fleet) Complete(g placement.Grant, e placement.Result) {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -168,21 +166,21 @@
 		if f.cfg.Directory.MarkLeaving(g.Endpoint.VM, now) {
 			f.cfg.Log.Info("endpoint", "id", g.Endpoint.VM, "state", "leaving", "why", "another instance answers at its address")
 		}
-	case e.Outcome == contract.Completed:
+	case e.Outcome == placement.Completed:
 		f.learn(g, e.Took, k.load.Slots(g.Endpoint.Slots))
 		k.health = k.health.WithCompletion(f.ratio(g.Kind, e.Took))
-	case e.Outcome == contract.Failed:
+	case e.Outcome == placement.Failed:
 		k.health = k.health.WithFailure(now)
 		if k.health.Ejected(now) {
 			f.cfg.Log.Info("endpoint", "id", g.Endpoint.VM, "service", serviceOf(g.Service), "state", "ejected",
 				"for", k.health.EjectedUntil().Sub(now).String(), "request", g.ID)
 		}
-	case e.Outcome == contract.Shed:
+	case e.Outcome == placement.Shed:
 		k.pauseUntil = now.Add(shedPause)
 	}
 }
 
-func withLoad(s selection.State, l link.Load, now time.Time) selection.State {
+func withLoad(s selection.State, l placement.LoadReport, now time.Time) selection.State {
 	if !l.Known {
 		return s
 	}
--- a/direct/direct_test.go
+++ b/direct/direct_test.go
@@ -10,12 +10,10 @@
 	"time"
 
 	"github.com/hashicorp/go-hclog"
-	"github.com/lotuswing/lotuswing/coord/contract"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 	"github.com/lotuswing/lotuswing/direct"
 	"github.com/lotuswing/lotuswing/directory"
-	"github.com/lotuswing/lotuswing/link"
-	"github.com/lotuswing/lotuswing/node"
 	"github.com/lotuswing/lotuswing/tenant"
 	"github.com/lotuswing/lotuswing/upstream"
 	"github.com/rcrowley/go-metrics"
@@ -47,7 +45,7 @@
 	defer p.mu.Unlock()
 	p.answers[addr] = upstream.ProbeAnswer{
 		Status: 200, Instance: addr,
-		Load: link.Load{Known: true, InFlight: running, Slots: 3, Pace: pace, State: link.Live},
+		Load: placement.LoadReport{Known: true, InFlight: running, Slots: 3, Pace: pace, State: placement.Live},
 	}
 }
 
@@ -67,7 +65,7 @@
 		id := fmt.Sprintf("e%d", i)
 		zone := []string{"near", "far"}[i%2]
 		entries = append(entries, directory.Entry{Endpoint: directory.Endpoint{
-			Endpoint: contract.Endpoint{VM: id, Addr: id, Zone: zone, Slots: 3}, Service: "s",
+			Endpoint: placement.Endpoint{VM: id, Addr: id, Zone: zone, Slots: 3}, Service: "s",
 		}, Revision: 1})
 		prober.set(id, 0, 1)
 	}
@@ -84,13 +82,13 @@
 
 // ask is a request with an hour to its target, so that nothing is refused for
 // want of time.
-func ask() node.Ask {
+func ask() placement.Request {
 	now := time.Now()
-	return node.Ask{ID: "id", Service: "t/s", Kind: "k", Accepted: now, Target: time.Hour, Deadline: now.Add(2 * time.Hour)}
+	return placement.Request{ID: "id", Service: "t/s", Kind: "k", Accepted: now, Target: time.Hour, Deadline: now.Add(2 * time.Hour)}
 }
 
 // hurried is a request whose time to look has passed.
-func hurried() node.Ask {
+func hurried() placement.Request {
 	a := ask()
 	a.Target = time.Nanosecond
 	return a
@@ -118,7 +116,7 @@
 		g, refused := r.Acquire(context.Background(), ask())
 		assert.Assert(t, refused == nil)
 		assert.Equal(t, g.Endpoint.Zone, "near")
-		r.Complete(g, node.Ending{Outcome: contract.Completed, Took: 100 * time.Millisecond})
+		r.Complete(g, placement.Result{Outcome: placement.Completed, Took: 100 * time.Millisecond})
 	}
 	for _, far := range []string{"e1", "e3", "e5"} {
 		assert.Equal(t, r.prober.asked[far], 0)
@@ -142,7 +140,7 @@
 func TestWaitsForAPlace(t *testing.T) {
 	r := newRig(1, direct.Options{LookAgain: time.Millisecond, ProbeRate: 1e6})
 	r.prober.set("e0", 3, 1)
-	granted := make(chan node.Grant)
+	granted := make(chan placement.Grant)
 	go func() {
 		g, _ := r.Acquire(context.Background(), ask())
 		granted <- g
@@ -156,7 +154,7 @@
 	r := newRig(1, direct.Options{LookAgain: time.Millisecond, ProbeRate: 1e6})
 	r.prober.set("e0", 3, 1)
 	ctx, leave := context.WithCancel(context.Background())
-	ended := make(chan *node.Refusal)
+	ended := make(chan *placement.Refusal)
 	go func() {
 		_, refused := r.Acquire(ctx, ask())
 		ended <- refused
@@ -191,10 +189,10 @@
 		g, refused := r.Acquire(context.Background(), ask())
 		assert.Assert(t, refused == nil)
 		assert.Assert(t, g.Endpoint.VM != "e0")
-		r.Complete(g, node.Ending{Outcome: contract.Completed, Took: time.Millisecond})
+		r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	}
 	g, _ := r.Acquire(context.Background(), ask())
-	r.Complete(g, node.Ending{Outcome: contract.Unused, Replaced: true})
+	r.Complete(g, placement.Result{Outcome: placement.Unused, Replaced: true})
 	for _, e := range r.directory.Snapshot().Endpoints["s"] {
 		assert.Assert(t, e.VM != g.Endpoint.VM)
 	}
@@ -208,13 +206,13 @@
 	for range 3 {
 		g, refused := r.Acquire(context.Background(), failing)
 		assert.Assert(t, refused == nil)
-		r.Complete(g, node.Ending{Outcome: contract.Failed})
+		r.Complete(g, placement.Result{Outcome: placement.Failed})
 	}
 	for range 10 {
 		g, refused := r.Acquire(context.Background(), ask())
 		assert.Assert(t, refused == nil)
 		assert.Assert(t, g.Endpoint.VM != "e0")
-		r.Complete(g, node.Ending{Outcome: contract.Completed, Took: time.Millisecond})
+		r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	}
 	g, refused := r.Acquire(context.Background(), failing)
 	assert.Assert(t, refused == nil)
@@ -245,7 +243,7 @@
 		g, refused := r.Acquire(context.Background(), ask())
 		assert.Assert(t, refused == nil)
 		assert.Assert(t, g.Endpoint.VM != "e0")
-		r.Complete(g, node.Ending{Outcome: contract.Completed, Took: time.Millisecond})
+		r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	}
 }
 
@@ -254,7 +252,7 @@
 	r := newRig(1, direct.Options{ProbeRate: 1e-9, ProbeBurst: 5, ProbeFresh: time.Nanosecond})
 	for range 50 {
 		g, _ := r.Acquire(context.Background(), ask())
-		r.Complete(g, node.Ending{Outcome: contract.Completed, Took: time.Millisecond})
+		r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	}
 	assert.Equal(t, r.prober.asked["e0"], 5)
 }
@@ -287,7 +285,7 @@
 				g, refused := r.Acquire(context.Background(), hurried())
 				if refused == nil {
 					granted.Add(1)
-					r.Complete(g, node.Ending{Outcome: contract.Completed, Took: time.Millisecond})
+					r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 				}
 			}
 		})
@@ -321,7 +319,7 @@
 				if refused != nil {
 					b.Fatal(refused.Reason)
 				}
-				r.Complete(g, node.Ending{Outcome: contract.Completed, Took: time.Millisecond})
+				r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 			}
 		})
 	}
@@ -332,14 +330,14 @@
 	r := newRig(3, direct.Options{PruneEvery: time.Nanosecond})
 	held, refused := r.Acquire(context.Background(), ask())
 	assert.Assert(t, refused == nil)
-	other, refused := r.Acquire(context.Background(), node.Ask{ID: "b", Service: "t/s", Avoid: []string{held.Endpoint.VM}, Target: time.Hour, Deadline: time.Now().Add(time.Hour), Accepted: time.Now()})
+	other, refused := r.Acquire(context.Background(), placement.Request{ID: "b", Service: "t/s", Avoid: []string{held.Endpoint.VM}, Target: time.Hour, Deadline: time.Now().Add(time.Hour), Accepted: time.Now()})
 	assert.Assert(t, refused == nil)
 	r.directory.Apply(directory.Changes{At: 9, Entries: []directory.Entry{{
-		Endpoint: directory.Endpoint{Endpoint: contract.Endpoint{VM: "new", Slots: 3}, Service: "s"}, Revision: 9,
+		Endpoint: directory.Endpoint{Endpoint: placement.Endpoint{VM: "new", Slots: 3}, Service: "s"}, Revision: 9,
 	}}, Whole: true}, time.Now().Add(-time.Hour))
 	r.directory.Apply(directory.Changes{At: 10}, time.Now())
-	r.Complete(other, node.Ending{Outcome: contract.Completed, Took: time.Millisecond})
+	r.Complete(other, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	assert.Equal(t, r.Remembered(), 1, "the endpoint that still holds a request")
-	r.Complete(held, node.Ending{Outcome: contract.Completed, Took: time.Millisecond})
+	r.Complete(held, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	assert.Equal(t, r.Remembered(), 0)
 }
--- a/direct/learn.go
+++ b/direct/learn.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/lotuswing/lotuswing/node"
+	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
 const (
@@ -62,7 +62,7 @@
 }
 
 // learn takes in the time of a completion; f.mu is held.
-func (f *Fleet) learn(g node.Grant, took time.Duration, slots int) {
+func (f *Fleet) learn(g placement.Grant, took time.Duration, slots int) {
 	pace := g.Choice.Pace
 	if pace <= 0 {
 		return // without a report the time says nothing about the kind
--- a/direct/probe.go
+++ b/direct/probe.go
@@ -4,12 +4,12 @@
 	"context"
 	"time"
 
-	"github.com/lotuswing/lotuswing/node"
+	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
 // probe asks the most promising endpoints for their load, all at once, and
 // waits for the answers a short while. It returns how many it asked.
-func (f *Fleet) probe(ctx context.Context, a node.Ask, list *ranking) int {
+func (f *Fleet) probe(ctx context.Context, a placement.Request, list *ranking) int {
 	path := f.probePath(a.Service)
 	if path == "" {
 		return 0
--- a/direct/rank.go
+++ b/direct/rank.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/selection"
 	"github.com/lotuswing/lotuswing/directory"
-	"github.com/lotuswing/lotuswing/node"
 )
 
 // candidate is an endpoint that may get a request, as it was when the candidate
@@ -72,7 +72,7 @@
 
 // rank fills a ranking with the endpoints that may get a request. Ejected ones
 // are left out while there are others.
-func (f *Fleet) rank(r *ranking, a node.Ask, now time.Time) {
+func (f *Fleet) rank(r *ranking, a placement.Request, now time.Time) {
 	service := serviceOf(a.Service)
 	all := f.cfg.Directory.Snapshot().Endpoints[service]
 	f.mu.Lock()
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -27,7 +27,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/lotuswing/lotuswing/coord/contract"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/tenant"
 )
 
@@ -51,7 +51,7 @@
 
 // Endpoint is one incarnation of a server as the directory knows it.
 type Endpoint struct {
-	contract.Endpoint
+	placement.Endpoint
 	Service  string
 	State    State
 	WarmAt   time.Time // until then it is slow from its start
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/lotuswing/lotuswing/coord/contract"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/directory"
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
@@ -15,7 +15,7 @@
 
 func entry(id string, revision uint64) directory.Entry {
 	return directory.Entry{
-		Endpoint: directory.Endpoint{Endpoint: contract.Endpoint{VM: id, Addr: "10.0.0.1:80", Slots: 3}, Service: "s"},
+		Endpoint: directory.Endpoint{Endpoint: placement.Endpoint{VM: id, Addr: "10.0.0.1:80", Slots: 3}, Service: "s"},
 		Revision: revision,
 	}
 }
--- a/link/link.go
+++ b/link/link.go
@@ -17,6 +17,7 @@
 	"github.com/lotuswing/lotuswing/coord/document"
 	"github.com/lotuswing/lotuswing/coord/leaving"
 	"github.com/lotuswing/lotuswing/coord/member"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 )
 
@@ -44,7 +45,7 @@
 	ID        string
 	Holder    string
 	Zone      string
-	Class     contract.Class
+	Class     placement.Class
 	Patience  time.Duration // how long it may wait
 	Remaining time.Duration // to the deadline of the request
 	Avoid     []string
@@ -53,7 +54,7 @@
 // AcquireReply is the home's decision. Where it is Queued, ask with Await.
 type AcquireReply struct {
 	Kind       contract.Kind
-	Endpoint   contract.Endpoint
+	Endpoint   placement.Endpoint
 	Reason     reason.Code
 	RetryAfter time.Duration
 }
@@ -70,31 +71,11 @@
 	Service string
 	ID      string
 	VM      string
-	Outcome contract.Outcome
+	Outcome placement.Outcome
 	Took    time.Duration
-	Load    Load
+	Load    placement.LoadReport
 }
 
-// Load is an endpoint's own word about itself.
-type Load struct {
-	Known    bool
-	InFlight int
-	Waiting  int // requests that wait for a slot
-	Slots    int
-	Pace     float64 // how long work takes now, 1 as usual; 0 where it is not told
-	State    LoadState
-}
-
-// LoadState of an endpoint, as it reports it.
-type LoadState string
-
-// The states that endpoints report.
-const (
-	Live     LoadState = "live"
-	Draining LoadState = "draining"
-	Cold     LoadState = "cold"
-)
-
 // CancelArgs takes back a request.
 type CancelArgs struct {
 	Service string
@@ -148,14 +129,14 @@
 
 // UnconfirmedReply lists them, the longest silent first.
 type UnconfirmedReply struct {
-	Endpoints []contract.Endpoint
+	Endpoints []placement.Endpoint
 }
 
 // SignArgs tells a home what an endpoint said of itself.
 type SignArgs struct {
 	Service string
 	VM      string
-	Load    Load
+	Load    placement.LoadReport
 }
 
 // Empty is the reply of a call that answers nothing.
--- a/node/acquire.go
+++ b/node/acquire.go
@@ -8,6 +8,7 @@
 	"github.com/lotuswing/lotuswing/coord/contract"
 	"github.com/lotuswing/lotuswing/coord/leaving"
 	"github.com/lotuswing/lotuswing/coord/member"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 	"github.com/lotuswing/lotuswing/internal/pause"
 	"github.com/lotuswing/lotuswing/link"
@@ -25,69 +26,9 @@
 	lateReport = time.Second
 )
 
-// Ask is a request for a contract.
-type Ask struct {
-	ID       string
-	Service  string // tenant/service
-	Class    contract.Class
-	Patience time.Duration
-	Deadline time.Time
-	Avoid    []string
-
-	// For a fleet that estimates when an answer would come.
-	Kind     string        // request kind, whose usual service time is learnt
-	Accepted time.Time     // when the request came
-	Target   time.Duration // an answer within it has its full worth; 0 for none
-}
-
-// Grant is the right to send one request to one endpoint.
-type Grant struct {
-	ID       string
-	Service  string
-	Endpoint contract.Endpoint
-	Home     string // link address; empty when chosen without a home
-	HomeID   string
-	Class    contract.Class
-	Kind     string // as in the Ask
-
-	Choice Choice
-}
-
-// Choice is what was known of an endpoint when it was chosen on its own load;
-// the zero value where a home granted it.
-type Choice struct {
-	Pace     float64 // how long work takes there, 1 as usual
-	Busy     int     // requests that it held, this one included
-	Estimate time.Duration
-	Age      time.Duration // of the report; below 0 without one
-	Probes   int           // endpoints asked
-}
-
-// Search is what was known of the endpoints when none was chosen.
-type Search struct {
-	Known, Ejected, Full int
-	Best                 time.Duration // lowest estimate
-	Probes               int           // endpoints asked
-}
-
-// Refusal says why there is no grant. The request was not sent.
-type Refusal struct {
-	Reason     reason.Code
-	RetryAfter time.Duration
-	Search     Search
-}
-
-// Ending is how a granted request ended.
-type Ending struct {
-	Outcome  contract.Outcome
-	Took     time.Duration
-	Load     link.Load
-	Replaced bool // another incarnation answers at the endpoint's address
-}
-
 // Acquire gets a grant from the home of the service, waiting as long as the
 // patience allows, or chooses alone when no home can be reached.
-func (n *Node) Acquire(ctx context.Context, a Ask) (Grant, *Refusal) {
+func (n *Node) Acquire(ctx context.Context, a placement.Request) (placement.Grant, *placement.Refusal) {
 	end := time.Now().Add(a.Patience)
 	for {
 		home, ok := n.snapshot.Load().homes[a.Service]
@@ -99,10 +40,10 @@
 		switch {
 		case ctx.Err() != nil:
 			go n.cancelAt(home, a)
-			return Grant{}, &Refusal{Reason: reason.CallerLeft}
+			return placement.Grant{}, &placement.Refusal{Reason: reason.CallerLeft}
 		case errors.Is(err, errMoved) || isRemote(err, errMoved):
 			if !n.pauseForMove(ctx, end) {
-				return Grant{}, &Refusal{Reason: reason.Expired, RetryAfter: time.Second}
+				return placement.Grant{}, &placement.Refusal{Reason: reason.Expired, RetryAfter: time.Second}
 			}
 			continue
 		case err != nil:
@@ -112,9 +53,9 @@
 			go n.cancelAt(home, a)
 			return n.alone(ctx, a, end)
 		case reply.Kind == contract.Refused:
-			return Grant{}, &Refusal{Reason: reply.Reason, RetryAfter: reply.RetryAfter}
+			return placement.Grant{}, &placement.Refusal{Reason: reply.Reason, RetryAfter: reply.RetryAfter}
 		}
-		g := Grant{ID: a.ID, Service: a.Service, Endpoint: reply.Endpoint, Home: home.Addr, HomeID: home.ID, Class: a.Class}
+		g := placement.Grant{ID: a.ID, Service: a.Service, Endpoint: reply.Endpoint, Home: home.Addr, HomeID: home.ID, Class: a.Class}
 		n.local.begin(g)
 		return g, nil
 	}
@@ -126,7 +67,7 @@
 	return time.Now().Before(end)
 }
 
-func (n *Node) askHome(ctx context.Context, home member.Member, a Ask) (link.AcquireReply, error) {
+func (n *Node) askHome(ctx context.Context, home member.Member, a placement.Request) (link.AcquireReply, error) {
 	args := link.AcquireArgs{
 		Service:   a.Service,
 		ID:        a.ID,
@@ -178,7 +119,7 @@
 	panic("node: unreachable method " + method)
 }
 
-func (n *Node) cancelAt(home member.Member, a Ask) {
+func (n *Node) cancelAt(home member.Member, a placement.Request) {
 	args := link.CancelArgs{Service: a.Service, ID: a.ID}
 	_ = n.call(context.Background(), home, lateReport, link.Cancel, args, &link.Empty{})
 }
@@ -194,9 +135,9 @@
 }
 
 // Complete ends a grant and tells the home, without keeping the caller.
-func (n *Node) Complete(g Grant, e Ending) {
+func (n *Node) Complete(g placement.Grant, e placement.Result) {
 	n.local.end(g, e, time.Now())
-	if e.Load.Known && e.Load.State == link.Draining {
+	if e.Load.Known && e.Load.State == placement.Draining {
 		n.MarkLeaving(leaving.Mark{VM: g.Endpoint.VM, Source: leaving.Answer})
 	}
 	done := link.Done{Service: g.Service, ID: g.ID, VM: g.Endpoint.VM, Outcome: e.Outcome, Took: e.Took, Load: e.Load}
--- a/node/alone.go
+++ b/node/alone.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/lotuswing/lotuswing/coord/contract"
 	"github.com/lotuswing/lotuswing/coord/pick"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 	"github.com/lotuswing/lotuswing/internal/pause"
 )
@@ -24,20 +24,20 @@
 
 // alone chooses an endpoint without a home, and waits while this balancer has
 // its share in flight on all of them.
-func (n *Node) alone(ctx context.Context, a Ask, end time.Time) (Grant, *Refusal) {
+func (n *Node) alone(ctx context.Context, a placement.Request, end time.Time) (placement.Grant, *placement.Refusal) {
 	for {
 		g, found, full := n.chooseAlone(a)
 		switch {
 		case found:
 			return g, nil
 		case !full:
-			return Grant{}, &Refusal{Reason: reason.NoEndpoint, RetryAfter: time.Second}
+			return placement.Grant{}, &placement.Refusal{Reason: reason.NoEndpoint, RetryAfter: time.Second}
 		case ctx.Err() != nil:
-			return Grant{}, &Refusal{Reason: reason.CallerLeft}
+			return placement.Grant{}, &placement.Refusal{Reason: reason.CallerLeft}
 		case !time.Now().Before(end):
-			return Grant{}, &Refusal{Reason: reason.Expired, RetryAfter: time.Second}
+			return placement.Grant{}, &placement.Refusal{Reason: reason.Expired, RetryAfter: time.Second}
 		}
-		if a.Class == contract.Patient {
+		if a.Class == placement.Patient {
 			pause.For(ctx, alonePausePatient)
 		} else {
 			pause.For(ctx, alonePause)
@@ -48,7 +48,7 @@
 
 // chooseAlone compares two random choices among the endpoints not known to be
 // leaving, ejected or tried. full reports that some are usable but busy.
-func (n *Node) chooseAlone(a Ask) (g Grant, found, full bool) {
+func (n *Node) chooseAlone(a placement.Request) (g placement.Grant, found, full bool) {
 	s := n.snapshot.Load()
 	list := s.endpoints[a.Service]
 	now := time.Now()
@@ -65,9 +65,9 @@
 	n.local.mu.Unlock()
 	i, ok := pick.TwoChoices(candidates, newRand())
 	if !ok {
-		return Grant{}, false, full
+		return placement.Grant{}, false, full
 	}
-	g = Grant{ID: a.ID, Service: a.Service, Endpoint: list[i], Class: a.Class}
+	g = placement.Grant{ID: a.ID, Service: a.Service, Endpoint: list[i], Class: a.Class}
 	n.local.begin(g)
 	n.counter("chosen_alone").Inc(1)
 	return g, true, false
--- a/node/host.go
+++ b/node/host.go
@@ -9,6 +9,7 @@
 
 	"github.com/lotuswing/lotuswing/coord/contract"
 	"github.com/lotuswing/lotuswing/coord/leaving"
+	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
 // errMoved: this balancer is no longer the home of the service.
@@ -153,7 +154,7 @@
 }
 
 // update replaces the endpoints and marks the leaving ones.
-func (h *host) update(now time.Time, list []contract.Endpoint, marks leaving.Set) {
+func (h *host) update(now time.Time, list []placement.Endpoint, marks leaving.Set) {
 	s := contract.Step{At: now, Op: contract.OpEndpoints, Endpoints: list}
 	for _, e := range list {
 		if marks.Has(e.VM) {
@@ -180,7 +181,7 @@
 }
 
 // unconfirmed lists the endpoints worth a measurement.
-func (h *host) unconfirmed(now time.Time, silent time.Duration) []contract.Endpoint {
+func (h *host) unconfirmed(now time.Time, silent time.Duration) []placement.Endpoint {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ledger.Unconfirmed(now, silent)
--- a/node/local.go
+++ b/node/local.go
@@ -4,15 +4,15 @@
 	"sync"
 	"time"
 
-	"github.com/lotuswing/lotuswing/coord/contract"
 	"github.com/lotuswing/lotuswing/coord/health"
+	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
 // local is what this node knows by itself, for choosing without a home, and
 // the grants it uses.
 type local struct {
 	mu        sync.Mutex
-	held      map[string]Grant
+	held      map[string]placement.Grant
 	endpoints map[string]own
 	silent    map[string]time.Time // homes not to be asked before
 }
@@ -23,11 +23,11 @@
 	health   health.State
 }
 
-func (p *local) begin(g Grant) {
+func (p *local) begin(g placement.Grant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.held == nil {
-		p.held = map[string]Grant{}
+		p.held = map[string]placement.Grant{}
 		p.endpoints = map[string]own{}
 	}
 	p.held[g.ID] = g
@@ -39,18 +39,18 @@
 	p.endpoints[g.Endpoint.VM] = o
 }
 
-func (p *local) end(g Grant, e Ending, now time.Time) {
+func (p *local) end(g placement.Grant, e placement.Result, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.held, g.ID)
 	o := p.endpoints[g.Endpoint.VM]
 	o.inFlight--
 	switch e.Outcome {
-	case contract.Completed:
+	case placement.Completed:
 		o.health = o.health.WithCompletion(1)
-	case contract.Shed, contract.Failed:
+	case placement.Shed, placement.Failed:
 		o.health = o.health.WithFailure(now)
-	case contract.Unused:
+	case placement.Unused:
 	}
 	p.endpoints[g.Endpoint.VM] = o
 }
--- a/node/measure.go
+++ b/node/measure.go
@@ -9,6 +9,7 @@
 	"github.com/lotuswing/lotuswing/coord/budget"
 	"github.com/lotuswing/lotuswing/coord/lease"
 	"github.com/lotuswing/lotuswing/coord/leaving"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/rendezvous"
 	"github.com/lotuswing/lotuswing/link"
 	"github.com/lotuswing/lotuswing/tenant"
@@ -140,7 +141,7 @@
 			return
 		}
 		load := m.probe(ctx, "http://"+e.Addr+cfg.Services[service].ProbePath)
-		if load.Known && load.State == link.Draining {
+		if load.Known && load.State == placement.Draining {
 			m.node.MarkLeaving(leaving.Mark{VM: e.VM, Source: leaving.Probe})
 		}
 		if load.Known {
@@ -151,20 +152,20 @@
 }
 
 // probe asks an endpoint once; the lease is checked again just before.
-func (m *meter) probe(ctx context.Context, url string) link.Load {
+func (m *meter) probe(ctx context.Context, url string) placement.LoadReport {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return link.Load{}
+		return placement.LoadReport{}
 	}
 	m.mu.Lock()
 	holds := m.account.Holds(time.Now())
 	m.mu.Unlock()
 	if !holds {
-		return link.Load{}
+		return placement.LoadReport{}
 	}
 	resp, err := m.http.Do(req)
 	if err != nil {
-		return link.Load{}
+		return placement.LoadReport{}
 	}
 	_ = resp.Body.Close()
 	return upstream.ParseLoad(resp.Header.Get(upstream.LoadHeader))
--- a/node/node.go
+++ b/node/node.go
@@ -10,7 +10,7 @@
 //	n, err := node.Start(node.Config{Settings: s, Log: log, Metrics: registry})
 //	defer n.Close()
 //	grant, refusal := n.Acquire(ctx, ask)
-//	n.Complete(grant, node.Ending{Outcome: contract.Completed, Took: took})
+//	n.Complete(grant, placement.Result{Outcome: placement.Completed, Took: took})
 package node
 
 import (
--- a/node/receiver.go
+++ b/node/receiver.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/lotuswing/lotuswing/coord/contract"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/link"
 )
 
@@ -65,13 +66,13 @@
 }
 
 // applyLoad tells a ledger what an endpoint said of itself.
-func applyLoad(h *host, now time.Time, vm string, load link.Load) {
+func applyLoad(h *host, now time.Time, vm string, load placement.LoadReport) {
 	switch {
 	case !load.Known:
-	case load.State == link.Draining:
+	case load.State == placement.Draining:
 		h.apply(contract.Step{At: now, Op: contract.OpLeaving, VM: vm})
 	default:
-		h.apply(contract.Step{At: now, Op: contract.OpSign, VM: vm, Cold: load.State == link.Cold})
+		h.apply(contract.Step{At: now, Op: contract.OpSign, VM: vm, Cold: load.State == placement.Cold})
 	}
 }
 
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -5,9 +5,9 @@
 	"maps"
 	"time"
 
-	"github.com/lotuswing/lotuswing/coord/contract"
 	"github.com/lotuswing/lotuswing/coord/leaving"
 	"github.com/lotuswing/lotuswing/coord/member"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 	"github.com/lotuswing/lotuswing/coord/rendezvous"
 	"github.com/lotuswing/lotuswing/tenant"
@@ -27,7 +27,7 @@
 	trusted   []string // of those that nobody suspects
 	configs   map[string]*tenant.Config
 	vms       vm.List
-	endpoints map[string][]contract.Endpoint // by tenant/service
+	endpoints map[string][]placement.Endpoint // by tenant/service
 	leaving   leaving.Set
 	homes     map[string]member.Member // by tenant/service
 }
@@ -91,7 +91,7 @@
 func (n *Node) publish(next *snapshot) {
 	next.ids = next.view.IDs()
 	next.trusted = next.view.Trusted()
-	next.endpoints = map[string][]contract.Endpoint{}
+	next.endpoints = map[string][]placement.Endpoint{}
 	next.homes = map[string]member.Member{}
 	for name, cfg := range next.configs {
 		for service := range cfg.Services {
@@ -120,7 +120,7 @@
 		return
 	}
 	key := m.Tenant + "/" + m.Service
-	e := contract.Endpoint{VM: m.ID, Addr: m.Addr, Zone: m.Zone, Slots: cfg.Services[m.Service].Slots}
+	e := placement.Endpoint{VM: m.ID, Addr: m.Addr, Zone: m.Zone, Slots: cfg.Services[m.Service].Slots}
 	s.endpoints[key] = append(s.endpoints[key], e)
 }
 
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/hashicorp/go-hclog"
-	"github.com/lotuswing/lotuswing/coord/contract"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/directory"
 	"github.com/lotuswing/lotuswing/platform"
 	"github.com/lotuswing/lotuswing/platform/platformtest"
@@ -281,7 +281,7 @@
 		until(t, "unsettled or mute", func() bool { return f.Mute || len(active(all)) == 0 })
 		for _, m := range all {
 			assert.DeepEqual(t, m.directory.Snapshot().Endpoints["s"][0].Endpoint,
-				contract.Endpoint{VM: "i-1", Addr: "127.0.0.1:1", Slots: 3})
+				placement.Endpoint{VM: "i-1", Addr: "127.0.0.1:1", Slots: 3})
 		}
 		if f.Mute {
 			inForce(t, store, 9, all...)
--- a/standin/endpoint.go
+++ b/standin/endpoint.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/verdict"
-	"github.com/lotuswing/lotuswing/link"
 	"github.com/lotuswing/lotuswing/upstream"
 )
 
@@ -40,7 +40,7 @@
 	Key   string // of the caller: its Idempotency-Key or X-Request-Key
 	Path  string
 	Began time.Time
-	State link.LoadState // of the endpoint when the request began
+	State placement.LoadState // of the endpoint when the request began
 }
 
 // Endpoint is the stand-in of a server behind the balancer.
@@ -120,18 +120,18 @@
 }
 
 // state returns the endpoint's own word about itself. e.mu is held.
-func (e *Endpoint) state() link.LoadState {
+func (e *Endpoint) state() placement.LoadState {
 	switch {
 	case e.behavior.Draining:
-		return link.Draining
+		return placement.Draining
 	case time.Since(e.started) < e.opts.ColdFor:
-		return link.Cold
+		return placement.Cold
 	}
-	return link.Live
+	return placement.Live
 }
 
 func (e *Endpoint) report(w http.ResponseWriter) {
-	load := link.Load{InFlight: e.inFlight, Slots: e.opts.Slots, State: e.state()}
+	load := placement.LoadReport{InFlight: e.inFlight, Slots: e.opts.Slots, State: e.state()}
 	w.Header().Set(upstream.LoadHeader, upstream.FormatLoad(load))
 }
 
--- a/tenant/prefix.go
+++ b/tenant/prefix.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"github.com/lotuswing/lotuswing/coord/contract"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 )
 
@@ -95,7 +95,7 @@
 			Name:        r.Name,
 			Path:        r.Prefix,
 			Service:     share.Service,
-			Class:       contract.Interactive,
+			Class:       placement.Interactive,
 			Repeatable:  r.Repeatable,
 			Patience:    r.Timeout,
 			Timeout:     r.Timeout,
--- a/tenant/tenant.go
+++ b/tenant/tenant.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"github.com/lotuswing/lotuswing/coord/budget"
-	"github.com/lotuswing/lotuswing/coord/contract"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/internal/jsonc"
 	"github.com/tailscale/hujson"
 )
@@ -114,7 +114,7 @@
 	Methods    []string
 	Path       string
 	Service    string
-	Class      contract.Class
+	Class      placement.Class
 	Repeatable bool
 	Patience   time.Duration
 	Timeout    time.Duration
@@ -282,7 +282,7 @@
 	dec.Check(strings.HasPrefix(k.Path, "/"), place+".path", "is %q; it starts with /", k.Path)
 	_, ok := doc.Services[k.Service]
 	dec.Check(ok, place+".service", "is %q; services are %s", k.Service, strings.Join(sortedKeys(doc.Services), ", "))
-	class, err := contract.ParseClass(expand("class", spec.Class))
+	class, err := placement.ParseClass(expand("class", spec.Class))
 	dec.Check(err == nil, place+".class", "is %q; interactive or patient", spec.Class)
 	k.Class = class
 	k.Patience = positive(dec, place+".patience", expand("patience", spec.Patience))
--- a/tenant/tenant_test.go
+++ b/tenant/tenant_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/lotuswing/lotuswing/coord/contract"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 	"github.com/lotuswing/lotuswing/examples"
 	"github.com/lotuswing/lotuswing/tenant"
@@ -62,7 +62,7 @@
 	}
 	route, _ := cfg.Route("tribunal.bennani", "POST", "/petitions")
 	assert.Assert(t, !route.Kind.Repeatable)
-	assert.Equal(t, route.Kind.Class, contract.Interactive)
+	assert.Equal(t, route.Kind.Class, placement.Interactive)
 	assert.Equal(t, route.ServiceKey(), "bennani/petitions")
 }
 
--- a/upstream/dialect.go
+++ b/upstream/dialect.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"time"
 
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/verdict"
-	"github.com/lotuswing/lotuswing/link"
 )
 
 // Dialect is the table of header names that balancer, callers and endpoints
@@ -36,7 +36,7 @@
 	PlainOnly bool
 
 	Load      string // the endpoint's word about its load
-	ParseLoad func(string) link.Load
+	ParseLoad func(string) placement.LoadReport
 
 	// FractionalRetryAfter: callers read fractions of a second.
 	FractionalRetryAfter bool
--- a/upstream/load.go
+++ b/upstream/load.go
@@ -4,14 +4,14 @@
 	"strconv"
 	"strings"
 
-	"github.com/lotuswing/lotuswing/link"
+	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
 // ParseLoad reads a load report such as "inflight=2, slots=3, state=live".
 // Parts that cannot be read are left out; a report with no known state is not
 // known.
-func ParseLoad(header string) link.Load {
-	var load link.Load
+func ParseLoad(header string) placement.LoadReport {
+	var load placement.LoadReport
 	for part := range strings.SplitSeq(header, ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		switch key {
@@ -20,17 +20,17 @@
 		case "slots":
 			load.Slots, _ = strconv.Atoi(value)
 		case "state":
-			load.State = link.LoadState(value)
+			load.State = placement.LoadState(value)
 		}
 	}
 	switch load.State {
-	case link.Live, link.Draining, link.Cold:
+	case placement.Live, placement.Draining, placement.Cold:
 		load.Known = true
 	}
 	return load
 }
 
 // FormatLoad writes a load report.
-func FormatLoad(l link.Load) string {
+func FormatLoad(l placement.LoadReport) string {
 	return "inflight=" + strconv.Itoa(l.InFlight) + ", slots=" + strconv.Itoa(l.Slots) + ", state=" + string(l.State)
 }
--- a/upstream/load_test.go
+++ b/upstream/load_test.go
@@ -3,14 +3,14 @@
 import (
 	"testing"
 
-	"github.com/lotuswing/lotuswing/link"
+	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/upstream"
 	"gotest.tools/v3/assert"
 )
 
 // TestLoadReports are read leniently; one without a known state is not known.
 func TestLoadReports(t *testing.T) {
-	want := link.Load{Known: true, InFlight: 2, Slots: 3, State: link.Draining}
+	want := placement.LoadReport{Known: true, InFlight: 2, Slots: 3, State: placement.Draining}
 	assert.Equal(t, upstream.ParseLoad("inflight=2, slots=3, state=draining"), want)
 	assert.Equal(t, upstream.ParseLoad(upstream.FormatLoad(want)), want)
 	assert.Assert(t, !upstream.ParseLoad("").Known)
--- a/upstream/probe.go
+++ b/upstream/probe.go
@@ -8,7 +8,7 @@
 	"net/url"
 	"time"
 
-	"github.com/lotuswing/lotuswing/link"
+	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
 // mostProbeBytes is how much of a probe's answer is read.
@@ -18,7 +18,7 @@
 type ProbeAnswer struct {
 	Status   int
 	Instance string // identity of the incarnation; empty where it is not told
-	Load     link.Load
+	Load     placement.LoadReport
 }
 
 // Probe asks the endpoint at an address for its load. It uses the connections of
