--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -273,7 +273,7 @@
 			Connections: key.connections,
 			HTTP2:       desc.Protocol == "h2c",
 			DialTimeout: b.cfg.Policy.DialTimeout,
-			Idle:        b.cfg.Policy.IdleUpstream,
+			IdleTimeout: b.cfg.Policy.IdleUpstream,
 			Fresh:       key.fresh,
 			Dialect:     &b.cfg.Policy.Dialect,
 		})
--- a/balancer/policy.go
+++ b/balancer/policy.go
@@ -87,7 +87,7 @@
 // requestID returns the name under which a request goes to endpoints.
 func (b *Balancer) requestID(r *http.Request) string {
 	d := &b.cfg.Policy.Dialect
-	if d.CallersID {
+	if d.CallerRequestID {
 		if id := r.Header.Get(d.RequestID); id != "" {
 			return id
 		}
--- a/balancer/relay.go
+++ b/balancer/relay.go
@@ -27,10 +27,10 @@
 // relay passes an answer on as it arrives.
 func (b *Balancer) relay(x *exchange, res *upstream.Result) error {
 	defer res.Close()
-	answer := res.Answer
+	answer := res.Response
 	h := x.w.Header()
 	removeHopHeaders(answer.Header)
-	if !b.cfg.Policy.Dialect.CallersID {
+	if !b.cfg.Policy.Dialect.CallerRequestID {
 		answer.Header.Del(b.cfg.Policy.Dialect.RequestID)
 	}
 	answer.Header.Del(verdict.Header)
@@ -39,7 +39,7 @@
 	x.verdict, x.reason, x.status = res.Verdict, res.Reason, answer.StatusCode
 	announced := announceTrailers(h, answer.Trailer)
 	x.w.WriteHeader(answer.StatusCode)
-	streaming := answer.ContentLength < 0 && !res.Held
+	streaming := answer.ContentLength < 0 && !res.Buffered
 	if err := copyAnswer(x.w, answer.Body, streaming); err != nil {
 		b.cfg.Log.Warn("answer not passed on whole", "id", x.id, "error", err)
 		return err
@@ -100,7 +100,7 @@
 // upgrade joins the caller's connection with the endpoint's, for a long
 // session that lasts until either side ends it.
 func (b *Balancer) upgrade(x *exchange, res *upstream.Result) error {
-	back, ok := res.Answer.Body.(io.ReadWriteCloser)
+	back, ok := res.Response.Body.(io.ReadWriteCloser)
 	if !ok {
 		res.Close()
 		return refusal{verdict: verdict.MayHaveRun, reason: reason.UpgradeFailed, message: "the endpoint's connection cannot be written to"}
@@ -113,7 +113,7 @@
 	b.sessions.Add(1)
 	defer b.sessions.Done()
 	defer func() { _ = front.Close() }()
-	answer := *res.Answer
+	answer := *res.Response
 	answer.Body = nil
 	answer.Header.Set(verdict.Header, verdict.Ran.String())
 	x.verdict, x.status = verdict.Ran, answer.StatusCode
--- a/balancer/serve.go
+++ b/balancer/serve.go
@@ -75,10 +75,10 @@
 // repeatable request. It proves nothing about what ran, but another endpoint
 // may do better.
 func (b *Balancer) rejected(x *exchange, res *upstream.Result) bool {
-	if b.cfg.Policy.RepeatErrors && res.Answer.StatusCode >= http.StatusInternalServerError {
+	if b.cfg.Policy.RepeatErrors && res.Response.StatusCode >= http.StatusInternalServerError {
 		return x.route.Kind.Repeatable
 	}
-	switch res.Answer.StatusCode {
+	switch res.Response.StatusCode {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return x.route.Kind.Repeatable
 	}
@@ -133,13 +133,13 @@
 	ctx, span := b.cfg.Tracing.Tracer.Start(ctx, "send")
 	defer span.End()
 	res := b.client(x.route).Send(ctx, upstream.Request{
-		ID:       b.attemptID(x, grant),
-		Addr:     grant.Endpoint.Addr,
-		In:       x.r,
-		Body:     body,
-		Deadline: x.deadline,
-		Instance: grant.Endpoint.VM,
-		Hold:     b.cfg.Policy.HoldBytes,
+		ID:          b.attemptID(x, grant),
+		Addr:        grant.Endpoint.Addr,
+		In:          x.r,
+		Body:        body,
+		Deadline:    x.deadline,
+		Instance:    grant.Endpoint.VM,
+		BufferBytes: b.cfg.Policy.HoldBytes,
 		Informational: func(code int, header http.Header) {
 			if code == http.StatusContinue || code == http.StatusSwitchingProtocols {
 				return // the server sends its own
@@ -156,7 +156,7 @@
 // attemptID names an attempt to the endpoint: the caller's name where that goes
 // through, else that of the grant.
 func (b *Balancer) attemptID(x *exchange, grant placement.Grant) string {
-	if b.cfg.Policy.Dialect.CallersID {
+	if b.cfg.Policy.Dialect.CallerRequestID {
 		return x.id
 	}
 	return grant.ID
@@ -228,7 +228,7 @@
 // load returns the endpoint's word about its load on an answer.
 func (b *Balancer) load(res *upstream.Result) placement.LoadReport {
 	d := &b.cfg.Policy.Dialect
-	return d.ParseLoad(res.Answer.Header.Get(d.Load))
+	return d.ParseLoad(res.Response.Header.Get(d.Load))
 }
 
 // giveUp makes the last answer of a request that no endpoint ran. An
@@ -237,9 +237,9 @@
 	if x.mayRun && res.Verdict == verdict.NotRun {
 		res.Verdict = verdict.MayHaveRun
 	}
-	if res.Answer != nil && !(res.Reason != "" && b.cfg.Policy.OwnRefusals) {
-		if res.Answer.Header.Get("Retry-After") == "" {
-			res.Answer.Header.Set("Retry-After", b.cfg.Policy.Dialect.FormatRetryAfter(b.comeBack(x)))
+	if res.Response != nil && !(res.Reason != "" && b.cfg.Policy.OwnRefusals) {
+		if res.Response.Header.Get("Retry-After") == "" {
+			res.Response.Header.Set("Retry-After", b.cfg.Policy.Dialect.FormatRetryAfter(b.comeBack(x)))
 		}
 		if err := b.relay(x, res); err != nil {
 			panic(http.ErrAbortHandler)
@@ -275,14 +275,14 @@
 		Outcome: placement.Completed,
 		Load:    b.load(res),
 	}
-	if res.Answer.StatusCode >= http.StatusInternalServerError {
+	if res.Response.StatusCode >= http.StatusInternalServerError {
 		e.Outcome = placement.Failed // failing fast must not look like being fast
 	}
 	defer func() {
 		e.Took = time.Since(sent)
 		go b.cfg.Fleet.Complete(grant, e) // the caller's last bytes go first
 	}()
-	if res.Answer.StatusCode == http.StatusSwitchingProtocols {
+	if res.Response.StatusCode == http.StatusSwitchingProtocols {
 		return b.upgrade(x, res)
 	}
 	err := b.relay(x, res)
--- a/balancer/story.go
+++ b/balancer/story.go
@@ -38,8 +38,8 @@
 	line := x.story.Line(telemetry.EventAttempt).Int("attempt", int64(attempt)).Text("endpoint", g.Endpoint.VM).
 		Text("verdict", res.Verdict.String()).Text("reason", string(res.Reason))
 	status := 0
-	if res.Answer != nil {
-		status = res.Answer.StatusCode
+	if res.Response != nil {
+		status = res.Response.StatusCode
 	}
 	line.Int("status", int64(status)).Millis("took_ms", time.Since(sent))
 	if res.Err != nil {
--- a/cli/balancer.go
+++ b/cli/balancer.go
@@ -109,7 +109,7 @@
 		IdleUpstream:     idleUpstream,
 	}
 	cfg.Policy.Client = upstream.NewClient(upstream.Options{
-		Connections: mostConnections, DialTimeout: dialTimeout, Idle: idleUpstream, Dialect: &cfg.Policy.Dialect,
+		Connections: mostConnections, DialTimeout: dialTimeout, IdleTimeout: idleUpstream, Dialect: &cfg.Policy.Dialect,
 	})
 	if s.Retries != (settings.Retries{}) {
 		cfg.Policy.Repeats = repeatsOf(s.Retries)
--- a/direct/direct.go
+++ b/direct/direct.go
@@ -47,7 +47,7 @@
 
 // Prober asks an endpoint for its load.
 type Prober interface {
-	Probe(ctx context.Context, addr, path string, within time.Duration) (upstream.ProbeAnswer, error)
+	Probe(ctx context.Context, addr, path string, within time.Duration) (upstream.ProbeResult, error)
 }
 
 // Options of the choice. Zero fields take the defaults.
--- a/direct/direct_test.go
+++ b/direct/direct_test.go
@@ -23,19 +23,19 @@
 // fakeProber answers for endpoints by address.
 type fakeProber struct {
 	mu      sync.Mutex
-	answers map[string]upstream.ProbeAnswer
+	answers map[string]upstream.ProbeResult
 	asked   map[string]int
 }
 
 var errSilent = errors.New("no answer")
 
-func (p *fakeProber) Probe(_ context.Context, addr, _ string, _ time.Duration) (upstream.ProbeAnswer, error) {
+func (p *fakeProber) Probe(_ context.Context, addr, _ string, _ time.Duration) (upstream.ProbeResult, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.asked[addr]++
 	answer, ok := p.answers[addr]
 	if !ok {
-		return upstream.ProbeAnswer{}, errSilent
+		return upstream.ProbeResult{}, errSilent
 	}
 	return answer, nil
 }
@@ -43,9 +43,9 @@
 func (p *fakeProber) set(addr string, running int, pace float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.answers[addr] = upstream.ProbeAnswer{
-		Status: 200, Instance: addr,
-		Load: placement.LoadReport{Known: true, InFlight: running, Slots: 3, Pace: pace, State: placement.Live},
+	p.answers[addr] = upstream.ProbeResult{
+		Instance: addr,
+		Load:     placement.LoadReport{Known: true, InFlight: running, Slots: 3, Pace: pace, State: placement.Live},
 	}
 }
 
@@ -60,7 +60,7 @@
 func newRig(endpoints int, opts direct.Options) *rig {
 	d := directory.New()
 	var entries []directory.Entry
-	prober := &fakeProber{answers: map[string]upstream.ProbeAnswer{}, asked: map[string]int{}}
+	prober := &fakeProber{answers: map[string]upstream.ProbeResult{}, asked: map[string]int{}}
 	for i := range endpoints {
 		id := fmt.Sprintf("e%d", i)
 		zone := []string{"near", "far"}[i%2]
--- a/upstream/dialect.go
+++ b/upstream/dialect.go
@@ -1,7 +1,6 @@
 package upstream
 
 import (
-	"net/http"
 	"strconv"
 	"time"
 
@@ -9,37 +8,37 @@
 	"github.com/lotuswing/lotuswing/coord/verdict"
 )
 
-// Dialect is the table of header names that balancer, callers and endpoints
-// use, and what endpoints promise about them. An empty name means that there
-// is no such header.
+// Headers of the product's own dialect.
+const (
+	RequestIDHeader = "Lotuswing-Request-Id" // an endpoint may echo it
+	TimeoutHeader   = "Lotuswing-Timeout"    // remaining time, a Go duration
+	LoadHeader      = "Lotuswing-Load"       // load report of the endpoint
+)
+
+// Dialect is the table of the headers that balancer, callers and endpoints use,
+// and of what endpoints promise with them. There are two: Native, and that of the
+// operators' platform. An empty name means that there is no such header.
 type Dialect struct {
-	RequestID string // names a request; an endpoint echoes it
-	// CallersID: callers name their requests, and that name goes through.
-	CallersID bool
-	// EchoRequired: an answer without the request's name is nobody's answer.
-	EchoRequired bool
+	RequestID       string // identity of a request; an endpoint echoes it
+	CallerRequestID bool   // callers choose it, and it is sent on
+	EchoRequired    bool   // a response without it belongs to no request
 
 	Timeout       string // remaining time of a request
 	FormatTimeout func(time.Duration) string
 	ParseTimeout  func(string) (time.Duration, error)
+	// FractionalRetryAfter: callers read fractions of a second in Retry-After.
+	FractionalRetryAfter bool
 
-	Instance string // incarnation that a request is meant for; others decline it with status 421
-	// InstanceID names the incarnation that answers a probe.
-	InstanceID string
-	NotRun     string // an endpoint's word that it did not run a request
-	// NotRunValue is the value that says so; empty for any value.
-	NotRunValue string
-	// Signature stands in each answer of an endpoint that ran the request to
-	// its end.
-	Signature string
-	// PlainOnly: an answer with a Content-Encoding is not the endpoint's.
-	PlainOnly bool
+	Instance   string // incarnation that a request is meant for; others decline it with status 421
+	InstanceID string // incarnation that responds to a probe
 
-	Load      string // the endpoint's word about its load
-	ParseLoad func(string) placement.LoadReport
+	NotRun      string // says that the endpoint did not run the request
+	NotRunValue string // the value that says so; empty for any value
+	Signature   string // in each response of an endpoint that ran the request to its end
+	PlainOnly   bool   // a response with a Content-Encoding is not the endpoint's
 
-	// FractionalRetryAfter: callers read fractions of a second.
-	FractionalRetryAfter bool
+	Load      string // load report of the endpoint
+	ParseLoad func(string) placement.LoadReport
 }
 
 // Native returns the product's own dialect.
@@ -56,32 +55,8 @@
 	}
 }
 
-// refused reports whether an answer says that the endpoint did not run the
-// request.
-func (d *Dialect) refused(answer *http.Response) bool {
-	if d.Instance != "" && answer.StatusCode == http.StatusMisdirectedRequest {
-		return true
-	}
-	if answer.StatusCode < http.StatusInternalServerError && answer.StatusCode != http.StatusTooManyRequests && d.NotRunValue != "" {
-		return false
-	}
-	word := answer.Header.Get(d.NotRun)
-	return word != "" && (d.NotRunValue == "" || word == d.NotRunValue)
-}
-
-// spoiled says why an answer cannot be the endpoint's own, or is empty.
-func (d *Dialect) spoiled(answer *http.Response) string {
-	success := answer.StatusCode >= http.StatusOK && answer.StatusCode < http.StatusMultipleChoices
-	switch {
-	case d.Signature != "" && success && answer.Header.Get(d.Signature) == "":
-		return "success without a signature"
-	case d.PlainOnly && answer.Header.Get("Content-Encoding") != "":
-		return "content encoding that nobody asked for"
-	}
-	return ""
-}
-
-// FormatRetryAfter writes the time after which a caller may come back.
+// FormatRetryAfter writes the time after which a caller may come back, at least a
+// millisecond.
 func (d *Dialect) FormatRetryAfter(after time.Duration) string {
 	after = max(after, time.Millisecond)
 	if d.FractionalRetryAfter {
@@ -89,13 +64,3 @@
 	}
 	return strconv.FormatInt(int64((after+time.Second-1)/time.Second), 10)
 }
-
-// promisesNotRun reports whether callers take a status for the word that a
-// request has not run.
-func promisesNotRun(status int) bool {
-	switch status {
-	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return true
-	}
-	return false
-}
--- a/upstream/dialect_test.go
+++ b/upstream/dialect_test.go
@@ -44,7 +44,7 @@
 	}
 	return c.Send(context.Background(), upstream.Request{
 		ID: "r1", Addr: addr, In: in, Body: upstream.NewBody(strings.NewReader(""), 1<<10),
-		Deadline: time.Now().Add(5 * time.Second), Instance: "i-1", Hold: 1 << 10,
+		Deadline: time.Now().Add(5 * time.Second), Instance: "i-1", BufferBytes: 1 << 10,
 	})
 }
 
@@ -78,11 +78,11 @@
 		res := sendTo(platformClient(t, false), scriptedEndpoint(t, c.step).Addr())
 		assert.Equal(t, res.Verdict, c.verdict, c.name)
 		assert.Equal(t, res.Reason, c.reason, c.name)
-		if c.verdict == verdict.Ran && c.reason == "" && res.Answer.StatusCode == http.StatusOK {
-			raw, err := io.ReadAll(res.Answer.Body)
+		if c.verdict == verdict.Ran && c.reason == "" && res.Response.StatusCode == http.StatusOK {
+			raw, err := io.ReadAll(res.Response.Body)
 			assert.NilError(t, err)
 			assert.Equal(t, string(raw), "whole", c.name)
-			assert.Assert(t, res.Held, c.name)
+			assert.Assert(t, res.Buffered, c.name)
 		}
 		res.Close()
 	}
@@ -94,8 +94,8 @@
 	for _, framing := range []string{"Content-Length: 3000\r\n", ""} {
 		e := scriptedEndpoint(t, scripted.Cut("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\n"+framing+"\r\n"+long))
 		res := sendTo(platformClient(t, false), e.Addr())
-		assert.Assert(t, !res.Held)
-		raw, err := io.ReadAll(res.Answer.Body)
+		assert.Assert(t, !res.Buffered)
+		raw, err := io.ReadAll(res.Response.Body)
 		assert.NilError(t, err)
 		assert.Equal(t, string(raw), long)
 		res.Close()
--- a/upstream/load.go
+++ b/upstream/load.go
@@ -8,8 +8,8 @@
 )
 
 // ParseLoad reads a load report such as "inflight=2, slots=3, state=live".
-// Parts that cannot be read are left out; a report with no known state is not
-// known.
+// A figure that cannot be read counts as 0, like one that is missing: an endpoint
+// may leave any of them out. A report without a known state is not known.
 func ParseLoad(header string) placement.LoadReport {
 	var load placement.LoadReport
 	for part := range strings.SplitSeq(header, ",") {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -51,9 +51,9 @@
 	})
 	defer res.Close()
 	out := attempt{verdict: res.Verdict}
-	if res.Answer != nil {
-		raw, err := io.ReadAll(res.Answer.Body)
-		out.status, out.body, out.whole = res.Answer.StatusCode, string(raw), err == nil
+	if res.Response != nil {
+		raw, err := io.ReadAll(res.Response.Body)
+		out.status, out.body, out.whole = res.Response.StatusCode, string(raw), err == nil
 	}
 	return out
 }
