--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -38,8 +38,8 @@
 	os.Exit(m.Run())
 }
 
-// fakeFleet grants the endpoints in turn, leaving out those to be avoided.
-type fakeFleet struct {
+// fakeChooser grants the endpoints in turn, leaving out those to be avoided.
+type fakeChooser struct {
 	cfg       *tenant.Config
 	endpoints []placement.Endpoint
 	sequence  atomic.Uint64
@@ -55,19 +55,19 @@
 	granted int
 }
 
-func (f *fakeFleet) NextID() string { return fmt.Sprintf("id-%d", f.sequence.Add(1)) }
+func (f *fakeChooser) NextID() string { return fmt.Sprintf("id-%d", f.sequence.Add(1)) }
 
-func (f *fakeFleet) Route(host, method, path string) (tenant.Route, reason.Code) {
+func (f *fakeChooser) Route(host, method, path string) (tenant.Route, reason.Code) {
 	return f.cfg.Route(host, method, path)
 }
 
-func (f *fakeFleet) Service(_, service string) (tenant.Service, int) {
+func (f *fakeChooser) Service(_, service string) (tenant.Service, int) {
 	return f.cfg.Services[service], 1
 }
 
-func (f *fakeFleet) Ready() (bool, string) { return true, "" }
+func (f *fakeChooser) Ready() (bool, string) { return true, "" }
 
-func (f *fakeFleet) Acquire(ctx context.Context, a placement.Request) (placement.Grant, *placement.Refusal) {
+func (f *fakeChooser) Acquire(ctx context.Context, a placement.Request) (placement.Grant, *placement.Refusal) {
 	if f.refuse != nil {
 		return placement.Grant{}, f.refuse
 	}
@@ -94,7 +94,7 @@
 	return placement.Grant{ID: a.ID, Service: a.Service, Endpoint: f.endpoints[0]}, nil
 }
 
-func (f *fakeFleet) Complete(_ placement.Grant, e placement.Result) {
+func (f *fakeChooser) Complete(_ placement.Grant, e placement.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.endings = append(f.endings, e)
@@ -102,7 +102,7 @@
 
 // ending waits for the report of an attempt, which comes after the caller has
 // its answer.
-func (f *fakeFleet) ending(i int) placement.Result {
+func (f *fakeChooser) ending(i int) placement.Result {
 	for {
 		f.mu.Lock()
 		if len(f.endings) > i {
@@ -116,7 +116,7 @@
 
 // bench is a balancer in front of faulty endpoints.
 type bench struct {
-	fleet     *fakeFleet
+	chooser   *fakeChooser
 	endpoints []*faulty.Endpoint
 	server    *httptest.Server
 }
@@ -129,18 +129,18 @@
 func newBench(t cleaner, endpoints int) *bench {
 	cfg, err := tenant.Load("testdata/tenant.jsonc")
 	assert.NilError(t, err)
-	b := &bench{fleet: &fakeFleet{cfg: cfg}}
+	b := &bench{chooser: &fakeChooser{cfg: cfg}}
 	for i := range endpoints {
 		e, err := faulty.New()
 		assert.NilError(t, err)
 		t.Cleanup(e.Close)
 		b.endpoints = append(b.endpoints, e)
-		b.fleet.endpoints = append(b.fleet.endpoints, placement.Endpoint{VM: fmt.Sprintf("e%d", i), Addr: e.Addr(), Slots: 3})
+		b.chooser.endpoints = append(b.chooser.endpoints, placement.Endpoint{VM: fmt.Sprintf("e%d", i), Addr: e.Addr(), Slots: 3})
 	}
 	tracing, err := telemetry.NewTracing("none", io.Discard)
 	assert.NilError(t, err)
 	h := balancer.New(balancer.Config{
-		Fleet:   b.fleet,
+		Chooser: b.chooser,
 		Limits:  settings.Limits{BodyBytes: 1 << 20, ReplayBytes: 1 << 10},
 		Log:     hclog.NewNullLogger(),
 		Metrics: metrics.NewRegistry(),
@@ -237,7 +237,7 @@
 	got := b.call(t, "POST", "/once", "petition", "stamped", http.Header{})
 	assert.Equal(t, got.status, http.StatusOK)
 	assert.Equal(t, b.endpoints[1].Ran("petition"), 1)
-	assert.Equal(t, b.fleet.ending(0).Outcome, placement.Shed)
+	assert.Equal(t, b.chooser.ending(0).Outcome, placement.Shed)
 }
 
 // TestBareRejectionIsRepeatedForReadsOnly: an endpoint that rejects everything
@@ -247,7 +247,7 @@
 	b.endpoints[0].Set(faulty.Bare503)
 	got := b.call(t, "GET", "/read", "read", "", http.Header{})
 	assert.Equal(t, got.status, http.StatusOK)
-	assert.Equal(t, b.fleet.ending(0).Outcome, placement.Failed)
+	assert.Equal(t, b.chooser.ending(0).Outcome, placement.Failed)
 	got = b.call(t, "POST", "/once", "filing", "x", http.Header{})
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Equal(t, got.verdict, "ran")
@@ -284,7 +284,7 @@
 func TestRefusalAfterAttemptIsNotTold(t *testing.T) {
 	b := newBench(t, 1)
 	b.endpoints[0].Set(faulty.CloseAfterRead)
-	b.fleet.refuseAfter = 1
+	b.chooser.refuseAfter = 1
 	got := b.call(t, "POST", "/read", "k", "x", http.Header{})
 	assert.Equal(t, b.ran("k"), 1)
 	assert.Equal(t, got.verdict, "may-have-run")
@@ -301,11 +301,11 @@
 	}
 }
 
-// TestRefusalIsAnsweredAtOnce: what the fleet refuses is told to the caller
+// TestRefusalIsAnsweredAtOnce: what the chooser refuses is told to the caller
 // with the time to come back.
 func TestRefusalIsAnsweredAtOnce(t *testing.T) {
 	b := newBench(t, 1)
-	b.fleet.refuse = &placement.Refusal{Reason: reason.TooLate, RetryAfter: 1500 * time.Millisecond}
+	b.chooser.refuse = &placement.Refusal{Reason: reason.TooLate, RetryAfter: 1500 * time.Millisecond}
 	got := b.call(t, "GET", "/read", "k", "", http.Header{})
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Equal(t, got.verdict, "not-run")
@@ -331,7 +331,7 @@
 	}()
 	_, err = http.DefaultClient.Do(req)
 	assert.Assert(t, err != nil)
-	assert.Equal(t, b.fleet.ending(0).Outcome, placement.Unused)
+	assert.Equal(t, b.chooser.ending(0).Outcome, placement.Unused)
 	assert.Equal(t, b.ran("k"), 1)
 }
 
@@ -339,24 +339,24 @@
 // not asked for yet.
 func TestCallerThatLeavesWhileWaiting(t *testing.T) {
 	b := newBench(t, 1)
-	b.fleet.waiting = make(chan struct{})
-	b.fleet.left = make(chan struct{})
+	b.chooser.waiting = make(chan struct{})
+	b.chooser.left = make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, "POST", b.server.URL+"/once", strings.NewReader("stamped"))
 	assert.NilError(t, err)
 	req.Host = "desk"
 	go func() {
-		<-b.fleet.waiting
+		<-b.chooser.waiting
 		cancel()
 	}()
 	_, err = http.DefaultClient.Do(req)
 	assert.Assert(t, err != nil)
-	<-b.fleet.left
+	<-b.chooser.left
 	assert.Equal(t, b.ran(""), 0)
 }
 
 // TestSlowUploadHoldsNoSlot: a small body that stops arriving is given up at
-// the deadline, before anything is asked of the fleet.
+// the deadline, before anything is asked of the chooser.
 func TestSlowUploadHoldsNoSlot(t *testing.T) {
 	b := newBench(t, 1)
 	conn, err := net.Dial("tcp", b.server.Listener.Addr().String())
@@ -368,7 +368,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, resp.Header.Get(verdict.ReasonHeader), "LW2008")
 	assert.Equal(t, resp.Header.Get(verdict.Header), "not-run")
-	assert.Equal(t, b.fleet.granted, 0)
+	assert.Equal(t, b.chooser.granted, 0)
 }
 
 // TestMalformedRequestsReachNoEndpoint sends raw bytes.
--- /dev/null
+++ b/balancer/events.go
@@ -0,0 +1,109 @@
+package balancer
+
+import (
+	"fmt"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/lotuswing/lotuswing/coord/placement"
+	"github.com/lotuswing/lotuswing/coord/retry"
+	"github.com/lotuswing/lotuswing/coord/verdict"
+	"github.com/lotuswing/lotuswing/telemetry"
+	"github.com/rcrowley/go-metrics"
+)
+
+// All log lines and metrics of requests are written here. telemetry.Events says
+// what each field means.
+
+func (x *exchange) logAdmitted(timeout time.Duration) {
+	kind := x.route.Kind
+	x.log.Line(telemetry.EventAdmitted).Text("route", kind.Name).Text("service", kind.Service).
+		Int("version", int64(x.route.Version)).Millis("deadline_ms", timeout).Bool("repeatable", kind.Repeatable).Done()
+}
+
+// logChosen records the choice of an endpoint before the request goes out, so that
+// the log tells where it went even if this process dies. Where the request must
+// not run twice, the line is written whatever the log's rate allows.
+func (x *exchange) logChosen(number int, g placement.Grant, now time.Time) {
+	age := int64(-1)
+	if g.Choice.Age >= 0 {
+		age = g.Choice.Age.Milliseconds()
+	}
+	x.log.Line(telemetry.EventChosen).Int("attempt", int64(number)).Text("endpoint", g.Endpoint.VM).Text("zone", g.Endpoint.Zone).
+		Millis("estimate_ms", g.Choice.Estimate).Float("pace", g.Choice.Pace).Int("busy", int64(g.Choice.Busy)).
+		Int("age_ms", age).Int("probes", int64(g.Choice.Probes)).Millis("waited_ms", now.Sub(x.searching)).Done()
+	if x.route.Kind.Repeatable {
+		x.log.FlushWithin(now)
+	} else {
+		x.log.Flush()
+	}
+}
+
+func (x *exchange) logNoEndpoint(number int, r *placement.Refusal, now time.Time) {
+	x.log.Line(telemetry.EventNoEndpoint).Int("attempt", int64(number)).Text("reason", string(r.Reason)).
+		Int("known", int64(r.Search.Known)).Int("ejected", int64(r.Search.Ejected)).Int("full", int64(r.Search.Full)).
+		Millis("best_ms", r.Search.Best).Int("probes", int64(r.Search.Probes)).Millis("waited_ms", now.Sub(x.searching)).Done()
+}
+
+// logAttempt records what became of an attempt; the next search begins then.
+func (x *exchange) logAttempt(a *attempt, now time.Time) {
+	status := 0
+	if a.result.Response != nil {
+		status = a.result.Response.StatusCode
+	}
+	line := x.log.Line(telemetry.EventAttempt).Int("attempt", int64(a.number)).Text("endpoint", a.grant.Endpoint.VM).
+		Text("verdict", a.result.Verdict.String()).Text("reason", string(a.result.Reason)).
+		Int("status", int64(status)).Millis("took_ms", now.Sub(a.sent))
+	if a.result.Err != nil {
+		line.Text("error", a.result.Err.Error())
+	}
+	line.Done()
+	x.searching = now
+}
+
+func (x *exchange) logRetry(d retry.Decision, attempts int) {
+	x.log.Line(telemetry.EventRetry).Bool("again", d.Again).Text("why", string(d.Reason)).
+		Int("attempts", int64(attempts)).Int("most", int64(x.route.Kind.MaxAttempts)).Done()
+}
+
+// finish records the end of an exchange, also of one that was cut off.
+func (b *Balancer) finish(x *exchange) {
+	kind, service := "none", "none"
+	var target time.Duration
+	if x.route.Kind != nil {
+		kind, service, target = x.route.Kind.Name, x.route.Kind.Service, x.route.Kind.Target
+	}
+	now := time.Now()
+	took := now.Sub(x.accepted)
+	b.timers.get(kind, x.verdict).Update(took)
+	if b.cfg.Histograms != nil {
+		b.cfg.Histograms.Observe(service, x.verdict.String(), took)
+	}
+	left := x.callerLeft()
+	x.log.Line(telemetry.EventEnded).Text("verdict", x.verdict.String()).Text("reason", string(x.reason)).
+		Int("status", int64(x.status)).Millis("took_ms", took).Millis("target_ms", target).Bool("caller_left", left).Text("message", x.message).Done()
+	failed := x.verdict != verdict.Ran || x.status >= http.StatusInternalServerError || left
+	late := target > 0 && took > target
+	x.log.End(failed || late, now)
+}
+
+// timers are the latency timers by request kind and verdict, made on first use.
+type timers struct {
+	registry metrics.Registry
+
+	mu     sync.Mutex
+	byName map[string]metrics.Timer
+}
+
+func (t *timers) get(kind string, v verdict.Verdict) metrics.Timer {
+	name := fmt.Sprintf("request{kind=%q,verdict=%q}", kind, v.String())
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	timer, ok := t.byName[name]
+	if !ok {
+		timer = metrics.GetOrRegisterTimer(name, t.registry)
+		t.byName[name] = timer
+	}
+	return timer
+}
--- /dev/null
+++ b/balancer/exchange.go
@@ -0,0 +1,70 @@
+package balancer
+
+import (
+	"net/http"
+	"time"
+
+	"github.com/lotuswing/lotuswing/coord/placement"
+	"github.com/lotuswing/lotuswing/coord/reason"
+	"github.com/lotuswing/lotuswing/coord/retry"
+	"github.com/lotuswing/lotuswing/coord/verdict"
+	"github.com/lotuswing/lotuswing/telemetry"
+	"github.com/lotuswing/lotuswing/tenant"
+	"github.com/lotuswing/lotuswing/upstream"
+)
+
+// exchange is one caller's request while it is served.
+type exchange struct {
+	id       string
+	w        http.ResponseWriter
+	r        *http.Request
+	accepted time.Time
+	log      *telemetry.RequestLog
+
+	// Set by route and deadline.
+	route    tenant.Route // its Kind is nil until then
+	deadline time.Time
+
+	// Kept by serve from attempt to attempt.
+	body       *upstream.Body
+	tried      []string  // VMs that got the request
+	mayHaveRun bool      // an attempt may have run, whatever later ones say
+	searching  time.Time // since when an endpoint is looked for
+
+	// What the caller is told.
+	verdict verdict.Verdict
+	reason  reason.Code
+	status  int
+	message string // of a response of the balancer's own
+}
+
+func newExchange(w http.ResponseWriter, r *http.Request, id string, now time.Time) *exchange {
+	return &exchange{id: id, w: w, r: r, accepted: now, searching: now}
+}
+
+// callerLeft reports whether the caller has gone.
+func (x *exchange) callerLeft() bool { return x.r.Context().Err() != nil }
+
+// attempt is one try to get a response from an endpoint.
+type attempt struct {
+	number int // 1 for the first
+	grant  placement.Grant
+	sent   time.Time
+	result upstream.Result
+}
+
+// failed notes a failed attempt.
+func (x *exchange) failed(a *attempt) {
+	x.mayHaveRun = x.mayHaveRun || a.result.Verdict != verdict.NotRun
+	x.tried = append(x.tried, a.grant.Endpoint.VM)
+}
+
+// forRetry returns what coord/retry needs to know of the request.
+func (x *exchange) forRetry() retry.Request {
+	return retry.Request{
+		Repeatable:  x.route.Kind.Repeatable,
+		MaxAttempts: x.route.Kind.MaxAttempts,
+		MayHaveRun:  x.mayHaveRun,
+		Deadline:    x.deadline,
+	}
+}
--- a/balancer/relay_test.go
+++ b/balancer/forward_test.go
@@ -29,11 +29,11 @@
 	end.Start()
 	t.Cleanup(end.Close)
 	b := newBench(t, 0)
-	b.fleet.endpoints = []placement.Endpoint{{VM: "e0", Addr: end.Listener.Addr().String(), Slots: 3}}
+	b.chooser.endpoints = []placement.Endpoint{{VM: "e0", Addr: end.Listener.Addr().String(), Slots: 3}}
 	if http2 {
-		service := b.fleet.cfg.Services["pool"]
+		service := b.chooser.cfg.Services["pool"]
 		service.Protocol = "h2c"
-		b.fleet.cfg.Services["pool"] = service
+		b.chooser.cfg.Services["pool"] = service
 	}
 	front := httptest.NewUnstartedServer(b.server.Config.Handler)
 	front.Config.Protocols = protocols
--- a/balancer/headers.go
+++ b/balancer/headers.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// prepare makes a caller's headers fit for the endpoint and, where told says so,
-// tells it the caller's address.
-func prepare(r *http.Request, told bool) {
+// prepareHeaders makes a caller's headers fit for the endpoint and, where
+// tellCaller says so, tells it the caller's address.
+func prepareHeaders(r *http.Request, tellCaller bool) {
 	upgrade := upgradeOf(r.Header)
 	trailers := strings.Contains(strings.ToLower(r.Header.Get("Te")), "trailers")
 	removeHopHeaders(r.Header)
@@ -56,16 +56,16 @@
 	if _, ok := r.Header["User-Agent"]; !ok {
 		r.Header.Set("User-Agent", "") // keeps the transport from adding its own
 	}
-	if told {
-		forwarded(r)
+	if tellCaller {
+		setForwarded(r)
 	}
 }
 
-// forwarded adds the caller's address (RFC 7239 and the older X-Forwarded).
-func forwarded(r *http.Request) {
+// setForwarded adds the caller's address (RFC 7239 and the older X-Forwarded).
+func setForwarded(r *http.Request) {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
-		return
+		return // the connection has no address, as a Unix socket's
 	}
 	if prior := r.Header.Values("X-Forwarded-For"); len(prior) > 0 {
 		r.Header.Set("X-Forwarded-For", strings.Join(prior, ", ")+", "+host)
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -30,29 +30,29 @@
 	bare     = "HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"
 )
 
-// prefixFleet routes /safe/ and /unsafe/ with two attempts each, and grants
+// prefixChooser routes /safe/ and /unsafe/ with two attempts each, and grants
 // endpoints in turn.
-type prefixFleet struct {
-	*fakeFleet
+type prefixChooser struct {
+	*fakeChooser
 	table *tenant.PrefixTable
 }
 
-func (f *prefixFleet) Route(host, _, path string) (tenant.Route, reason.Code) {
+func (f *prefixChooser) Route(host, _, path string) (tenant.Route, reason.Code) {
 	return f.table.Route(host, path, 0)
 }
 
-func (f *prefixFleet) Service(string, string) (tenant.Service, int) { return tenant.Service{}, 0 }
+func (f *prefixChooser) Service(string, string) (tenant.Service, int) { return tenant.Service{}, 0 }
 
-func newPrefixFleet() *prefixFleet {
+func newPrefixChooser() *prefixChooser {
 	route := func(name, prefix string, repeatable bool) tenant.PrefixRoute {
 		return tenant.PrefixRoute{
 			Name: name, Host: "desk", Prefix: prefix, Repeatable: repeatable, Timeout: 2 * time.Second,
 			Target: 400 * time.Millisecond, MaxAttempts: 2, MaxBody: 1000, Split: []tenant.Share{{Service: "s", Weight: 1}},
 		}
 	}
-	return &prefixFleet{
-		fakeFleet: &fakeFleet{},
-		table:     tenant.NewPrefixTable("t", []tenant.PrefixRoute{route("read", "/safe/", true), route("file", "/unsafe/", false)}),
+	return &prefixChooser{
+		fakeChooser: &fakeChooser{},
+		table:       tenant.NewPrefixTable("t", []tenant.PrefixRoute{route("read", "/safe/", true), route("file", "/unsafe/", false)}),
 	}
 }
 
@@ -72,32 +72,31 @@
 	log       bytes.Buffer
 }
 
-func newPlatformBench(t *testing.T, first, second scripted.Step, repeats *retry.WindowLimit) *platformBench {
+func newPlatformBench(t *testing.T, first, second scripted.Step, retries *retry.WindowLimit) *platformBench {
 	t.Helper()
-	return newLoggedBench(t, first, second, repeats, 1000)
+	return newLoggedBench(t, first, second, retries, 1000)
 }
 
 // newLoggedBench writes at most rate lines a second.
-func newLoggedBench(t *testing.T, first, second scripted.Step, repeats *retry.WindowLimit, rate int) *platformBench {
+func newLoggedBench(t *testing.T, first, second scripted.Step, retries *retry.WindowLimit, rate int) *platformBench {
 	t.Helper()
 	b := &platformBench{}
-	fleet := newPrefixFleet()
+	chooser := newPrefixChooser()
 	for i, step := range []scripted.Step{first, second} {
 		e, err := scripted.New(platform.Dialect().RequestID, step)
 		assert.NilError(t, err)
 		t.Cleanup(e.Close)
 		b.endpoints[i] = e
-		fleet.endpoints = append(fleet.endpoints, placement.Endpoint{VM: []string{"e0", "e1"}[i], Addr: e.Addr()})
+		chooser.endpoints = append(chooser.endpoints, placement.Endpoint{VM: []string{"e0", "e1"}[i], Addr: e.Addr()})
 	}
 	tracing, err := telemetry.NewTracing("none", io.Discard)
 	assert.NilError(t, err)
+	policy := platform.Policy(settings.Retries{})
+	policy.Retries = retries
 	h := balancer.New(balancer.Config{
-		Fleet: fleet, Limits: settings.Limits{BodyBytes: 1 << 20, ReplayBytes: 1 << 14}, Log: hclog.NewNullLogger(),
-		Metrics: metrics.NewRegistry(), Tracing: tracing, Recorder: telemetry.NewRecorder(&b.log, rate),
-		Policy: balancer.Policy{
-			Dialect: platform.Dialect(), HoldBytes: 1 << 10, RepeatErrors: true, FreshConnections: true, OwnRefusals: true,
-			AnyPath: true, HideCaller: true, Repeats: repeats,
-		},
+		Chooser: chooser, Limits: settings.Limits{BodyBytes: 1 << 20, ReplayBytes: 1 << 14}, Log: hclog.NewNullLogger(),
+		Metrics: metrics.NewRegistry(), Tracing: tracing, Requests: telemetry.NewRequestLogger(&b.log, rate),
+		Policy: policy,
 	})
 	b.server = httptest.NewServer(h)
 	t.Cleanup(b.server.Close)
@@ -187,7 +186,7 @@
 		events = append(events, event)
 	}
 	assert.DeepEqual(t, events, []string{
-		telemetry.EventAdmitted, telemetry.EventChosen, telemetry.EventAttempt, telemetry.EventRepeat,
+		telemetry.EventAdmitted, telemetry.EventChosen, telemetry.EventAttempt, telemetry.EventRetry,
 		telemetry.EventChosen, telemetry.EventAttempt, telemetry.EventEnded,
 	})
 }
--- a/balancer/refuse.go
+++ b/balancer/refuse.go
@@ -11,7 +11,7 @@
 	"github.com/lotuswing/lotuswing/coord/verdict"
 )
 
-// refusal is an answer that the balancer makes itself. Its zero verdict claims
+// refusal is a response that the balancer makes itself. Its zero verdict claims
 // nothing.
 type refusal struct {
 	verdict    verdict.Verdict
@@ -23,36 +23,40 @@
 // Error returns the code and message.
 func (r refusal) Error() string { return fmt.Sprintf("%s: %s", r.reason, r.message) }
 
-// answerBody is the JSON body of such an answer.
-type answerBody struct {
+// beforeSending reports whether a code is given only before anything was sent.
+func beforeSending(code reason.Code) bool { return code < "LW3" }
+
+// settled returns the refusal with the verdict and code that hold for all attempts
+// together. A request of which nothing was sent did not run. Where an attempt may
+// have run, no status may promise otherwise, as callers read 503.
+func (r refusal) settled(mayHaveRun bool) refusal {
+	switch {
+	case mayHaveRun:
+		r.verdict = verdict.MayHaveRun
+		if beforeSending(r.reason) || reason.MustLookup(r.reason).Status == http.StatusServiceUnavailable {
+			r.reason = reason.AnswerUnknown
+		}
+	case beforeSending(r.reason):
+		r.verdict = verdict.NotRun
+	}
+	return r
+}
+
+// refusalBody is the JSON body of such a response.
+type refusalBody struct {
 	Verdict      string `json:"verdict"`
 	Reason       string `json:"reason"`
 	Message      string `json:"message"`
 	RetryAfterMS int64  `json:"retry_after_ms"`
 }
 
-// beforeSending lists the codes of answers given before anything was sent.
-func beforeSending(code reason.Code) bool {
-	return code < "LW3"
-}
-
-// refuse answers the caller at once, with when to come back.
+// refuse answers the caller at once, with when to come back. err is a refusal.
 func (b *Balancer) refuse(x *exchange, err error) {
 	var r refusal
 	if !errors.As(err, &r) {
 		panic(fmt.Sprintf("balancer: unreachable error %v", err))
 	}
-	switch {
-	case x.mayRun:
-		// What an earlier attempt left open stays open, and no status may
-		// promise otherwise.
-		r.verdict = verdict.MayHaveRun
-		if beforeSending(r.reason) || reason.MustLookup(r.reason).Status == http.StatusServiceUnavailable {
-			r.reason = reason.AnswerUnknown
-		}
-	case beforeSending(r.reason):
-		r.verdict = verdict.NotRun
-	}
+	r = r.settled(x.mayHaveRun)
 	doc := reason.MustLookup(r.reason)
 	x.verdict, x.reason, x.status, x.message = r.verdict, r.reason, doc.Status, r.message
 	h := x.w.Header()
@@ -63,7 +67,7 @@
 		r.retryAfter = max(r.retryAfter, time.Millisecond)
 		h.Set("Retry-After", b.cfg.Policy.Dialect.FormatRetryAfter(r.retryAfter))
 	}
-	body, err := json.Marshal(answerBody{
+	body, err := json.Marshal(refusalBody{
 		Verdict:      r.verdict.String(),
 		Reason:       string(r.reason),
 		Message:      doc.Title + ": " + r.message,
@@ -73,5 +77,5 @@
 		panic(fmt.Sprintf("balancer: encode refusal: %v", err))
 	}
 	x.w.WriteHeader(doc.Status)
-	_, _ = x.w.Write(append(body, '\n'))
+	_, _ = x.w.Write(append(body, '\n')) // the caller may be gone; there is nobody else to tell
 }
--- /dev/null
+++ b/balancer/retries.go
@@ -0,0 +1,79 @@
+package balancer
+
+import (
+	"sync"
+	"time"
+
+	"github.com/lotuswing/lotuswing/coord/retry"
+)
+
+// retryBudgets are the retry budgets of the services, made on first use. A service
+// has a sliding window where the settings bound the retries of the fleet, and a
+// token bucket otherwise.
+type retryBudgets struct {
+	mu        sync.Mutex
+	window    *retry.WindowLimit // nil for token buckets
+	byService map[string]retryBudget
+}
+
+// retryBudget is a service's budget. It is an immutable value.
+type retryBudget interface {
+	retry.Budget
+	withRequest(now time.Time) retryBudget
+	withRetry(now time.Time) retryBudget
+}
+
+type bucketBudget struct{ retry.Bucket }
+
+func (b bucketBudget) withRequest(now time.Time) retryBudget { return bucketBudget{b.WithRequest(now)} }
+
+func (b bucketBudget) withRetry(now time.Time) retryBudget { return bucketBudget{b.WithRetry(now)} }
+
+type windowBudget struct{ retry.Window }
+
+func (w windowBudget) withRequest(now time.Time) retryBudget { return windowBudget{w.WithRequest(now)} }
+
+func (w windowBudget) withRetry(now time.Time) retryBudget { return windowBudget{w.WithRetry(now)} }
+
+// get returns a service's budget; r.mu is held.
+func (r *retryBudgets) get(service string) retryBudget {
+	budget, ok := r.byService[service]
+	switch {
+	case ok:
+		return budget
+	case r.window != nil:
+		return windowBudget{retry.NewWindow(*r.window)}
+	}
+	return bucketBudget{retry.NewBucket()}
+}
+
+// addRequest counts a request of a service.
+func (r *retryBudgets) addRequest(service string, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.byService[service] = r.get(service).withRequest(now)
+}
+
+// decide decides about another attempt and takes it from the budget.
+func (r *retryBudgets) decide(service string, request retry.Request, a retry.Attempt, now time.Time) retry.Decision {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	budget := r.get(service)
+	d := retry.Decide(request, a, budget, now)
+	if d.Again {
+		r.byService[service] = budget.withRetry(now)
+	}
+	return d
+}
+
+// setLimit changes the bound of windows. Token buckets stay as they are.
+func (r *retryBudgets) setLimit(limit retry.WindowLimit) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.window = &limit
+	for service, budget := range r.byService {
+		if w, ok := budget.(windowBudget); ok {
+			r.byService[service] = windowBudget{w.WithLimit(limit)}
+		}
+	}
+}
--- /dev/null
+++ b/balancer/route.go
@@ -0,0 +1,101 @@
+package balancer
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"time"
+
+	"github.com/go-kit/kit/endpoint"
+	"github.com/lotuswing/lotuswing/coord/reason"
+)
+
+const (
+	// maxTimeout bounds what a caller may ask for; reason.BadTimeout names it.
+	maxTimeout = 24 * time.Hour
+	// notReadyRetry is when a caller of a balancer that is not ready yet may come
+	// back. Chosen without a measurement.
+	notReadyRetry = time.Second
+)
+
+// route finds the team and kind.
+func (b *Balancer) route(next endpoint.Endpoint) endpoint.Endpoint {
+	return func(ctx context.Context, request any) (any, error) {
+		x := request.(*exchange)
+		if ok, why := b.cfg.Chooser.Ready(); !ok {
+			return nil, refusal{reason: reason.NotReady, message: why, retryAfter: notReadyRetry}
+		}
+		if err := wellFormed(x.r, b.cfg.Policy.AnyPath); err != nil {
+			return nil, refusal{reason: reason.BadRequest, message: err.Error()}
+		}
+		host := x.r.Host
+		if h, _, err := net.SplitHostPort(host); err == nil {
+			host = h
+		}
+		route, code := b.cfg.Chooser.Route(host, x.r.Method, x.r.URL.EscapedPath())
+		if code != "" {
+			return nil, refusal{reason: code, message: fmt.Sprintf("host %q, %s %s", host, x.r.Method, x.r.URL.Path)}
+		}
+		x.route = route
+		return next(ctx, x)
+	}
+}
+
+// wellFormed refuses requests that an endpoint may read in another way than this
+// balancer does. anyPath lets dot segments through.
+func wellFormed(r *http.Request, anyPath bool) error {
+	path := r.URL.EscapedPath()
+	switch {
+	case !anyPath && hasDotSegment(path):
+		return fmt.Errorf("path %q has a dot segment", path)
+	case !strings.HasPrefix(path, "/"):
+		return fmt.Errorf("path %q does not start with /", path)
+	case r.Method == http.MethodConnect:
+		return fmt.Errorf("method CONNECT is not served")
+	case r.ProtoMajor == 1 && len(r.Header.Values("Content-Length")) > 1:
+		return fmt.Errorf("Content-Length stands more than once")
+	}
+	return nil
+}
+
+// hasDotSegment reports whether a segment of an escaped path is "." or "..",
+// escaped or not.
+func hasDotSegment(path string) bool {
+	for segment := range strings.SplitSeq(path, "/") {
+		plain := strings.ReplaceAll(strings.ToLower(segment), "%2e", ".")
+		if plain == "." || plain == ".." {
+			return true
+		}
+	}
+	return false
+}
+
+// deadline sets the time by which a response must have begun.
+func (b *Balancer) deadline(next endpoint.Endpoint) endpoint.Endpoint {
+	return func(ctx context.Context, request any) (any, error) {
+		x := request.(*exchange)
+		timeout, err := b.timeout(x)
+		if err != nil {
+			return nil, err
+		}
+		x.deadline = x.accepted.Add(timeout)
+		x.logAdmitted(timeout)
+		return next(ctx, x)
+	}
+}
+
+// timeout returns the shorter one of the kind's timeout and the caller's.
+func (b *Balancer) timeout(x *exchange) (time.Duration, error) {
+	dialect := &b.cfg.Policy.Dialect
+	text := x.r.Header.Get(dialect.Timeout)
+	if text == "" {
+		return x.route.Kind.Timeout, nil
+	}
+	d, err := dialect.ParseTimeout(text)
+	if err != nil || d <= 0 || d > maxTimeout {
+		return 0, refusal{reason: reason.BadTimeout, message: fmt.Sprintf("%s is %q", dialect.Timeout, text)}
+	}
+	return min(x.route.Kind.Timeout, d), nil
+}
--- a/cli/balancer.go
+++ b/cli/balancer.go
@@ -18,14 +18,11 @@
 
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/hashicorp/go-hclog"
-	"github.com/lotuswing/lotuswing/balancer"
 	"github.com/lotuswing/lotuswing/command"
-	"github.com/lotuswing/lotuswing/coord/retry"
 	"github.com/lotuswing/lotuswing/platform"
 	"github.com/lotuswing/lotuswing/server"
 	"github.com/lotuswing/lotuswing/settings"
 	"github.com/lotuswing/lotuswing/telemetry"
-	"github.com/lotuswing/lotuswing/upstream"
 )
 
 // Balancer runs the command line of lotuswing and returns its exit code.
@@ -68,7 +65,7 @@
 	signal.Notify(reloads, syscall.SIGHUP)
 	limitMemory(s.Memory)
 	cfg := serverConfig(s, log, e)
-	cfg.Recorder = telemetry.NewRecorder(queue, s.LogRate)
+	cfg.Requests = telemetry.NewRequestLogger(queue, s.LogRate)
 	srv, err := server.Start(cfg)
 	if err != nil {
 		return err
@@ -97,46 +94,10 @@
 	}
 	store := platform.NewStore(s.Discovery.URL)
 	cfg.Source, cfg.Relays = store, store
-	cfg.Policy = balancer.Policy{
-		Dialect:          platform.Dialect(),
-		HoldBytes:        holdBytes,
-		RepeatErrors:     true,
-		FreshConnections: true,
-		OwnRefusals:      true,
-		AnyPath:          true,
-		HideCaller:       true,
-		DialTimeout:      dialTimeout,
-		IdleUpstream:     idleUpstream,
-	}
-	cfg.Policy.Client = upstream.NewClient(upstream.Options{
-		Connections: mostConnections, DialTimeout: dialTimeout, IdleTimeout: idleUpstream, Dialect: &cfg.Policy.Dialect,
-	})
-	if s.Retries != (settings.Retries{}) {
-		cfg.Policy.Repeats = repeatsOf(s.Retries)
-	}
+	cfg.Policy = platform.Policy(s.Retries)
 	return cfg
 }
 
-// Of connections and answers on the platform.
-const (
-	holdBytes       = 128 << 10
-	dialTimeout     = 300 * time.Millisecond
-	idleUpstream    = 8 * time.Second
-	mostConnections = 12 // of one process to one endpoint
-)
-
-// Each process keeps to its own part of the fleet's budget of repeats: a share
-// of its own requests a little below the fleet's, and one beyond it, so that
-// no process needs to know how many there are.
-const (
-	repeatRatioShare = 0.85
-	repeatAllowance  = 1
-)
-
-func repeatsOf(r settings.Retries) *retry.WindowLimit {
-	return &retry.WindowLimit{Span: r.Window, Ratio: r.Ratio * repeatRatioShare, Allowance: min(repeatAllowance, r.Burst)}
-}
-
 // Parts of the memory that the settings allow.
 const (
 	heapPart       = 0.5 // of it that the heap may reach before it is collected at any cost
--- a/cli/reload.go
+++ b/cli/reload.go
@@ -8,6 +8,7 @@
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/lotuswing/lotuswing/coord/retry"
+	"github.com/lotuswing/lotuswing/platform"
 	"github.com/lotuswing/lotuswing/settings"
 )
 
@@ -15,19 +16,19 @@
 // nobody announces.
 const fileCheckPeriod = 2 * time.Second
 
-// repeater takes a changed bound of repeats into force.
-type repeater interface {
-	SetRepeats(limit retry.WindowLimit)
+// retryLimiter takes a changed bound on retries into force.
+type retryLimiter interface {
+	SetRetryLimit(limit retry.WindowLimit)
 }
 
 // reloader takes changed settings into force as far as that is possible without
-// a restart: the log level and the bound of repeats. It says what is not. Wrong
+// a restart: the log level and the bound on retries. It says what is not. Wrong
 // settings change nothing.
 type reloader struct {
 	file    string
 	current settings.Settings
 	log     hclog.Logger
-	server  repeater
+	server  retryLimiter
 	seen    []byte // the file's content that was dealt with last
 }
 
@@ -76,7 +77,7 @@
 		r.log.SetLevel(hclog.LevelFromString(next.Log))
 	}
 	if next.Retries != r.current.Retries && next.Retries != (settings.Retries{}) {
-		r.server.SetRepeats(*repeatsOf(next.Retries))
+		r.server.SetRetryLimit(platform.RetryLimit(next.Retries))
 	}
 	same := next
 	same.Log, same.Retries = r.current.Log, r.current.Retries
--- a/cli/reload_test.go
+++ b/cli/reload_test.go
@@ -14,10 +14,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// fakeRepeater remembers the bounds that it was given.
-type fakeRepeater struct{ limits []retry.WindowLimit }
+// fakeRetryLimiter remembers the bounds that it was given.
+type fakeRetryLimiter struct{ limits []retry.WindowLimit }
 
-func (f *fakeRepeater) SetRepeats(limit retry.WindowLimit) { f.limits = append(f.limits, limit) }
+func (f *fakeRetryLimiter) SetRetryLimit(limit retry.WindowLimit) { f.limits = append(f.limits, limit) }
 
 const settingsText = `{"id": "vm-1", "zone": %q, "listen": "127.0.0.1:1", "admin": "127.0.0.1:2", "log_level": %q,
 	"discovery": {"kind": "platform", "url": "http://127.0.0.1:3"}, "retries": {"ratio": %v, "burst": 64, "window": "10s"}}`
@@ -34,7 +34,7 @@
 	assert.NilError(t, err)
 	var out bytes.Buffer
 	log := hclog.New(&hclog.LoggerOptions{Output: &out, Level: hclog.Info})
-	server := &fakeRepeater{}
+	server := &fakeRetryLimiter{}
 	r := &reloader{file: file, current: current, log: log, server: server}
 	r.seen, err = os.ReadFile(file)
 	assert.NilError(t, err)
@@ -44,7 +44,7 @@
 	write("medina", "warn", 0.1)
 	r.read(false)
 	assert.Equal(t, len(server.limits), 1)
-	assert.Equal(t, server.limits[0].Ratio, 0.1*repeatRatioShare)
+	assert.Equal(t, server.limits[0].Ratio, 0.1*0.85, "a process keeps to 0.85 of the ratio, see retry.ShareOf")
 	assert.Equal(t, log.GetLevel(), hclog.Warn)
 	write("medina", "info", 7)
 	r.read(false)
--- a/coord/retry/retry.go
+++ b/coord/retry/retry.go
@@ -1,13 +1,22 @@
-// Package retry decides whether a failed attempt is repeated.
+// Package retry decides whether a request goes to another endpoint after a failed
+// attempt, and when a caller whose request did not run should come back.
 //
-// Repeating is bounded twice: by the verdict, so that a request that is not
-// repeatable runs at most once, and by a budget that is a share of the
-// requests, so that a refusal is not multiplied level by level.
+// Retries are bounded three times over: by what the attempts prove, so that a
+// request that is not repeatable runs at most once; by a number of attempts; and
+// by a budget for each service, so that a failing service does not get many times
+// its load. The budget is a Bucket, or a Window where the settings bound the
+// retries of the whole fleet.
+//
+// The package owns no state: budgets are immutable values that the caller keeps.
+// It has no clock and does no input or output.
 //
 // # Usage
 //
-//	b = b.Deposit()
-//	if ok, why := retry.Decide(policy, attempt, b, now); !ok { ... }
+//	budget = budget.WithRequest(now)
+//	d := retry.Decide(request, attempt, budget, now)
+//	if d.Again {
+//		budget = budget.WithRetry(now)
+//	}
 package retry
 
 import (
@@ -17,78 +26,64 @@
 	"github.com/lotuswing/lotuswing/coord/verdict"
 )
 
-// Policy bounds the attempts of one request.
-type Policy struct {
-	MaxAttempts int // where the last one may have run
-	MaxRefusals int // where it did not run: nothing is lost but time
+const (
+	// MaxAttempts is how many endpoints a request is sent to of which an attempt
+	// may have run, where its route sets no bound. It was chosen without a
+	// measurement.
+	MaxAttempts = 4
+	// MaxRefusals is the same while every attempt is proved not to have run: then
+	// nothing is lost but a round trip. Four were used up within 40 ms by endpoints
+	// that shed load (commit cc8c4e0).
+	MaxRefusals = 12
+)
+
+// Request is what the decision needs to know of a request.
+type Request struct {
 	Repeatable  bool
+	MaxAttempts int  // of its route; 0 for the constants above
+	MayHaveRun  bool // one of its attempts may have run, the last one included
+	Deadline    time.Time
+}
+
+// limit returns how many attempts the request may have.
+func (r Request) limit() int {
+	switch {
+	case r.MaxAttempts > 0:
+		return r.MaxAttempts
+	case r.MayHaveRun:
+		return MaxAttempts
+	}
+	return MaxRefusals
 }
 
-// Attempt describes the attempt that has just failed.
+// Attempt is the one that has just failed.
 type Attempt struct {
 	Number     int // 1 for the first
 	Verdict    verdict.Verdict
 	Replayable bool // the body can be sent again from its start
-	Deadline   time.Time
 }
 
-// Decision says whether to repeat and, if not, why.
+// Decision says whether to try again and, if not, why.
 type Decision struct {
 	Again  bool
 	Reason reason.Code
 }
 
-// Decide is the rule for repeating an attempt.
-func Decide(p Policy, a Attempt, budget Covering, now time.Time) Decision {
+// Budget tells whether it covers one more retry.
+type Budget interface {
+	Covers(now time.Time) bool
+}
+
+// Decide is the rule for another attempt. What the attempt proves comes first: no
+// budget makes it right to run a request twice that must run once.
+func Decide(r Request, a Attempt, budget Budget, now time.Time) Decision {
 	switch {
-	case !a.Verdict.MayRepeat(p.Repeatable):
+	case !a.Verdict.MayRepeat(r.Repeatable):
 		return Decision{Reason: reason.AnswerUnknown}
-	case a.Number >= p.most(a.Verdict), !a.Replayable, !budget.Covers(now):
+	case a.Number >= r.limit(), !a.Replayable, !budget.Covers(now):
 		return Decision{Reason: reason.RetryExhausted}
-	case now.After(a.Deadline):
+	case now.After(r.Deadline):
 		return Decision{Reason: reason.TooLate}
 	}
 	return Decision{Again: true}
 }
-
-func (p Policy) most(v verdict.Verdict) int {
-	if v == verdict.NotRun {
-		return max(p.MaxAttempts, p.MaxRefusals)
-	}
-	return p.MaxAttempts
-}
-
-// Budget is a count of retries earned by requests. It is an immutable value.
-type Budget struct {
-	percent int
-	limit   int
-	balance int // in hundredths of a retry
-}
-
-const hundredths = 100
-
-// NewBudget returns a budget that earns percent/100 retries a request and
-// holds at most limit retries; it starts full.
-func NewBudget(percent, limit int) Budget {
-	return Budget{percent: percent, limit: limit * hundredths, balance: limit * hundredths}
-}
-
-// Covering is a budget that can tell whether it covers one more retry.
-type Covering interface {
-	Covers(now time.Time) bool
-}
-
-// Covers reports whether a retry can be paid for.
-func (b Budget) Covers(time.Time) bool { return b.balance >= hundredths }
-
-// Deposit returns the budget after one more request.
-func (b Budget) Deposit() Budget {
-	b.balance = min(b.balance+b.percent, b.limit)
-	return b
-}
-
-// Withdraw returns the budget after one retry.
-func (b Budget) Withdraw() Budget {
-	b.balance = max(b.balance-hundredths, 0)
-	return b
-}
--- a/coord/retry/window_test.go
+++ b/coord/retry/window_test.go
@@ -17,7 +17,8 @@
 		ratio = 0.2
 		burst = 64
 	)
-	limit := retry.WindowLimit{Span: 10 * time.Second, Ratio: 0.85 * ratio, Allowance: 1}
+	limit := retry.ShareOf(10*time.Second, ratio, burst)
+	assert.DeepEqual(t, limit, retry.WindowLimit{Span: 10 * time.Second, Ratio: 0.85 * ratio, Allowance: 1})
 	rapid.Check(t, func(t *rapid.T) {
 		processes := make([]retry.Window, rapid.IntRange(1, 18).Draw(t, "processes"))
 		for i := range processes {
@@ -32,7 +33,7 @@
 				processes[p] = processes[p].WithRequest(now)
 				requests = append(requests, now)
 			} else if processes[p].Covers(now) {
-				processes[p] = processes[p].WithRepeat(now)
+				processes[p] = processes[p].WithRetry(now)
 				repeats = append(repeats, now)
 			}
 			bound := ratio*float64(within(requests, now, 10*time.Second)) + burst
@@ -56,7 +57,7 @@
 	now := time.Unix(1000, 0)
 	w := retry.NewWindow(retry.WindowLimit{Span: 10 * time.Second, Allowance: 1})
 	assert.Assert(t, w.Covers(now))
-	w = w.WithRepeat(now)
+	w = w.WithRetry(now)
 	assert.Assert(t, !w.Covers(now.Add(9*time.Second)))
 	assert.Assert(t, w.Covers(now.Add(11*time.Second)))
 	assert.Assert(t, w.Covers(now.Add(time.Hour)))
@@ -71,13 +72,13 @@
 		w = w.WithRequest(now)
 	}
 	assert.Assert(t, w.Covers(now))
-	assert.Assert(t, !w.WithRepeat(now).Covers(now))
+	assert.Assert(t, !w.WithRetry(now).Covers(now))
 }
 
 // TestNewLimitKeepsCounts of the same span.
 func TestNewLimitKeepsCounts(t *testing.T) {
 	now := time.Unix(1000, 0)
-	w := retry.NewWindow(retry.WindowLimit{Span: 10 * time.Second, Allowance: 2}).WithRepeat(now)
+	w := retry.NewWindow(retry.WindowLimit{Span: 10 * time.Second, Allowance: 2}).WithRetry(now)
 	assert.Assert(t, w.Covers(now))
 	assert.Assert(t, !w.WithLimit(retry.WindowLimit{Span: 10 * time.Second, Allowance: 1}).Covers(now))
 	assert.Assert(t, w.WithLimit(retry.WindowLimit{Span: 20 * time.Second, Allowance: 1}).Covers(now), "another span begins anew")
@@ -87,7 +88,7 @@
 func TestNoRepeatIsForgottenWithinTheSpan(t *testing.T) {
 	for offset := range 100 {
 		now := time.Unix(1000, 0).Add(time.Duration(offset) * 10 * time.Millisecond)
-		w := retry.NewWindow(retry.WindowLimit{Span: 10 * time.Second, Allowance: 1}).WithRepeat(now)
+		w := retry.NewWindow(retry.WindowLimit{Span: 10 * time.Second, Allowance: 1}).WithRetry(now)
 		assert.Assert(t, !w.Covers(now.Add(10*time.Second-time.Millisecond)), "offset %d", offset)
 	}
 }
--- a/direct/choose.go
+++ b/direct/choose.go
@@ -26,7 +26,7 @@
 const shedPause = 25 * time.Millisecond
 
 // known returns the state of an endpoint; f.mu is held.
-func (f *Fleet) known(id string) *endpoint {
+func (f *Chooser) known(id string) *endpoint {
 	k, ok := f.endpoints[id]
 	if !ok {
 		k = &endpoint{health: health.New(health.Options{}), probed: f.opts.ProbeBurst}
@@ -38,7 +38,7 @@
 // Acquire chooses an endpoint for a request. While none will do it looks again,
 // until a part of the request's target has passed; then it takes one that will
 // still answer within the target, or refuses.
-func (f *Fleet) Acquire(ctx context.Context, a placement.Request) (placement.Grant, *placement.Refusal) {
+func (f *Chooser) Acquire(ctx context.Context, a placement.Request) (placement.Grant, *placement.Refusal) {
 	giveUp := f.giveUpAt(a)
 	probes := 0
 	var list ranking
@@ -64,7 +64,7 @@
 }
 
 // refuse says why there is no endpoint, with what was known of them.
-func (f *Fleet) refuse(a placement.Request, list *ranking, code reason.Code, probes int) *placement.Refusal {
+func (f *Chooser) refuse(a placement.Request, list *ranking, code reason.Code, probes int) *placement.Refusal {
 	search := placement.Search{Known: len(list.list), Probes: probes}
 	for i := range list.list {
 		if list.list[i].ejected {
@@ -82,7 +82,7 @@
 
 // look ranks the candidates after asking the most promising ones for their load;
 // while none of these will do, it asks others.
-func (f *Fleet) look(ctx context.Context, a placement.Request, list *ranking, probes *int) {
+func (f *Chooser) look(ctx context.Context, a placement.Request, list *ranking, probes *int) {
 	f.rank(list, a, time.Now())
 	for range f.opts.ProbeRounds {
 		if list.empty() || list.best().good && list.best().age(time.Now()) <= f.opts.ProbeFresh {
@@ -112,14 +112,14 @@
 }
 
 // giveUpAt returns when a request that has found no place is refused.
-func (f *Fleet) giveUpAt(a placement.Request) time.Time {
+func (f *Chooser) giveUpAt(a placement.Request) time.Time {
 	if a.Target <= 0 {
 		return time.Now().Add(f.opts.RefuseAfter)
 	}
 	return a.Accepted.Add(time.Duration(f.opts.RefuseShare * float64(a.Target)))
 }
 
-func (f *Fleet) comeBack(a placement.Request) time.Duration {
+func (f *Chooser) comeBack(a placement.Request) time.Duration {
 	if a.Target <= 0 {
 		return time.Second
 	}
@@ -130,7 +130,7 @@
 }
 
 // take gives a candidate the request.
-func (f *Fleet) take(a placement.Request, c *candidate, probes int) placement.Grant {
+func (f *Chooser) take(a placement.Request, c *candidate, probes int) placement.Grant {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c.known.load = c.known.load.WithSent()
@@ -147,7 +147,7 @@
 const oldestAge = time.Hour
 
 // Complete takes in how a request ended.
-func (f *Fleet) Complete(g placement.Grant, e placement.Result) {
+func (f *Chooser) Complete(g placement.Grant, e placement.Result) {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,7 +201,7 @@
 
 // prune drops the states of endpoints that the directory does not list any more
 // and that hold no request; f.mu is held.
-func (f *Fleet) prune(now time.Time) {
+func (f *Chooser) prune(now time.Time) {
 	if now.Sub(f.pruned) < f.opts.PruneEvery {
 		return
 	}
--- a/direct/direct.go
+++ b/direct/direct.go
@@ -32,7 +32,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Config of a Fleet. Zero fields of Options take the defaults.
+// Config of a Chooser. Zero fields of Options take the defaults.
 type Config struct {
 	ID        string // identity of the process
 	Zone      string
@@ -94,8 +94,8 @@
 	return o
 }
 
-// Fleet chooses endpoints.
-type Fleet struct {
+// Chooser chooses endpoints.
+type Chooser struct {
 	cfg      Config
 	opts     Options
 	sequence atomic.Uint64
@@ -110,11 +110,11 @@
 	rng       *rand.Rand
 }
 
-// New returns a fleet.
-func New(cfg Config) *Fleet {
+// New returns a chooser.
+func New(cfg Config) *Chooser {
 	opts := cfg.Options.withDefaults()
 	now := time.Now().UnixNano()
-	return &Fleet{
+	return &Chooser{
 		cfg:       cfg,
 		opts:      opts,
 		born:      now,
@@ -127,12 +127,12 @@
 }
 
 // NextID returns an identity for a request, unique among all balancers.
-func (f *Fleet) NextID() string {
+func (f *Chooser) NextID() string {
 	return fmt.Sprintf("%s-%x-%x", f.cfg.ID, f.born, f.sequence.Add(1))
 }
 
 // Route finds the route of a request.
-func (f *Fleet) Route(host, _, path string) (tenant.Route, reason.Code) {
+func (f *Chooser) Route(host, _, path string) (tenant.Route, reason.Code) {
 	cfg := f.cfg.Directory.Snapshot().Config
 	if cfg == nil {
 		return tenant.Route{}, reason.NotReady
@@ -144,7 +144,7 @@
 
 // Service returns the description of a service. The number of balancers that
 // share its connections is not known here.
-func (f *Fleet) Service(_, service string) (tenant.Service, int) {
+func (f *Chooser) Service(_, service string) (tenant.Service, int) {
 	cfg := f.cfg.Directory.Snapshot().Config
 	if cfg == nil {
 		return tenant.Service{}, 0
@@ -153,7 +153,7 @@
 }
 
 // Ready reports whether requests can be routed and, if not, why.
-func (f *Fleet) Ready() (bool, string) {
+func (f *Chooser) Ready() (bool, string) {
 	s := f.cfg.Directory.Snapshot()
 	switch {
 	case s.Config == nil:
@@ -168,7 +168,7 @@
 const readyPoll = 2 * time.Millisecond
 
 // WaitReady waits until requests can be routed, at most as long as within.
-func (f *Fleet) WaitReady(within time.Duration) {
+func (f *Chooser) WaitReady(within time.Duration) {
 	deadline := time.Now().Add(within)
 	for time.Now().Before(deadline) {
 		if ok, _ := f.Ready(); ok {
@@ -178,7 +178,7 @@
 	}
 }
 
-// Status is a fleet's account for operators.
+// Status is a chooser's account for operators.
 type Status struct {
 	ID        string
 	Zone      string
@@ -206,7 +206,7 @@
 }
 
 // Status returns the account.
-func (f *Fleet) Status() Status {
+func (f *Chooser) Status() Status {
 	now := time.Now()
 	s := f.cfg.Directory.Snapshot()
 	st := Status{ID: f.cfg.ID, Zone: f.cfg.Zone, Revision: s.At}
@@ -224,7 +224,7 @@
 	return st
 }
 
-func (f *Fleet) statusOf(service string, e directory.Endpoint, now time.Time) EndpointStatus {
+func (f *Chooser) statusOf(service string, e directory.Endpoint, now time.Time) EndpointStatus {
 	known := f.known(e.VM)
 	report := known.load.Report()
 	return EndpointStatus{
@@ -235,21 +235,21 @@
 }
 
 // Remembered returns of how many endpoints something is remembered.
-func (f *Fleet) Remembered() int {
+func (f *Chooser) Remembered() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.endpoints)
 }
 
 // Leave hands duties for other balancers over, where there are any.
-func (f *Fleet) Leave(ctx context.Context) {
+func (f *Chooser) Leave(ctx context.Context) {
 	if f.cfg.Handover != nil {
 		f.cfg.Handover(ctx)
 	}
 }
 
 // Close ends the following of the directory.
-func (f *Fleet) Close() {
+func (f *Chooser) Close() {
 	if f.cfg.Stop != nil {
 		f.cfg.Stop()
 	}
--- a/direct/direct_test.go
+++ b/direct/direct_test.go
@@ -49,10 +49,10 @@
 	}
 }
 
-// rig is a fleet over endpoints e0, e1, ..., whose addresses are their names;
-// even ones are in the fleet's zone.
+// rig is a chooser over endpoints e0, e1, ..., whose addresses are their names;
+// even ones are in the chooser's zone.
 type rig struct {
-	*direct.Fleet
+	*direct.Chooser
 	directory *directory.Directory
 	prober    *fakeProber
 }
@@ -75,7 +75,7 @@
 	}})
 	config := &directory.Config{Version: 5, Routes: routes, Services: map[string]tenant.Service{"s": {ProbePath: "/health"}}}
 	d.Apply(directory.Changes{Config: config, Entries: entries}, time.Now())
-	return &rig{directory: d, prober: prober, Fleet: direct.New(direct.Config{
+	return &rig{directory: d, prober: prober, Chooser: direct.New(direct.Config{
 		ID: "vm-1", Zone: "near", Directory: d, Client: prober, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Options: opts,
 	})}
 }
--- a/direct/learn.go
+++ b/direct/learn.go
@@ -44,7 +44,7 @@
 }
 
 // usual returns the usual service time of a kind; f.mu is held.
-func (f *Fleet) usual(kind string) time.Duration {
+func (f *Chooser) usual(kind string) time.Duration {
 	w, ok := f.work[kind]
 	if !ok {
 		return startWork
@@ -53,7 +53,7 @@
 }
 
 // crowded returns a service's factor of its last slots; f.mu is held.
-func (f *Fleet) crowded(service string) float64 {
+func (f *Chooser) crowded(service string) float64 {
 	c, ok := f.crowds[service]
 	if !ok {
 		return startCrowd
@@ -62,7 +62,7 @@
 }
 
 // learn takes in the time of a completion; f.mu is held.
-func (f *Fleet) learn(g placement.Grant, took time.Duration, slots int) {
+func (f *Chooser) learn(g placement.Grant, took time.Duration, slots int) {
 	pace := g.Choice.Pace
 	if pace <= 0 {
 		return // without a report the time says nothing about the kind
@@ -78,7 +78,7 @@
 }
 
 // ratio compares a completion with what the kind usually takes; f.mu is held.
-func (f *Fleet) ratio(kind string, took time.Duration) float64 {
+func (f *Chooser) ratio(kind string, took time.Duration) float64 {
 	w := f.work[kind]
 	if w.samples < sureSamples || w.usual <= 0 {
 		return 1
--- a/direct/probe.go
+++ b/direct/probe.go
@@ -9,7 +9,7 @@
 
 // probe asks the most promising endpoints for their load, all at once, and
 // waits for the answers a short while. It returns how many it asked.
-func (f *Fleet) probe(ctx context.Context, a placement.Request, list *ranking) int {
+func (f *Chooser) probe(ctx context.Context, a placement.Request, list *ranking) int {
 	path := f.probePath(a.Service)
 	if path == "" {
 		return 0
@@ -39,7 +39,7 @@
 	return len(chosen)
 }
 
-func (f *Fleet) probePath(service string) string {
+func (f *Chooser) probePath(service string) string {
 	cfg := f.cfg.Directory.Snapshot().Config
 	if cfg == nil {
 		return ""
@@ -57,7 +57,7 @@
 
 // probed returns the candidates to ask: the best ones whose last report is not
 // fresh, as far as their budget of probes goes.
-func (f *Fleet) probed(list *ranking) []target {
+func (f *Chooser) probed(list *ranking) []target {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,7 +75,7 @@
 }
 
 // mayProbe takes a token of an endpoint's budget of probes; f.mu is held.
-func (f *Fleet) mayProbe(k *endpoint, now time.Time) bool {
+func (f *Chooser) mayProbe(k *endpoint, now time.Time) bool {
 	if !k.refilled.IsZero() {
 		k.probed = min(f.opts.ProbeBurst, k.probed+f.opts.ProbeRate*now.Sub(k.refilled).Seconds())
 	}
@@ -88,7 +88,7 @@
 }
 
 // ask probes one endpoint and takes in its answer.
-func (f *Fleet) ask(ctx context.Context, t target, path string) {
+func (f *Chooser) ask(ctx context.Context, t target, path string) {
 	f.probes.Inc(1)
 	answer, err := f.cfg.Client.Probe(ctx, t.addr, path, f.opts.ProbeLimit)
 	now := time.Now()
--- a/direct/rank.go
+++ b/direct/rank.go
@@ -14,7 +14,7 @@
 // was made.
 type candidate struct {
 	entry    *directory.Endpoint
-	known    *endpoint // shared; read and written with Fleet.mu held
+	known    *endpoint // shared; read and written with Chooser.mu held
 	reported time.Time // when its last report came; zero for never
 	ejected  bool
 	estimate time.Duration // of the time until its answer
@@ -72,7 +72,7 @@
 
 // rank fills a ranking with the endpoints that may get a request. Ejected ones
 // are left out while there are others.
-func (f *Fleet) rank(r *ranking, a placement.Request, now time.Time) {
+func (f *Chooser) rank(r *ranking, a placement.Request, now time.Time) {
 	service := serviceOf(a.Service)
 	all := f.cfg.Directory.Snapshot().Endpoints[service]
 	f.mu.Lock()
@@ -102,7 +102,7 @@
 	crowded float64       // factor of an endpoint's last slot
 }
 
-func (f *Fleet) candidate(e *directory.Endpoint, usual habits, now time.Time) candidate {
+func (f *Chooser) candidate(e *directory.Endpoint, usual habits, now time.Time) candidate {
 	k := f.known(e.VM)
 	view := selection.Endpoint{
 		Slots:    e.Slots,
--- a/server/admin.go
+++ b/server/admin.go
@@ -56,7 +56,7 @@
 	if s.isStopping() {
 		return health{Why: "planned stop"}, nil
 	}
-	ok, why := s.fleet.Ready()
+	ok, why := s.chooser.Ready()
 	return health{OK: ok, Why: why}, nil
 }
 
@@ -99,8 +99,8 @@
 		metrics.GetOrRegisterGauge("following_store", s.metrics).Update(gaugeOf(s.follower.Active()))
 		metrics.GetOrRegisterGauge("store_lost", s.metrics).Update(gaugeOf(s.follower.Lost()))
 	}
-	if s.cfg.Recorder != nil {
-		skipped := s.cfg.Recorder.Skipped()
+	if s.cfg.Requests != nil {
+		skipped := s.cfg.Requests.Skipped()
 		metrics.GetOrRegisterGauge(`log_skipped{outcome="succeeded"}`, s.metrics).Update(skipped.Succeeded)
 		metrics.GetOrRegisterGauge(`log_skipped{outcome="failed"}`, s.metrics).Update(skipped.Failed)
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -41,8 +41,8 @@
 	// Relays says what balancers need that hand on the source's changes; nil
 	// where each of them follows the source.
 	Relays Relays
-	// Recorder writes the decisions about requests; nil for none.
-	Recorder *telemetry.Recorder
+	// Requests writes the log lines of requests; nil for none.
+	Requests *telemetry.RequestLogger
 	// Policy towards callers and endpoints; the zero value is the product's.
 	Policy balancer.Policy
 }
@@ -53,9 +53,10 @@
 	relay.Decoder
 }
 
-// fleet is the process's view of endpoints and of other balancers.
-type fleet interface {
-	balancer.Fleet
+// chooser routes requests and chooses their endpoints, alone or with other
+// balancers.
+type chooser interface {
+	balancer.Chooser
 	// Leave announces a planned stop.
 	Leave(ctx context.Context)
 	Close()
@@ -64,10 +65,10 @@
 // Server is a running balancer process.
 type Server struct {
 	cfg      Config
-	fleet    fleet
+	chooser  chooser
 	node     *node.Node          // nil with a Source
 	relays   *relay.Group        // nil where no changes are handed on
-	direct   *direct.Fleet       // nil without one
+	direct   *direct.Chooser     // nil without one
 	follower *directory.Follower // nil without one
 	balancer *balancer.Balancer
 	tracing  *telemetry.Tracing
@@ -94,18 +95,18 @@
 	if s.adminL, err = net.Listen("tcp", cfg.Settings.Admin); err != nil {
 		return nil, errors.Join(fmt.Errorf("server: admin address: %w", err), s.frontL.Close())
 	}
-	if err := s.startFleet(); err != nil {
+	if err := s.startChooser(); err != nil {
 		return nil, errors.Join(err, s.frontL.Close(), s.adminL.Close())
 	}
 	s.balancer = balancer.New(balancer.Config{
-		Fleet:   s.fleet,
+		Chooser: s.chooser,
 		Limits:  cfg.Settings.Limits,
 		Policy:  cfg.Policy,
 		Log:     cfg.Log.Named("request"),
 		Metrics: s.metrics,
 		Tracing: tracing,
 
-		Recorder:   cfg.Recorder,
+		Requests:   cfg.Requests,
 		Histograms: s.latency,
 	})
 	s.front = s.frontServer()
@@ -121,16 +122,16 @@
 	return s, nil
 }
 
-// startFleet starts the part that knows endpoints: with a source on its own,
-// else together with peers.
-func (s *Server) startFleet() error {
+// startChooser starts what chooses endpoints: with a source on its own, else
+// together with peers.
+func (s *Server) startChooser() error {
 	cfg := s.cfg
 	if cfg.Source != nil {
 		var err error
 		if s.direct, err = s.startDirect(); err != nil {
 			return err
 		}
-		s.fleet = s.direct
+		s.chooser = s.direct
 		return nil
 	}
 	n, err := node.Start(node.Config{
@@ -141,11 +142,11 @@
 	if err != nil {
 		return err
 	}
-	s.node, s.fleet = n, n
+	s.node, s.chooser = n, n
 	return nil
 }
 
-func (s *Server) startDirect() (*direct.Fleet, error) {
+func (s *Server) startDirect() (*direct.Chooser, error) {
 	settings := s.cfg.Settings
 	d := directory.New()
 	opts := directory.OptionsWithin(settings.Discovery.Within())
@@ -193,7 +194,7 @@
 	}), nil
 }
 
-// startRelays starts it and lets it end with the fleet.
+// startRelays starts it and lets it end with the chooser.
 func (s *Server) startRelays(cfg *direct.Config) error {
 	l, err := net.Listen("tcp", s.cfg.Settings.Link)
 	if err != nil {
@@ -275,8 +276,8 @@
 // Node returns the process's part in the fleet; nil with a Source.
 func (s *Server) Node() *node.Node { return s.node }
 
-// SetRepeats changes the bound of repeats.
-func (s *Server) SetRepeats(limit retry.WindowLimit) { s.balancer.SetRepeats(limit) }
+// SetRetryLimit changes the bound on retries.
+func (s *Server) SetRetryLimit(limit retry.WindowLimit) { s.balancer.SetRetryLimit(limit) }
 
 // Stop is the planned stop: not ready first, then the notice for the
 // platform's balancer, then no new connections, and every request in flight
@@ -309,7 +310,7 @@
 func (s *Server) announce(ctx context.Context, notice time.Duration) {
 	left := make(chan struct{})
 	go func() {
-		s.fleet.Leave(ctx)
+		s.chooser.Leave(ctx)
 		close(left)
 	}()
 	pause.For(ctx, notice)
@@ -338,7 +339,7 @@
 }
 
 func (s *Server) close() {
-	s.fleet.Close()
+	s.chooser.Close()
 	_ = s.admin.Close()
 	if s.scrapes != nil {
 		_ = s.scrapes.Close()
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -9,13 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowFleet takes its time to hand duties over.
-type slowFleet struct {
-	fleet
+// slowChooser takes its time to hand duties over.
+type slowChooser struct {
+	chooser
 	takes time.Duration
 }
 
-func (f slowFleet) Leave(context.Context) { time.Sleep(f.takes) }
+func (f slowChooser) Leave(context.Context) { time.Sleep(f.takes) }
 
 // TestHandingOverTakesNoPartOfTheGrace, and is waited for. Time is virtual.
 func TestHandingOverTakesNoPartOfTheGrace(t *testing.T) {
@@ -24,7 +24,7 @@
 		{4 * time.Second, 4 * time.Second},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			s := &Server{fleet: slowFleet{takes: c.takes}}
+			s := &Server{chooser: slowChooser{takes: c.takes}}
 			began := time.Now()
 			s.announce(context.Background(), 3*time.Second)
 			assert.Equal(t, time.Since(began), c.want)
--- a/telemetry/events.go
+++ b/telemetry/events.go
@@ -20,12 +20,12 @@
 
 // Events of requests. The names are also those that the lines begin with.
 const (
-	EventAdmitted = "admitted"
-	EventChosen   = "chosen"
-	EventNoPlace  = "no endpoint chosen"
-	EventAttempt  = "attempt ended"
-	EventRepeat   = "repeat decided"
-	EventEnded    = "ended"
+	EventAdmitted   = "admitted"
+	EventChosen     = "chosen"
+	EventNoEndpoint = "no endpoint chosen"
+	EventAttempt    = "attempt ended"
+	EventRetry      = "repeat decided"
+	EventEnded      = "ended"
 )
 
 // Events lists the lines about requests, in the order of a request's way. Each
@@ -49,7 +49,7 @@
 		{"probes", "endpoints asked for this choice"},
 		{"waited_ms", "time since the request was admitted or the last attempt ended"},
 	}},
-	{EventNoPlace, "No endpoint was found in time; the request is refused.", []Field{
+	{EventNoEndpoint, "No endpoint was found in time; the request is refused.", []Field{
 		{"attempt", "number of the attempt, from 1"},
 		{"reason", "reason code"},
 		{"known", "endpoints that could be considered"},
@@ -68,7 +68,7 @@
 		{"took_ms", "time from sending to the answer or its failure"},
 		{"error", "what failed"},
 	}},
-	{EventRepeat, "Whether the request is sent again.", []Field{
+	{EventRetry, "Whether the request is sent again.", []Field{
 		{"again", "the decision"},
 		{"why", "reason code where it is not sent again"},
 		{"attempts", "attempts made"},
--- a/telemetry/story.go
+++ b/telemetry/requestlog.go
@@ -10,11 +10,11 @@
 // timeFormat is that of all log lines.
 const timeFormat = "2006-01-02T15:04:05.000Z"
 
-// Recorder writes the decisions about requests as log lines, one line for each
-// decision, at a bounded rate. Lines are written when a request goes out and
+// RequestLogger writes the decisions about requests as log lines, one line for
+// each decision, at a bounded rate. Lines are written when a request goes out and
 // when it has ended. Half of the rate is kept for requests that failed; lines
 // that find no room are left out, and the request is counted.
-type Recorder struct {
+type RequestLogger struct {
 	out  io.Writer
 	rate float64 // lines a second, and the most that may be saved up
 
@@ -30,29 +30,29 @@
 	Failed    int64
 }
 
-// NewRecorder returns a recorder that writes up to rate lines a second.
-func NewRecorder(out io.Writer, rate int) *Recorder {
-	return &Recorder{out: out, rate: float64(rate), tokens: float64(rate)}
+// NewRequestLogger returns a logger that writes up to rate lines a second.
+func NewRequestLogger(out io.Writer, rate int) *RequestLogger {
+	return &RequestLogger{out: out, rate: float64(rate), tokens: float64(rate)}
 }
 
 // Skipped returns how many requests were left out of the log.
-func (r *Recorder) Skipped() Skipped {
+func (r *RequestLogger) Skipped() Skipped {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.skipped
 }
 
-// Begin starts the story of a request. A nil recorder starts one that is never
+// Begin starts the log of a request. A nil logger starts one that is never
 // written.
-func (r *Recorder) Begin(request string) *Story {
+func (r *RequestLogger) Begin(request string) *RequestLog {
 	if r == nil {
 		return nil
 	}
-	return &Story{recorder: r, request: request}
+	return &RequestLog{logger: r, request: request}
 }
 
 // allow takes the tokens for the lines of a request that has ended.
-func (r *Recorder) allow(lines int, failed bool, now time.Time) bool {
+func (r *RequestLogger) allow(lines int, failed bool, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.updated.IsZero() {
@@ -72,7 +72,7 @@
 }
 
 // skip counts a request that was left out.
-func (r *Recorder) skip(failed bool) {
+func (r *RequestLogger) skip(failed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if failed {
@@ -82,20 +82,21 @@
 	}
 }
 
-// failedShare is the part of the rate that is kept for requests that failed.
+// failedShare is the part of the rate that is kept for requests that failed. Chosen
+// without a measurement.
 const failedShare = 0.5
 
-// Story is the lines of one request. It belongs to one goroutine at a time. All
-// methods do nothing on a nil Story.
-type Story struct {
-	recorder *Recorder
-	request  string
-	text     []byte
-	lines    int
+// RequestLog is the lines of one request that are not written yet. It belongs to
+// one goroutine at a time. All methods do nothing on a nil RequestLog.
+type RequestLog struct {
+	logger  *RequestLogger
+	request string
+	text    []byte
+	lines   int
 }
 
-// Line begins a line of the story; its fields follow.
-func (s *Story) Line(event string) *Line {
+// Line begins a line; its fields follow.
+func (s *RequestLog) Line(event string) *Line {
 	if s == nil {
 		return nil
 	}
@@ -109,37 +110,37 @@
 }
 
 // Flush writes the lines so far at once, whatever becomes of the request.
-func (s *Story) Flush() {
+func (s *RequestLog) Flush() {
 	if s == nil || len(s.text) == 0 {
 		return
 	}
-	_, _ = s.recorder.out.Write(s.text)
+	_, _ = s.logger.out.Write(s.text) // a Queue, which counts what it drops
 	s.text, s.lines = s.text[:0], 0
 }
 
 // FlushWithin writes the lines so far if the rate has room for them, so that
 // they are there even if this process dies before the request has ended.
-func (s *Story) FlushWithin(now time.Time) {
-	if s != nil && s.lines > 0 && s.recorder.allow(s.lines, false, now) {
+func (s *RequestLog) FlushWithin(now time.Time) {
+	if s != nil && s.lines > 0 && s.logger.allow(s.lines, false, now) {
 		s.Flush()
 	}
 }
 
-// End ends the story.
-func (s *Story) End(failed bool, now time.Time) {
+// End ends the log of the request.
+func (s *RequestLog) End(failed bool, now time.Time) {
 	if s == nil || s.lines == 0 {
 		return
 	}
-	if s.recorder.allow(s.lines, failed, now) {
+	if s.logger.allow(s.lines, failed, now) {
 		s.Flush()
 		return
 	}
-	s.recorder.skip(failed)
+	s.logger.skip(failed)
 }
 
 // Line is a line to which fields are added. All methods do nothing on a nil
 // Line.
-type Line Story
+type Line RequestLog
 
 // Text adds a field.
 func (l *Line) Text(key, value string) *Line {
--- a/telemetry/story_test.go
+++ b/telemetry/story_test.go
@@ -40,7 +40,7 @@
 // before failed ones, whole and counted.
 func TestFailuresAreKeptFirst(t *testing.T) {
 	var out bytes.Buffer
-	r := telemetry.NewRecorder(&out, 40)
+	r := telemetry.NewRequestLogger(&out, 40)
 	now := time.Unix(1000, 0)
 	for i := range 60 {
 		story := r.Begin("id")
@@ -65,7 +65,7 @@
 // TestFlushedLinesAreWrittenAtOnce and only once.
 func TestFlushedLinesAreWrittenAtOnce(t *testing.T) {
 	var out bytes.Buffer
-	story := telemetry.NewRecorder(&out, 10).Begin("a b")
+	story := telemetry.NewRequestLogger(&out, 10).Begin("a b")
 	story.Line("chosen").Text("endpoint", "").Int("attempt", 1).Float("pace", 1.5).Millis("waited_ms", 1500*time.Microsecond).Bool("again", true).Done()
 	story.Flush()
 	assert.Assert(t, strings.HasSuffix(out.String(), ` chosen: request="a b" endpoint="" attempt=1 pace=1.50 waited_ms=1.5 again=true`+"\n"), out.String())
@@ -75,7 +75,7 @@
 
 // TestNoRecorderNoStory.
 func TestNoRecorderNoStory(t *testing.T) {
-	var r *telemetry.Recorder
+	var r *telemetry.RequestLogger
 	story := r.Begin("id")
 	assert.Assert(t, story == nil)
 	story.Line("chosen").Text("endpoint", "e").Done()
