--- a/control/editing.go
+++ b/control/editing.go
@@ -16,6 +16,8 @@
 	"github.com/lotuswing/lotuswing/command"
 	"github.com/lotuswing/lotuswing/coord/document"
 	"github.com/lotuswing/lotuswing/coord/store"
+	"github.com/lotuswing/lotuswing/internal/pause"
+	"github.com/lotuswing/lotuswing/storeclient"
 	"github.com/lotuswing/lotuswing/tenant"
 )
 
@@ -67,7 +69,7 @@
 	}
 	ctx, stop := untilSignal()
 	defer stop()
-	client := store.NewClient(url, store.Options{})
+	client := storeclient.New(url, storeclient.Options{})
 	key := configPrefix + cfg.Tenant
 	current, err := fetch(ctx, client, key)
 	if err != nil {
@@ -81,7 +83,7 @@
 	}
 	printChange(e, current, cfg)
 	p := document.Proposal{ID: id, Editor: editor, Base: uint64(base), Body: body}
-	out, err := document.Apply(ctx, client, key, p, document.ApplyOptions{})
+	out, err := document.Apply(ctx, client, key, p, document.ApplyOptions{Clock: pause.Clock{}})
 	return reportApply(e, p, cfg, out, err)
 }
 
@@ -125,7 +127,7 @@
 }
 
 // fetch reads a document; one that does not exist yet has version 0.
-func fetch(ctx context.Context, client *store.Client, key string) (document.Document, error) {
+func fetch(ctx context.Context, client *storeclient.Client, key string) (document.Document, error) {
 	entry, err := client.Get(ctx, key)
 	if errors.Is(err, store.ErrNotFound) {
 		return document.Document{}, nil
@@ -137,7 +139,7 @@
 }
 
 func get(e *command.Env, url, name string) error {
-	doc, err := fetch(context.Background(), store.NewClient(url, store.Options{}), configPrefix+name)
+	doc, err := fetch(context.Background(), storeclient.New(url, storeclient.Options{}), configPrefix+name)
 	if err != nil {
 		return err
 	}
@@ -153,7 +155,7 @@
 }
 
 func history(e *command.Env, url, name string) error {
-	doc, err := fetch(context.Background(), store.NewClient(url, store.Options{}), configPrefix+name)
+	doc, err := fetch(context.Background(), storeclient.New(url, storeclient.Options{}), configPrefix+name)
 	if err != nil {
 		return err
 	}
@@ -167,7 +169,7 @@
 func watch(e *command.Env, url, name string) error {
 	ctx, stop := untilSignal()
 	defer stop()
-	client := store.NewClient(url, store.Options{})
+	client := storeclient.New(url, storeclient.Options{})
 	var revision uint64
 	for ctx.Err() == nil {
 		entry, err := client.Watch(ctx, configPrefix+name, revision, watchWait)
--- a/coord/document/apply.go
+++ b/coord/document/apply.go
@@ -49,9 +49,18 @@
 	Current Document
 }
 
-// ApplyOptions bounds the attempts of Apply.
+// Clock is what Apply needs to know of time.
+type Clock interface {
+	Now() time.Time
+	// Pause waits for d, or until ctx ends.
+	Pause(ctx context.Context, d time.Duration)
+}
+
+// ApplyOptions bounds the attempts of Apply. The defaults were chosen without a
+// measurement.
 type ApplyOptions struct {
-	Attempts int           // calls' rounds; default 5
+	Clock    Clock
+	Attempts int           // rounds of a read and a write; default 5
 	Pause    time.Duration // between rounds; default 200 ms
 }
 
@@ -68,10 +77,13 @@
 	}
 	var last error
 	for i := range opts.Attempts {
-		if i > 0 && !sleep(ctx, opts.Pause) {
-			break
+		if i > 0 {
+			opts.Clock.Pause(ctx, opts.Pause)
+			if ctx.Err() != nil {
+				break
+			}
 		}
-		out, err := round(ctx, s, key, p)
+		out, err := round(ctx, s, key, p, opts.Clock.Now())
 		if out.Result != Unknown {
 			return out, nil
 		}
@@ -81,7 +93,7 @@
 }
 
 // round reads, decides and, where the proposal can still land, writes once.
-func round(ctx context.Context, s Store, key string, p Proposal) (Outcome, error) {
+func round(ctx context.Context, s Store, key string, p Proposal, now time.Time) (Outcome, error) {
 	entry, err := s.Get(ctx, key)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return Outcome{}, err
@@ -95,7 +107,7 @@
 	if out := settle(current, p); out.Result != Unknown || current.Version != p.Base {
 		return out, fmt.Errorf("document: version %d no longer names the edit of version %d", current.Version, p.Base+1)
 	}
-	next := current.With(Edit{ID: p.ID, Editor: p.Editor, At: time.Now().UTC()}, p.Body)
+	next := current.With(Edit{ID: p.ID, Editor: p.Editor, At: now.UTC()}, p.Body)
 	raw, err := json.Marshal(next)
 	if err != nil {
 		return Outcome{}, fmt.Errorf("document: encode: %w", err)
@@ -123,14 +135,3 @@
 		return Outcome{Result: Lost, Winner: made, Current: current}
 	}
 }
-
-func sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
--- a/coord/store/store.go
+++ b/coord/store/store.go
@@ -1,13 +1,12 @@
-// Package store is the client's view of the platform's key-value service:
-// compare-and-swap, keys with a time to live (leases) and watches.
+// Package store has the types of the key-value service as coordination needs it:
+// compare-and-swap, keys with a time to live (leases), and typed errors. The
+// packages that use a service declare the interface that they need; package
+// storeclient of the product is a client over HTTP.
 //
 // # Usage
 //
-//	c := store.NewClient("http://127.0.0.1:7400", store.Options{})
-//	e, err := c.Get(ctx, "config/bennani")
-//
-// Each error of the client is one of the typed errors below; a caller tells
-// them apart with errors.Is.
+//	_, err := kv.CompareAndSwap(ctx, store.Write{Key: key, Value: value, Revision: entry.Revision})
+//	if errors.Is(err, store.ErrConflict) { ... }
 package store
 
 import (
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -23,12 +23,12 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/lotuswing/lotuswing/audit"
 	"github.com/lotuswing/lotuswing/coord/document"
-	"github.com/lotuswing/lotuswing/coord/store"
 	"github.com/lotuswing/lotuswing/examples"
 	"github.com/lotuswing/lotuswing/load"
 	"github.com/lotuswing/lotuswing/server"
 	"github.com/lotuswing/lotuswing/settings"
 	"github.com/lotuswing/lotuswing/standin"
+	"github.com/lotuswing/lotuswing/storeclient"
 	"github.com/lotuswing/lotuswing/tenant"
 	"github.com/lotuswing/lotuswing/vm"
 )
@@ -248,7 +248,7 @@
 	base := r.applied[cfg.Tenant]
 	r.mu.Unlock()
 	p := document.Proposal{ID: fmt.Sprintf("demo-%d", base+1), Editor: "demo", Base: base, Body: json.RawMessage(body)}
-	client := store.NewClient(r.storeURL, store.Options{})
+	client := storeclient.New(r.storeURL, storeclient.Options{})
 	out, err := document.Apply(ctx, client, "config/"+cfg.Tenant, p, document.ApplyOptions{})
 	if out.Result != document.Won {
 		return fmt.Errorf("demo: apply %s: %s: %w", cfg.Tenant, out.Result, err)
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,5 +1,5 @@
 // Package pause waits for a time or for the end of a context, whichever comes
-// first.
+// first, and is the clock of code that is given one.
 //
 // # Usage
 //
@@ -23,3 +23,12 @@
 	case <-ctx.Done():
 	}
 }
+
+// Clock is the machine's clock.
+type Clock struct{}
+
+// Now returns the present time.
+func (Clock) Now() time.Time { return time.Now() }
+
+// Pause waits for d, or until ctx ends.
+func (Clock) Pause(ctx context.Context, d time.Duration) { For(ctx, d) }
--- a/node/node.go
+++ b/node/node.go
@@ -28,9 +28,9 @@
 	"github.com/lotuswing/lotuswing/coord/document"
 	"github.com/lotuswing/lotuswing/coord/leaving"
 	"github.com/lotuswing/lotuswing/coord/member"
-	"github.com/lotuswing/lotuswing/coord/store"
 	"github.com/lotuswing/lotuswing/link"
 	"github.com/lotuswing/lotuswing/settings"
+	"github.com/lotuswing/lotuswing/storeclient"
 	"github.com/rcrowley/go-metrics"
 )
 
@@ -58,7 +58,7 @@
 	cfg      Config
 	log      hclog.Logger
 	metrics  metrics.Registry
-	store    *store.Client
+	store    *storeclient.Client
 	client   *link.Client
 	server   *link.Server
 	replica  document.Replica
@@ -117,7 +117,7 @@
 		cfg:     cfg,
 		log:     cfg.Log,
 		metrics: cfg.Metrics,
-		store:   store.NewClient(s.Store.URL, store.Options{Timeout: s.Store.Timeout, Rate: s.Store.Rate}),
+		store:   storeclient.New(s.Store.URL, storeclient.Options{Timeout: s.Store.Timeout, Rate: s.Store.Rate}),
 		client:  link.NewClient(tlsConfig),
 		table:   member.NewTable(self, member.Options{}),
 		rng:     rand.New(rand.NewPCG(uint64(now.UnixNano()), self.Incarnation)),
--- a/coord/store/client.go
+++ b/storeclient/client.go
@@ -1,4 +1,17 @@
-package store
+// Package storeclient calls the product's own form of the key-value service over
+// HTTP: that of package coord/store, which the stand-in speaks and deployments with
+// homes use. The operators' platform has another form; its client is in package
+// platform.
+//
+// A Client bounds its own rate, and after a few failures in a row it answers
+// ErrUnavailable at once for a while, so that a service that is down costs its
+// callers nothing. Each error is one of those of package store.
+//
+// # Usage
+//
+//	c := storeclient.New("http://127.0.0.1:7400", storeclient.Options{})
+//	e, err := c.Get(ctx, "config/bennani")
+package storeclient
 
 import (
 	"bytes"
@@ -13,14 +26,16 @@
 	"strconv"
 	"sync"
 	"time"
+
+	"github.com/lotuswing/lotuswing/coord/store"
 )
 
-// Defaults of Options.
+// Defaults of Options. They were chosen without a measurement.
 const (
 	defaultTimeout  = 2 * time.Second
-	defaultRate     = 20
+	defaultRate     = 20 // calls a second
 	defaultCooldown = 2 * time.Second
-	tripAfter       = 3
+	tripAfter       = 3 // failures in a row
 )
 
 // Options configures a Client. Zero fields take the defaults.
@@ -31,9 +46,7 @@
 	HTTP     *http.Client
 }
 
-// Client calls the service over HTTP. It bounds its own rate, and after a few
-// failures in a row it answers ErrUnavailable at once for a while, so that a
-// service that is down costs its callers nothing.
+// Client calls the service. It is safe for concurrent use.
 type Client struct {
 	base string
 	opts Options
@@ -45,9 +58,9 @@
 	until    time.Time // calls are refused before this time
 }
 
-// NewClient returns a client of the service at base, such as
+// New returns a client of the service at base, such as
 // "http://127.0.0.1:7400".
-func NewClient(base string, opts Options) *Client {
+func New(base string, opts Options) *Client {
 	if opts.Timeout == 0 {
 		opts.Timeout = defaultTimeout
 	}
@@ -64,20 +77,20 @@
 }
 
 // Get reads a key.
-func (c *Client) Get(ctx context.Context, key string) (Entry, error) {
+func (c *Client) Get(ctx context.Context, key string) (store.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
 	return c.call(ctx, http.MethodGet, "/v1/kv/"+url.PathEscape(key), nil)
 }
 
 // CompareAndSwap writes a key if it still has the revision that w names.
-func (c *Client) CompareAndSwap(ctx context.Context, w Write) (Entry, error) {
-	if len(w.Value) > MaxValue {
-		return Entry{}, fmt.Errorf("store: value of %d bytes exceeds %d", len(w.Value), MaxValue)
+func (c *Client) CompareAndSwap(ctx context.Context, w store.Write) (store.Entry, error) {
+	if len(w.Value) > store.MaxValue {
+		return store.Entry{}, fmt.Errorf("store: value of %d bytes exceeds %d", len(w.Value), store.MaxValue)
 	}
 	body, err := json.Marshal(w)
 	if err != nil {
-		return Entry{}, fmt.Errorf("store: encode write: %w", err)
+		return store.Entry{}, fmt.Errorf("store: encode write: %w", err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
@@ -86,31 +99,31 @@
 
 // Watch waits until the key has a revision above after, for at most wait, and
 // returns the entry, or ErrNotFound when nothing changed.
-func (c *Client) Watch(ctx context.Context, key string, after uint64, wait time.Duration) (Entry, error) {
+func (c *Client) Watch(ctx context.Context, key string, after uint64, wait time.Duration) (store.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.opts.Timeout)
 	defer cancel()
 	q := url.Values{"after": {strconv.FormatUint(after, 10)}, "wait": {wait.String()}}
 	return c.call(ctx, http.MethodGet, "/v1/watch/"+url.PathEscape(key)+"?"+q.Encode(), nil)
 }
 
-func (c *Client) call(ctx context.Context, method, path string, body []byte) (Entry, error) {
+func (c *Client) call(ctx context.Context, method, path string, body []byte) (store.Entry, error) {
 	if err := c.admit(time.Now()); err != nil {
-		return Entry{}, err
+		return store.Entry{}, err
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return Entry{}, fmt.Errorf("store: %w", err)
+		return store.Entry{}, fmt.Errorf("store: %w", err)
 	}
 	// Without GetBody the transport never sends a write twice on its own.
 	req.GetBody = nil
 	resp, err := c.opts.HTTP.Do(req)
 	if err != nil {
 		c.failed(time.Now())
-		return Entry{}, lostAnswer(method, err)
+		return store.Entry{}, lostAnswer(method, err)
 	}
-	defer func() { _ = resp.Body.Close() }()
+	defer func() { _ = resp.Body.Close() }() // read to its end, or given up
 	entry, err := decode(method, resp)
-	if errors.Is(err, ErrUnavailable) || errors.Is(err, ErrUnknown) {
+	if errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrUnknown) {
 		c.failed(time.Now())
 		return entry, err
 	}
@@ -122,28 +135,28 @@
 func lostAnswer(method string, err error) error {
 	var op *net.OpError
 	if method == http.MethodGet || errors.As(err, &op) && op.Op == "dial" {
-		return fmt.Errorf("%w: %w", ErrUnavailable, err)
+		return fmt.Errorf("%w: %w", store.ErrUnavailable, err)
 	}
-	return fmt.Errorf("%w: %w", ErrUnknown, err)
+	return fmt.Errorf("%w: %w", store.ErrUnknown, err)
 }
 
-func decode(method string, resp *http.Response) (Entry, error) {
+func decode(method string, resp *http.Response) (store.Entry, error) {
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound, http.StatusNotModified:
-		return Entry{}, ErrNotFound
+		return store.Entry{}, store.ErrNotFound
 	case http.StatusConflict:
-		return Entry{}, ErrConflict
+		return store.Entry{}, store.ErrConflict
 	case http.StatusTooManyRequests:
-		return Entry{}, ErrRateLimited
+		return store.Entry{}, store.ErrRateLimited
 	case http.StatusServiceUnavailable:
-		return Entry{}, ErrUnavailable
+		return store.Entry{}, store.ErrUnavailable
 	default:
-		return Entry{}, lostAnswer(method, fmt.Errorf("status %s", resp.Status))
+		return store.Entry{}, lostAnswer(method, fmt.Errorf("status %s", resp.Status))
 	}
-	var entry Entry
-	if err := json.NewDecoder(io.LimitReader(resp.Body, 2*MaxValue)).Decode(&entry); err != nil {
-		return Entry{}, lostAnswer(method, err)
+	var entry store.Entry
+	if err := json.NewDecoder(io.LimitReader(resp.Body, 2*store.MaxValue)).Decode(&entry); err != nil {
+		return store.Entry{}, lostAnswer(method, err)
 	}
 	return entry, nil
 }
@@ -153,7 +166,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now.Before(c.until) {
-		return fmt.Errorf("%w: left alone after %d failures", ErrUnavailable, c.failures)
+		return fmt.Errorf("%w: left alone after %d failures", store.ErrUnavailable, c.failures)
 	}
 	rate := float64(c.opts.Rate)
 	if !c.updated.IsZero() {
@@ -161,7 +174,7 @@
 	}
 	c.updated = now
 	if c.tokens < 1 {
-		return fmt.Errorf("%w: client limit of %d a second", ErrRateLimited, c.opts.Rate)
+		return fmt.Errorf("%w: client limit of %d a second", store.ErrRateLimited, c.opts.Rate)
 	}
 	c.tokens--
 	return nil
