--- a/coord/member/member.go
+++ b/coord/member/member.go
@@ -16,10 +16,8 @@
 package member
 
 import (
-	"math/bits"
 	"math/rand/v2"
 	"slices"
-	"strings"
 	"time"
 )
 
@@ -63,10 +61,6 @@
 	sent  int       // times it was in a digest since it changed
 }
 
-// spreadFactor times the binary logarithm of the fleet's size is how often a
-// change is sent by each member that hears of it.
-const spreadFactor = 3
-
 // Table is the view. It is not safe for concurrent use.
 type Table struct {
 	self    string
@@ -226,124 +220,3 @@
 	slices.Sort(ids)
 	return ids
 }
-
-// Digest returns the members to send along: self, some that changed lately,
-// and some others in turn. Neither its size nor its cost depends on the size
-// of the fleet.
-func (t *Table) Digest() []Member {
-	out := []Member{t.Self()}
-	enough := spreadFactor * bits.Len(uint(len(t.records)))
-	var again []string
-	for i, id := range t.news {
-		if len(out) > t.opts.DigestNews {
-			again = append(again, t.news[i:]...)
-			break
-		}
-		r, ok := t.records[id]
-		if !ok {
-			continue
-		}
-		out = append(out, r.Member)
-		if r.sent++; r.sent < enough {
-			again = append(again, id)
-		}
-	}
-	t.news = rotate(again, len(out)-1)
-	return t.rest(out)
-}
-
-// rotate moves the first n names to the end, so that all have their turn.
-func rotate(names []string, n int) []string {
-	if n >= len(names) {
-		return names
-	}
-	return append(slices.Clone(names[n:]), names[:n]...)
-}
-
-// rest adds members in turn to a digest; names of forgotten members leave the
-// ring on the way.
-func (t *Table) rest(out []Member) []Member {
-	for range min(t.opts.DigestRest, len(t.ring)) {
-		t.next %= len(t.ring)
-		r, ok := t.records[t.ring[t.next]]
-		if !ok {
-			t.ring = slices.Delete(t.ring, t.next, t.next+1)
-			if len(t.ring) == 0 {
-				break
-			}
-			continue
-		}
-		out = append(out, r.Member)
-		t.next++
-	}
-	return out
-}
-
-// All returns every member, for one that has just joined.
-func (t *Table) All() []Member {
-	out := make([]Member, 0, len(t.records))
-	for _, r := range t.records {
-		out = append(out, r.Member)
-	}
-	slices.SortFunc(out, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
-	return out
-}
-
-// Knows reports whether a member is in the table.
-func (t *Table) Knows(id string) bool {
-	_, ok := t.records[id]
-	return ok
-}
-
-// View returns the members that are alive or only suspected, in order of ID.
-func (t *Table) View() View {
-	var v View
-	for _, r := range t.records {
-		if r.State <= Suspect {
-			v.Members = append(v.Members, r.Member)
-		}
-	}
-	slices.SortFunc(v.Members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
-	return v
-}
-
-// View is an immutable list of the members in use.
-type View struct {
-	Members []Member
-}
-
-// IDs returns the members' identities in order.
-func (v View) IDs() []string {
-	ids := make([]string, len(v.Members))
-	for i, m := range v.Members {
-		ids[i] = m.ID
-	}
-	return ids
-}
-
-// Trusted returns the identities of the members that nobody suspects; all,
-// where every one is suspected. A home is chosen among them: a suspicion that
-// turns out false costs a moment with two homes, waiting for certainty would
-// cost seconds with none.
-func (v View) Trusted() []string {
-	var ids []string
-	for _, m := range v.Members {
-		if m.State == Alive {
-			ids = append(ids, m.ID)
-		}
-	}
-	if len(ids) == 0 {
-		return v.IDs()
-	}
-	return ids
-}
-
-// Find returns the member with an identity.
-func (v View) Find(id string) (Member, bool) {
-	for _, m := range v.Members {
-		if m.ID == id {
-			return m, true
-		}
-	}
-	return Member{}, false
-}
