--- a/control/editing.go
+++ b/control/editing.go
@@ -83,7 +83,7 @@
 	}
 	printChange(e, current, cfg)
 	p := document.Proposal{ID: id, Editor: editor, Base: uint64(base), Body: body}
-	out, err := document.Apply(ctx, client, key, p, document.ApplyOptions{Clock: pause.Clock{}})
+	out, err := document.Apply(ctx, client, pause.Clock{}, key, p, document.ApplyOptions{})
 	return reportApply(e, p, cfg, out, err)
 }
 
--- a/coord/document/apply.go
+++ b/coord/document/apply.go
@@ -59,7 +59,6 @@
 // ApplyOptions bounds the attempts of Apply. The defaults were chosen without a
 // measurement.
 type ApplyOptions struct {
-	Clock    Clock
 	Attempts int           // rounds of a read and a write; default 5
 	Pause    time.Duration // between rounds; default 200 ms
 }
@@ -68,7 +67,7 @@
 // reading: the edit's identity is in the document, or it can no longer land
 // because the version it named has passed, or it is tried again with the same
 // identity. The error, if any, is the last one of the service.
-func Apply(ctx context.Context, s Store, key string, p Proposal, opts ApplyOptions) (Outcome, error) {
+func Apply(ctx context.Context, s Store, clock Clock, key string, p Proposal, opts ApplyOptions) (Outcome, error) {
 	if opts.Attempts == 0 {
 		opts.Attempts = 5
 	}
@@ -78,12 +77,12 @@
 	var last error
 	for i := range opts.Attempts {
 		if i > 0 {
-			opts.Clock.Pause(ctx, opts.Pause)
+			clock.Pause(ctx, opts.Pause)
 			if ctx.Err() != nil {
 				break
 			}
 		}
-		out, err := round(ctx, s, key, p, opts.Clock.Now())
+		out, err := round(ctx, s, key, p, clock.Now())
 		if out.Result != Unknown {
 			return out, nil
 		}
--- a/coord/document/apply_test.go
+++ b/coord/document/apply_test.go
@@ -93,7 +93,7 @@
 
 // apply has the signature of document.Apply, so that broken ones can be put
 // in its place.
-type apply func(context.Context, document.Store, string, document.Proposal, document.ApplyOptions) (document.Outcome, error)
+type apply func(context.Context, document.Store, document.Clock, string, document.Proposal, document.ApplyOptions) (document.Outcome, error)
 
 // editingHistory lets a few operators edit the same document over a faulty
 // store and returns what each was told.
@@ -140,7 +140,7 @@
 		time.Sleep(time.Duration(roll(60)) * time.Millisecond)
 		p := document.Proposal{ID: fmt.Sprintf("edit-%d-%d", operator, i), Editor: fmt.Sprint(operator), Base: seen.version, Body: json.RawMessage(`{}`)}
 		call = time.Now()
-		out, _ := f(context.Background(), s, key, p, document.ApplyOptions{Clock: realClock{}, Attempts: 3, Pause: 20 * time.Millisecond})
+		out, _ := f(context.Background(), s, realClock{}, key, p, document.ApplyOptions{Attempts: 3, Pause: 20 * time.Millisecond})
 		h.add(operator, editInput{id: p.ID, base: p.Base}, call,
 			editOutput{result: out.Result, version: out.Version, winner: out.Winner.ID})
 	}
@@ -170,8 +170,8 @@
 }
 
 // brokenApply takes a lost answer for a failure, as a naive editor does.
-func brokenApply(ctx context.Context, s document.Store, key string, p document.Proposal, opts document.ApplyOptions) (document.Outcome, error) {
-	out, err := document.Apply(ctx, s, key, p, document.ApplyOptions{Clock: opts.Clock, Attempts: 1, Pause: opts.Pause})
+func brokenApply(ctx context.Context, s document.Store, clock document.Clock, key string, p document.Proposal, opts document.ApplyOptions) (document.Outcome, error) {
+	out, err := document.Apply(ctx, s, clock, key, p, document.ApplyOptions{Attempts: 1, Pause: opts.Pause})
 	if errors.Is(err, store.ErrUnknown) {
 		out.Result, out.Winner = document.Lost, document.Edit{ID: "somebody"}
 	}
@@ -198,7 +198,7 @@
 	s := fakestore.New(fakestore.Options{Lost: 100, Roll: func(int) int { writes++; return 0 }})
 	p := document.Proposal{ID: "mine", Editor: "e", Body: json.RawMessage(`{}`)}
 	synctest.Test(t, func(t *testing.T) {
-		out, err := document.Apply(context.Background(), s, key, p, document.ApplyOptions{Clock: realClock{}})
+		out, err := document.Apply(context.Background(), s, realClock{}, key, p, document.ApplyOptions{})
 		assert.NilError(t, err)
 		assert.Equal(t, out.Result, document.Won)
 		assert.Equal(t, out.Current.Version, uint64(1))
--- a/coord/document/document.go
+++ b/coord/document/document.go
@@ -4,7 +4,7 @@
 //
 // # Usage
 //
-//	out, err := document.Apply(ctx, kv, "config/bennani", edit, document.ApplyOptions{Clock: clock})
+//	out, err := document.Apply(ctx, kv, clock, "config/bennani", edit, document.ApplyOptions{})
 //	...
 //	var r document.Replica
 //	changed, err := r.Offer(value, check)
--- a/coord/document/example_test.go
+++ b/coord/document/example_test.go
@@ -15,7 +15,7 @@
 		return document.Proposal{ID: "edit-of-" + editor, Editor: editor, Base: 0, Body: json.RawMessage(`{}`)}
 	}
 	for _, editor := range []string{"first", "second"} {
-		out, err := document.Apply(context.Background(), kv, "config/t", edit(editor), document.ApplyOptions{Clock: realClock{}})
+		out, err := document.Apply(context.Background(), kv, realClock{}, "config/t", edit(editor), document.ApplyOptions{})
 		fmt.Println(editor, out.Result, out.Winner.Editor, err)
 	}
 	// Output:
--- /dev/null
+++ b/demo/demo_test.go
@@ -0,0 +1,23 @@
+package demo_test
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/lotuswing/lotuswing/demo"
+	"gotest.tools/v3/assert"
+)
+
+// TestDemo runs the whole product in one process: each kind of request is served,
+// and no promise is broken.
+func TestDemo(t *testing.T) {
+	report, err := demo.Run(context.Background(), demo.Options{For: 2 * time.Second, Log: hclog.NewNullLogger()})
+	assert.NilError(t, err)
+	assert.Equal(t, len(report.Violations), 0, "%v", report.Violations)
+	assert.Equal(t, len(report.Rows), 6)
+	for _, row := range report.Rows {
+		assert.Assert(t, row.Load.Ran > 0, "%s %s", row.Tenant, row.Kind)
+	}
+}
--- a/demo/start.go
+++ b/demo/start.go
@@ -11,6 +11,7 @@
 
 	"github.com/lotuswing/lotuswing/coord/document"
 	"github.com/lotuswing/lotuswing/examples"
+	"github.com/lotuswing/lotuswing/internal/pause"
 	"github.com/lotuswing/lotuswing/server"
 	"github.com/lotuswing/lotuswing/settings"
 	"github.com/lotuswing/lotuswing/standin"
@@ -124,7 +125,7 @@
 	r.mu.Unlock()
 	p := document.Proposal{ID: fmt.Sprintf("demo-%d", base+1), Editor: "demo", Base: base, Body: json.RawMessage(body)}
 	client := storeclient.New(r.storeURL, storeclient.Options{})
-	out, err := document.Apply(ctx, client, "config/"+cfg.Tenant, p, document.ApplyOptions{})
+	out, err := document.Apply(ctx, client, pause.Clock{}, "config/"+cfg.Tenant, p, document.ApplyOptions{})
 	if out.Result != document.Won {
 		return fmt.Errorf("demo: apply %s: %s: %w", cfg.Tenant, out.Result, err)
 	}
