--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -21,7 +21,7 @@
 	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 	"github.com/lotuswing/lotuswing/coord/verdict"
-	"github.com/lotuswing/lotuswing/internal/faulty"
+	"github.com/lotuswing/lotuswing/internal/rawendpoint"
 	"github.com/lotuswing/lotuswing/settings"
 	"github.com/lotuswing/lotuswing/telemetry"
 	"github.com/lotuswing/lotuswing/tenant"
@@ -117,7 +117,7 @@
 // bench is a balancer in front of faulty endpoints.
 type bench struct {
 	chooser   *fakeChooser
-	endpoints []*faulty.Endpoint
+	endpoints []*rawendpoint.Faulty
 	server    *httptest.Server
 }
 
@@ -131,7 +131,7 @@
 	assert.NilError(t, err)
 	b := &bench{chooser: &fakeChooser{cfg: cfg}}
 	for i := range endpoints {
-		e, err := faulty.New()
+		e, err := rawendpoint.NewFaulty()
 		assert.NilError(t, err)
 		t.Cleanup(e.Close)
 		b.endpoints = append(b.endpoints, e)
@@ -175,7 +175,7 @@
 	assert.NilError(t, err)
 	req.Host = "desk"
 	req.Header = header.Clone()
-	req.Header.Set(faulty.KeyHeader, key)
+	req.Header.Set(rawendpoint.KeyHeader, key)
 	req.GetBody = nil
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(req)
@@ -197,7 +197,7 @@
 		b := newBench(t, 2)
 		for i := range rapid.IntRange(1, 5).Draw(t, "requests") {
 			for _, e := range b.endpoints {
-				e.Set(rapid.SampledFrom(faulty.All).Draw(t, "fault"))
+				e.Set(rapid.SampledFrom(rawendpoint.AllFaults).Draw(t, "fault"))
 			}
 			key := fmt.Sprintf("request-%d", i)
 			once := rapid.Bool().Draw(t, "once")
@@ -233,7 +233,7 @@
 // run goes to another, body included.
 func TestRefusedRequestIsRepeatedElsewhere(t *testing.T) {
 	b := newBench(t, 2)
-	b.endpoints[0].Set(faulty.AnswerNotRun)
+	b.endpoints[0].Set(rawendpoint.AnswerNotRun)
 	got := b.call(t, "POST", "/once", "petition", "stamped", http.Header{})
 	assert.Equal(t, got.status, http.StatusOK)
 	assert.Equal(t, b.endpoints[1].Ran("petition"), 1)
@@ -244,7 +244,7 @@
 // does not fail reads while others serve; a filing is never sent again.
 func TestBareRejectionIsRepeatedForReadsOnly(t *testing.T) {
 	b := newBench(t, 2)
-	b.endpoints[0].Set(faulty.Bare503)
+	b.endpoints[0].Set(rawendpoint.Bare503)
 	got := b.call(t, "GET", "/read", "read", "", http.Header{})
 	assert.Equal(t, got.status, http.StatusOK)
 	assert.Equal(t, b.chooser.ending(0).Outcome, placement.Failed)
@@ -258,7 +258,7 @@
 // caller is told so and nothing is sent again.
 func TestUnknownAnswerOfFilingIsNotRepeated(t *testing.T) {
 	b := newBench(t, 2)
-	b.endpoints[0].Set(faulty.CloseAfterRead)
+	b.endpoints[0].Set(rawendpoint.CloseAfterRead)
 	got := b.call(t, "POST", "/once", "petition", "stamped", http.Header{})
 	assert.Equal(t, got.status, http.StatusBadGateway)
 	assert.Equal(t, got.verdict, "may-have-run")
@@ -270,9 +270,9 @@
 // may have run is never told not-run because a later attempt did not.
 func TestEarlierAttemptDecidesVerdict(t *testing.T) {
 	b := newBench(t, 4)
-	b.endpoints[0].Set(faulty.CloseAfterRead)
+	b.endpoints[0].Set(rawendpoint.CloseAfterRead)
 	for _, e := range b.endpoints[1:] {
-		e.Set(faulty.AnswerNotRun)
+		e.Set(rawendpoint.AnswerNotRun)
 	}
 	got := b.call(t, "POST", "/read", "k", "x", http.Header{})
 	assert.Equal(t, b.ran("k"), 1)
@@ -283,7 +283,7 @@
 // make the first one not run.
 func TestRefusalAfterAttemptIsNotTold(t *testing.T) {
 	b := newBench(t, 1)
-	b.endpoints[0].Set(faulty.CloseAfterRead)
+	b.endpoints[0].Set(rawendpoint.CloseAfterRead)
 	b.chooser.refuseAfter = 1
 	got := b.call(t, "POST", "/read", "k", "x", http.Header{})
 	assert.Equal(t, b.ran("k"), 1)
@@ -293,7 +293,7 @@
 
 // TestCutAnswerReachesCallerAsCut over both framings.
 func TestCutAnswerReachesCallerAsCut(t *testing.T) {
-	for _, f := range []faulty.Fault{faulty.CutBody, faulty.CutChunked} {
+	for _, f := range []rawendpoint.Fault{rawendpoint.CutBody, rawendpoint.CutChunked} {
 		b := newBench(t, 1)
 		b.endpoints[0].Set(f)
 		got := b.call(t, "GET", "/read", "k", "", http.Header{})
@@ -317,12 +317,12 @@
 // TestCallerThatLeavesCancelsUpstream: the grant is given back.
 func TestCallerThatLeavesCancelsUpstream(t *testing.T) {
 	b := newBench(t, 1)
-	b.endpoints[0].Set(faulty.SilentAfterRead)
+	b.endpoints[0].Set(rawendpoint.SilentAfterRead)
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, "GET", b.server.URL+"/read", nil)
 	assert.NilError(t, err)
 	req.Host = "desk"
-	req.Header.Set(faulty.KeyHeader, "k")
+	req.Header.Set(rawendpoint.KeyHeader, "k")
 	go func() {
 		for b.ran("k") == 0 {
 			time.Sleep(time.Millisecond)
--- a/balancer/exchange.go
+++ b/balancer/exchange.go
@@ -53,8 +53,8 @@
 	result upstream.Result
 }
 
-// failed notes a failed attempt.
-func (x *exchange) failed(a *attempt) {
+// noteFailed notes a failed attempt.
+func (x *exchange) noteFailed(a *attempt) {
 	x.mayHaveRun = x.mayHaveRun || a.result.Verdict != verdict.NotRun
 	x.tried = append(x.tried, a.grant.Endpoint.VM)
 }
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -14,7 +14,7 @@
 	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/reason"
 	"github.com/lotuswing/lotuswing/coord/retry"
-	"github.com/lotuswing/lotuswing/internal/scripted"
+	"github.com/lotuswing/lotuswing/internal/rawendpoint"
 	"github.com/lotuswing/lotuswing/platform"
 	"github.com/lotuswing/lotuswing/settings"
 	"github.com/lotuswing/lotuswing/telemetry"
@@ -67,23 +67,23 @@
 // platformBench is a balancer with the platform's policy in front of two
 // endpoints that answer as told.
 type platformBench struct {
-	endpoints [2]*scripted.Endpoint
+	endpoints [2]*rawendpoint.Scripted
 	server    *httptest.Server
 	log       bytes.Buffer
 }
 
-func newPlatformBench(t *testing.T, first, second scripted.Step, retries *retry.WindowLimit) *platformBench {
+func newPlatformBench(t *testing.T, first, second rawendpoint.Step, retries *retry.WindowLimit) *platformBench {
 	t.Helper()
 	return newLoggedBench(t, first, second, retries, 1000)
 }
 
 // newLoggedBench writes at most rate lines a second.
-func newLoggedBench(t *testing.T, first, second scripted.Step, retries *retry.WindowLimit, rate int) *platformBench {
+func newLoggedBench(t *testing.T, first, second rawendpoint.Step, retries *retry.WindowLimit, rate int) *platformBench {
 	t.Helper()
 	b := &platformBench{}
 	chooser := newPrefixChooser()
-	for i, step := range []scripted.Step{first, second} {
-		e, err := scripted.New(platform.Dialect().RequestID, step)
+	for i, step := range []rawendpoint.Step{first, second} {
+		e, err := rawendpoint.NewScripted(platform.Dialect().RequestID, step)
 		assert.NilError(t, err)
 		t.Cleanup(e.Close)
 		b.endpoints[i] = e
@@ -126,28 +126,28 @@
 // TestAnswersOnThePlatform: what a caller is told, and where its request went,
 // for each pair of answers of the endpoints.
 func TestAnswersOnThePlatform(t *testing.T) {
-	cutShort := scripted.Cut(signed[:len(signed)-2])
+	cutShort := rawendpoint.Cut(signed[:len(signed)-2])
 	cases := []struct {
 		name          string
 		path          string
-		first, second scripted.Step
+		first, second rawendpoint.Step
 		status        int
 		signature     string
 		runs          [2]int
 	}{
-		{"passed on", "/safe/x", scripted.Answer(signed), scripted.Answer(signed), 200, "s", [2]int{1, 0}},
-		{"cut, then whole", "/safe/x", cutShort, scripted.Answer(signed), 200, "s", [2]int{1, 1}},
-		{"cut, never repeated", "/unsafe/x", cutShort, scripted.Answer(signed), 502, "", [2]int{1, 0}},
-		{"reset, then whole", "/safe/x", scripted.Reset(), scripted.Answer(signed), 200, "s", [2]int{1, 1}},
-		{"reset, never repeated", "/unsafe/x", scripted.Reset(), scripted.Answer(signed), 502, "", [2]int{1, 0}},
-		{"declined, then whole", "/unsafe/x", scripted.Answer(declined), scripted.Answer(signed), 200, "s", [2]int{1, 1}},
-		{"declined twice", "/unsafe/x", scripted.Answer(declined), scripted.Answer(declined), 503, "", [2]int{1, 1}},
-		{"a bare 503 is not passed on as a promise", "/unsafe/x", scripted.Answer(bare), scripted.Answer(signed), 502, "", [2]int{1, 0}},
-		{"a failure, then whole", "/safe/x", scripted.Answer(failed), scripted.Answer(signed), 200, "s", [2]int{1, 1}},
-		{"a failure is passed on with its status", "/unsafe/x", scripted.Answer(failed), scripted.Answer(signed), 500, "f", [2]int{1, 0}},
-		{"two failures", "/safe/x", scripted.Answer(failed), scripted.Answer(failed), 500, "f", [2]int{1, 1}},
-		{"may have run, then declined", "/safe/x", scripted.Reset(), scripted.Answer(declined), 502, "", [2]int{1, 1}},
-		{"dot segments go through", "/safe/%2e/../x", scripted.Answer(signed), scripted.Answer(signed), 200, "s", [2]int{1, 0}},
+		{"passed on", "/safe/x", rawendpoint.Answer(signed), rawendpoint.Answer(signed), 200, "s", [2]int{1, 0}},
+		{"cut, then whole", "/safe/x", cutShort, rawendpoint.Answer(signed), 200, "s", [2]int{1, 1}},
+		{"cut, never repeated", "/unsafe/x", cutShort, rawendpoint.Answer(signed), 502, "", [2]int{1, 0}},
+		{"reset, then whole", "/safe/x", rawendpoint.Reset(), rawendpoint.Answer(signed), 200, "s", [2]int{1, 1}},
+		{"reset, never repeated", "/unsafe/x", rawendpoint.Reset(), rawendpoint.Answer(signed), 502, "", [2]int{1, 0}},
+		{"declined, then whole", "/unsafe/x", rawendpoint.Answer(declined), rawendpoint.Answer(signed), 200, "s", [2]int{1, 1}},
+		{"declined twice", "/unsafe/x", rawendpoint.Answer(declined), rawendpoint.Answer(declined), 503, "", [2]int{1, 1}},
+		{"a bare 503 is not passed on as a promise", "/unsafe/x", rawendpoint.Answer(bare), rawendpoint.Answer(signed), 502, "", [2]int{1, 0}},
+		{"a failure, then whole", "/safe/x", rawendpoint.Answer(failed), rawendpoint.Answer(signed), 200, "s", [2]int{1, 1}},
+		{"a failure is passed on with its status", "/unsafe/x", rawendpoint.Answer(failed), rawendpoint.Answer(signed), 500, "f", [2]int{1, 0}},
+		{"two failures", "/safe/x", rawendpoint.Answer(failed), rawendpoint.Answer(failed), 500, "f", [2]int{1, 1}},
+		{"may have run, then declined", "/safe/x", rawendpoint.Reset(), rawendpoint.Answer(declined), 502, "", [2]int{1, 1}},
+		{"dot segments go through", "/safe/%2e/../x", rawendpoint.Answer(signed), rawendpoint.Answer(signed), 200, "s", [2]int{1, 0}},
 	}
 	for _, c := range cases {
 		b := newPlatformBench(t, c.first, c.second, nil)
@@ -166,7 +166,7 @@
 
 // TestRepeatsKeepTheWindow of the fleet's budget.
 func TestRepeatsKeepTheWindow(t *testing.T) {
-	b := newPlatformBench(t, scripted.Reset(), scripted.Answer(signed), &retry.WindowLimit{Span: time.Hour, Allowance: 1})
+	b := newPlatformBench(t, rawendpoint.Reset(), rawendpoint.Answer(signed), &retry.WindowLimit{Span: time.Hour, Allowance: 1})
 	assert.Equal(t, b.call(t, http.MethodGet, "/safe/x", "").status, 200)
 	assert.Equal(t, b.call(t, http.MethodGet, "/safe/x", "").status, 502)
 	assert.Equal(t, b.runs(), [2]int{2, 1})
@@ -175,7 +175,7 @@
 // TestStoryOfARequest: each decision has its line, and a request that must not
 // run twice is written before it is sent.
 func TestStoryOfARequest(t *testing.T) {
-	b := newPlatformBench(t, scripted.Answer(declined), scripted.Answer(signed), nil)
+	b := newPlatformBench(t, rawendpoint.Answer(declined), rawendpoint.Answer(signed), nil)
 	b.call(t, http.MethodPost, "/unsafe/x", "body")
 	b.server.Close()
 	var events []string
@@ -193,7 +193,7 @@
 
 // TestStoriesHaveDocumentedFields: no line has a field that the table lacks.
 func TestStoriesHaveDocumentedFields(t *testing.T) {
-	b := newPlatformBench(t, scripted.Reset(), scripted.Answer(declined), nil)
+	b := newPlatformBench(t, rawendpoint.Reset(), rawendpoint.Answer(declined), nil)
 	b.call(t, http.MethodGet, "/safe/x", "")
 	b.call(t, http.MethodGet, "/nowhere", "")
 	b.server.Close()
@@ -224,7 +224,7 @@
 // twice is in the log before it is on its way, above any rate; the rest of its
 // lines is not.
 func TestFilingIsWrittenBeforeItIsSent(t *testing.T) {
-	b := newLoggedBench(t, scripted.Answer(signed), scripted.Answer(signed), nil, 1)
+	b := newLoggedBench(t, rawendpoint.Answer(signed), rawendpoint.Answer(signed), nil, 1)
 	b.call(t, http.MethodPost, "/unsafe/x", "body")
 	b.call(t, http.MethodGet, "/safe/x", "")
 	b.server.Close()
@@ -234,7 +234,7 @@
 
 // TestCallerIsHidden: no header but the platform's is added.
 func TestCallerIsHidden(t *testing.T) {
-	b := newPlatformBench(t, scripted.Answer(signed), scripted.Answer(signed), nil)
+	b := newPlatformBench(t, rawendpoint.Answer(signed), rawendpoint.Answer(signed), nil)
 	b.call(t, http.MethodGet, "/safe/x", "")
 	for name := range b.endpoints[0].Requests()[0].Header {
 		switch name {
@@ -247,7 +247,7 @@
 
 // TestBodyAboveTheLimit is refused before anything is sent.
 func TestBodyAboveTheLimit(t *testing.T) {
-	b := newPlatformBench(t, scripted.Answer(signed), scripted.Answer(signed), nil)
+	b := newPlatformBench(t, rawendpoint.Answer(signed), rawendpoint.Answer(signed), nil)
 	assert.Equal(t, b.call(t, http.MethodPost, "/unsafe/x", strings.Repeat("x", 1000)).status, http.StatusOK)
 	got := b.call(t, http.MethodPost, "/unsafe/x", strings.Repeat("x", 1001))
 	assert.Equal(t, got.status, http.StatusRequestEntityTooLarge)
--- a/balancer/serve.go
+++ b/balancer/serve.go
@@ -30,7 +30,7 @@
 			return nil, b.passOn(x, a)
 		}
 		b.cfg.Chooser.Complete(grant, b.failedResult(&a.result, x.callerLeft(), time.Since(a.sent)))
-		x.failed(a)
+		x.noteFailed(a)
 		if !b.mayRetry(x, a, time.Now()) {
 			return nil, b.giveUp(ctx, x, a)
 		}
@@ -65,13 +65,14 @@
 		Accepted: x.accepted,
 		Target:   kind.Target,
 	})
+	now := time.Now()
 	if refused != nil {
-		refused.Reason = waitingReason(refused.Reason, x.deadline, time.Now())
-		x.logNoEndpoint(number, refused, time.Now())
+		refused.Reason = waitingReason(refused.Reason, x.deadline, now)
+		x.logNoEndpoint(number, refused, now)
 		return placement.Grant{}, refusal{reason: refused.Reason, message: "service " + x.route.ServiceKey(), retryAfter: refused.RetryAfter}
 	}
 	span.SetAttributes(attribute.String("vm", grant.Endpoint.VM), attribute.String("home", grant.HomeID))
-	x.logChosen(number, grant, time.Now())
+	x.logChosen(number, grant, now)
 	return grant, nil
 }
 
--- a/internal/faulty/faulty.go
+++ b/internal/rawendpoint/faulty.go
@@ -1,12 +1,4 @@
-// Package faulty is an endpoint that speaks HTTP/1.1 by hand, fails at a chosen
-// point of the exchange and counts what ran. Tests of several packages use it.
-//
-// # Usage
-//
-//	e, err := faulty.New()
-//	e.Set(faulty.CloseAfterRead)
-//	e.Ran("request-1")
-package faulty
+package rawendpoint
 
 import (
 	"bufio"
@@ -37,74 +29,52 @@
 	SilentAfterRead Fault = "reads the request and says nothing"
 )
 
-// All lists every fault.
-var All = []Fault{
+// AllFaults lists every fault.
+var AllFaults = []Fault{
 	None, CloseAtAccept, CloseMidHeader, CloseAfterRead, ResetAfterRead, CloseMidAnswer, CutBody,
 	CutChunked, AnswerNotRun, Bare503, AnswerTwice, AnswerForeign, SilentAfterRead,
 }
 
-// Endpoint speaks HTTP/1.1 by hand and counts the requests that it read
-// whole, which is when a request runs.
-type Endpoint struct {
-	listener net.Listener
+// KeyHeader names a request to a Faulty endpoint.
+const KeyHeader = "X-Request-Key"
+
+// Faulty counts the requests that it read whole, which is when a request runs.
+type Faulty struct {
+	*server
 
 	mu    sync.Mutex
 	runs  map[string]int // by the key header
 	fault Fault
 }
 
-// KeyHeader names a request.
-const KeyHeader = "X-Request-Key"
-
-// New returns an endpoint that serves on a port of its own.
-func New() (*Endpoint, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return nil, fmt.Errorf("faulty: %w", err)
-	}
-	e := &Endpoint{listener: l, runs: map[string]int{}, fault: None}
-	go e.accept()
-	return e, nil
+// NewFaulty returns an endpoint without a fault.
+func NewFaulty() (e *Faulty, err error) {
+	e = &Faulty{runs: map[string]int{}, fault: None}
+	e.server, err = start(e.serve)
+	return e, err
 }
 
-// Close ends the listener.
-func (e *Endpoint) Close() { _ = e.listener.Close() }
-
-// Addr returns the address.
-func (e *Endpoint) Addr() string { return e.listener.Addr().String() }
-
 // Set chooses the fault of what comes next.
-func (e *Endpoint) Set(f Fault) {
+func (e *Faulty) Set(f Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault = f
 }
 
-func (e *Endpoint) current() Fault {
+func (e *Faulty) current() Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.fault
 }
 
 // Ran returns how often a request ran.
-func (e *Endpoint) Ran(key string) int {
+func (e *Faulty) Ran(key string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[key]
 }
 
-func (e *Endpoint) accept() {
-	for {
-		c, err := e.listener.Accept()
-		if err != nil {
-			return
-		}
-		go e.serve(c)
-	}
-}
-
-func (e *Endpoint) serve(c net.Conn) {
-	defer func() { _ = c.Close() }()
+func (e *Faulty) serve(c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
 		if e.current() == CloseAtAccept {
@@ -115,7 +85,7 @@
 			return
 		}
 		if e.current() == CloseMidHeader {
-			_, _ = r.ReadString('\n')
+			_, _ = r.ReadString('\n') // a part of the header
 			return
 		}
 		req, err := http.ReadRequest(r)
@@ -131,15 +101,14 @@
 	}
 }
 
-// answer runs the request, unless the fault says otherwise, and reports
-// whether the connection goes on.
-func (e *Endpoint) answer(c net.Conn, req *http.Request) bool {
+// answer runs the request, unless the fault says otherwise, and reports whether the
+// connection goes on.
+func (e *Faulty) answer(c net.Conn, req *http.Request) bool {
 	f := e.current()
-	key := req.Header.Get(KeyHeader)
 	if f == AnswerNotRun {
-		_, err := io.WriteString(c, "HTTP/1.1 503 Busy\r\nLotuswing-Verdict: not-run\r\nContent-Length: 0\r\n\r\n")
-		return err == nil
+		return write(c, "HTTP/1.1 503 Busy\r\nLotuswing-Verdict: not-run\r\nContent-Length: 0\r\n\r\n")
 	}
+	key := req.Header.Get(KeyHeader)
 	e.mu.Lock()
 	e.runs[key]++
 	e.mu.Unlock()
@@ -147,33 +116,31 @@
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nLotuswing-Request-Id: %s\r\nContent-Length: %d\r\n\r\n%s",
 		req.Header.Get("Lotuswing-Request-Id"), len(body), body)
 	switch f {
-	case CloseAfterRead:
+	case Bare503:
+		return write(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+	case AnswerTwice:
+		return write(c, whole+whole)
+	case AnswerForeign:
+		return write(c, "HTTP/1.1 200 OK\r\nLotuswing-Request-Id: another\r\nContent-Length: 5\r\n\r\nother")
+	case CloseAfterRead, ResetAfterRead, CloseMidAnswer, CutBody, CutChunked, SilentAfterRead:
+		breakOff(c, f, whole)
 		return false
+	}
+	return write(c, whole)
+}
+
+// breakOff does what a fault does that ends the connection.
+func breakOff(c net.Conn, f Fault, whole string) {
+	switch f {
 	case ResetAfterRead:
-		_ = c.(*net.TCPConn).SetLinger(0)
-		return false
+		reset(c)
 	case CloseMidAnswer:
-		_, _ = io.WriteString(c, whole[:12])
-		return false
+		write(c, whole[:12])
 	case CutBody:
-		_, _ = io.WriteString(c, whole[:len(whole)-3])
-		return false
+		write(c, whole[:len(whole)-3])
 	case CutChunked:
-		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nanswer\r\n")
-		return false
-	case Bare503:
-		_, err := io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-		return err == nil
-	case AnswerTwice:
-		_, err := io.WriteString(c, whole+whole)
-		return err == nil
-	case AnswerForeign:
-		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nLotuswing-Request-Id: another\r\nContent-Length: 5\r\n\r\nother")
-		return err == nil
+		write(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nanswer\r\n")
 	case SilentAfterRead:
-		_, _ = io.Copy(io.Discard, c)
-		return false
+		_, _ = io.Copy(io.Discard, c) // until the other side closes
 	}
-	_, err := io.WriteString(c, whole)
-	return err == nil
 }
--- a/upstream/dialect_test.go
+++ b/upstream/dialect_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/lotuswing/lotuswing/coord/reason"
 	"github.com/lotuswing/lotuswing/coord/verdict"
-	"github.com/lotuswing/lotuswing/internal/scripted"
+	"github.com/lotuswing/lotuswing/internal/rawendpoint"
 	"github.com/lotuswing/lotuswing/platform"
 	"github.com/lotuswing/lotuswing/upstream"
 	"gotest.tools/v3/assert"
@@ -21,9 +21,9 @@
 	declined = "HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-func scriptedEndpoint(t *testing.T, steps ...scripted.Step) *scripted.Endpoint {
+func scriptedEndpoint(t *testing.T, steps ...rawendpoint.Step) *rawendpoint.Scripted {
 	t.Helper()
-	e, err := scripted.New(platform.Dialect().RequestID, steps...)
+	e, err := rawendpoint.NewScripted(platform.Dialect().RequestID, steps...)
 	assert.NilError(t, err)
 	t.Cleanup(e.Close)
 	return e
@@ -52,27 +52,27 @@
 func TestWhatAnAnswerProves(t *testing.T) {
 	cases := []struct {
 		name    string
-		step    scripted.Step
+		step    rawendpoint.Step
 		verdict verdict.Verdict
 		reason  reason.Code
 	}{
-		{"its own answer", scripted.Answer(signed), verdict.Ran, ""},
-		{"it declined", scripted.Answer(declined), verdict.NotRun, reason.EndpointRefused},
-		{"it declined with 429", scripted.Answer(strings.Replace(declined, "503 Busy", "429 Busy", 1)), verdict.NotRun, reason.EndpointRefused},
-		{"another instance", scripted.Answer("HTTP/1.1 421 No\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"), verdict.NotRun, reason.EndpointReplaced},
-		{"a bare 503 promises nothing", scripted.Answer("HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"), verdict.MayHaveRun, reason.AnswerUnknown},
-		{"a bare 429 promises nothing", scripted.Answer("HTTP/1.1 429 Busy\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"), verdict.MayHaveRun, reason.AnswerUnknown},
-		{"its own failure", scripted.Answer("HTTP/1.1 500 Error\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\nContent-Length: 0\r\n\r\n"), verdict.Ran, ""},
-		{"another request's answer", scripted.Answer(strings.ReplaceAll(signed, "{id}", "r2")), verdict.MayHaveRun, reason.AnswerForeign},
-		{"another request's refusal", scripted.Answer(strings.ReplaceAll(declined, "{id}", "r2")), verdict.MayHaveRun, reason.AnswerForeign},
-		{"an answer without a name", scripted.Answer(strings.Replace(signed, "Request-Id: {id}\r\n", "", 1)), verdict.MayHaveRun, reason.AnswerForeign},
-		{"success without a signature", scripted.Answer(strings.Replace(signed, "Response-Signature: s\r\n", "", 1)), verdict.MayHaveRun, reason.AnswerSpoiled},
-		{"an encoded body", scripted.Answer(strings.Replace(signed, "Content-Length", "Content-Encoding: gzip\r\nContent-Length", 1)), verdict.MayHaveRun, reason.AnswerSpoiled},
-		{"a body cut short", scripted.Cut(signed[:len(signed)-2]), verdict.MayHaveRun, reason.AnswerCut},
-		{"a chunked body cut short", scripted.Cut("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n"), verdict.MayHaveRun, reason.AnswerCut},
-		{"a body that ends with its connection", scripted.Cut(strings.Replace(signed, "Content-Length: 5\r\n", "", 1)), verdict.Ran, ""},
-		{"bytes that are no answer", scripted.Cut("garbage\r\n\r\n"), verdict.MayHaveRun, reason.AnswerUnknown},
-		{"a reset", scripted.Reset(), verdict.MayHaveRun, reason.AnswerUnknown},
+		{"its own answer", rawendpoint.Answer(signed), verdict.Ran, ""},
+		{"it declined", rawendpoint.Answer(declined), verdict.NotRun, reason.EndpointRefused},
+		{"it declined with 429", rawendpoint.Answer(strings.Replace(declined, "503 Busy", "429 Busy", 1)), verdict.NotRun, reason.EndpointRefused},
+		{"another instance", rawendpoint.Answer("HTTP/1.1 421 No\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"), verdict.NotRun, reason.EndpointReplaced},
+		{"a bare 503 promises nothing", rawendpoint.Answer("HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"), verdict.MayHaveRun, reason.AnswerUnknown},
+		{"a bare 429 promises nothing", rawendpoint.Answer("HTTP/1.1 429 Busy\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"), verdict.MayHaveRun, reason.AnswerUnknown},
+		{"its own failure", rawendpoint.Answer("HTTP/1.1 500 Error\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\nContent-Length: 0\r\n\r\n"), verdict.Ran, ""},
+		{"another request's answer", rawendpoint.Answer(strings.ReplaceAll(signed, "{id}", "r2")), verdict.MayHaveRun, reason.AnswerForeign},
+		{"another request's refusal", rawendpoint.Answer(strings.ReplaceAll(declined, "{id}", "r2")), verdict.MayHaveRun, reason.AnswerForeign},
+		{"an answer without a name", rawendpoint.Answer(strings.Replace(signed, "Request-Id: {id}\r\n", "", 1)), verdict.MayHaveRun, reason.AnswerForeign},
+		{"success without a signature", rawendpoint.Answer(strings.Replace(signed, "Response-Signature: s\r\n", "", 1)), verdict.MayHaveRun, reason.AnswerSpoiled},
+		{"an encoded body", rawendpoint.Answer(strings.Replace(signed, "Content-Length", "Content-Encoding: gzip\r\nContent-Length", 1)), verdict.MayHaveRun, reason.AnswerSpoiled},
+		{"a body cut short", rawendpoint.Cut(signed[:len(signed)-2]), verdict.MayHaveRun, reason.AnswerCut},
+		{"a chunked body cut short", rawendpoint.Cut("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n"), verdict.MayHaveRun, reason.AnswerCut},
+		{"a body that ends with its connection", rawendpoint.Cut(strings.Replace(signed, "Content-Length: 5\r\n", "", 1)), verdict.Ran, ""},
+		{"bytes that are no answer", rawendpoint.Cut("garbage\r\n\r\n"), verdict.MayHaveRun, reason.AnswerUnknown},
+		{"a reset", rawendpoint.Reset(), verdict.MayHaveRun, reason.AnswerUnknown},
 	}
 	for _, c := range cases {
 		res := sendTo(platformClient(t, false), scriptedEndpoint(t, c.step).Addr())
@@ -92,7 +92,7 @@
 func TestLongAnswerIsNotHeld(t *testing.T) {
 	long := strings.Repeat("x", 3000)
 	for _, framing := range []string{"Content-Length: 3000\r\n", ""} {
-		e := scriptedEndpoint(t, scripted.Cut("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\n"+framing+"\r\n"+long))
+		e := scriptedEndpoint(t, rawendpoint.Cut("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\n"+framing+"\r\n"+long))
 		res := sendTo(platformClient(t, false), e.Addr())
 		assert.Assert(t, !res.Buffered)
 		raw, err := io.ReadAll(res.Response.Body)
@@ -105,7 +105,7 @@
 // TestRequestGoesUnchanged, with what is left of its time and the instance it
 // is meant for.
 func TestRequestGoesUnchanged(t *testing.T) {
-	e := scriptedEndpoint(t, scripted.Answer(signed))
+	e := scriptedEndpoint(t, rawendpoint.Answer(signed))
 	res := sendTo(platformClient(t, false), e.Addr())
 	res.Close()
 	got := e.Requests()[0]
@@ -122,7 +122,7 @@
 // kept otherwise; probes use the kept ones.
 func TestFreshConnections(t *testing.T) {
 	for _, fresh := range []bool{false, true} {
-		e := scriptedEndpoint(t, scripted.Answer(signed))
+		e := scriptedEndpoint(t, rawendpoint.Answer(signed))
 		c := platformClient(t, fresh)
 		for range 3 {
 			res := sendTo(c, e.Addr())
@@ -138,7 +138,7 @@
 
 // TestProbe reads an endpoint's load and identity.
 func TestProbe(t *testing.T) {
-	e := scriptedEndpoint(t, scripted.Answer("HTTP/1.1 200 OK\r\nInstance-Id: i-7\r\nServer-Load: 2,1,3,500\r\nContent-Length: 0\r\n\r\n"))
+	e := scriptedEndpoint(t, rawendpoint.Answer("HTTP/1.1 200 OK\r\nInstance-Id: i-7\r\nServer-Load: 2,1,3,500\r\nContent-Length: 0\r\n\r\n"))
 	got, err := platformClient(t, false).Probe(context.Background(), e.Addr(), "/health", 5*time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, got.Instance, "i-7")
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/lotuswing/lotuswing/coord/verdict"
-	"github.com/lotuswing/lotuswing/internal/faulty"
+	"github.com/lotuswing/lotuswing/internal/rawendpoint"
 	"github.com/lotuswing/lotuswing/upstream"
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
@@ -22,8 +22,8 @@
 	assert.TestingT
 	Cleanup(func())
 },
-) *faulty.Endpoint {
-	e, err := faulty.New()
+) *rawendpoint.Faulty {
+	e, err := rawendpoint.NewFaulty()
 	assert.NilError(t, err)
 	t.Cleanup(e.Close)
 	return e
@@ -43,7 +43,7 @@
 		panic(err)
 	}
 	in.Header = header.Clone()
-	in.Header.Set(faulty.KeyHeader, key)
+	in.Header.Set(rawendpoint.KeyHeader, key)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	res := c.Send(ctx, upstream.Request{
@@ -80,7 +80,7 @@
 	for _, method := range methods {
 		for _, idempotencyKey := range []bool{false, true} {
 			for _, reused := range []bool{false, true} {
-				for _, f := range []faulty.Fault{faulty.CloseAfterRead, faulty.ResetAfterRead, faulty.CloseMidAnswer} {
+				for _, f := range []rawendpoint.Fault{rawendpoint.CloseAfterRead, rawendpoint.ResetAfterRead, rawendpoint.CloseMidAnswer} {
 					name := fmt.Sprintf("%s/idempotency-key=%v/reused=%v/%s", method, idempotencyKey, reused, f)
 					t.Run(name, func(t *testing.T) { readsAndCloses(t, method, idempotencyKey, reused, f) })
 				}
@@ -89,7 +89,7 @@
 	}
 }
 
-func readsAndCloses(t *testing.T, method string, idempotencyKey, reused bool, f faulty.Fault) {
+func readsAndCloses(t *testing.T, method string, idempotencyKey, reused bool, f rawendpoint.Fault) {
 	e := endpoint(t)
 	c := upstream.NewClient(upstream.Options{})
 	defer c.Close()
@@ -116,7 +116,7 @@
 		defer c.Close()
 		steps := rapid.IntRange(1, 6).Draw(t, "steps")
 		for i := range steps {
-			e.Set(rapid.SampledFrom(faulty.All).Draw(t, "fault"))
+			e.Set(rapid.SampledFrom(rawendpoint.AllFaults).Draw(t, "fault"))
 			method := rapid.SampledFrom(methods).Draw(t, "method")
 			body := rapid.SampledFrom([]string{"", "x", strings.Repeat("x", 5000)}).Draw(t, "body")
 			header := http.Header{}
@@ -139,7 +139,7 @@
 	c := upstream.NewClient(upstream.Options{Connections: 1})
 	defer c.Close()
 	e := endpoint(t)
-	e.Set(faulty.SilentAfterRead)
+	e.Set(rawendpoint.SilentAfterRead)
 	blocked := make(chan attempt, 1)
 	go func() { blocked <- send(c, e.Addr(), "POST", "first", "x", http.Header{}, patience) }()
 	for e.Ran("first") == 0 {
@@ -148,7 +148,7 @@
 	a := send(c, e.Addr(), "POST", "second", "x", http.Header{}, 10*time.Millisecond)
 	assert.Equal(t, a.verdict, verdict.NotRun)
 	assert.Equal(t, (<-blocked).verdict, verdict.MayHaveRun)
-	e.Set(faulty.None)
+	e.Set(rawendpoint.None)
 	assert.Equal(t, send(c, e.Addr(), "POST", "third", "x", http.Header{}, time.Minute).verdict, verdict.Ran)
 	assert.Equal(t, e.Ran("second"), 0)
 }
@@ -156,7 +156,7 @@
 // TestCutAnswerIsSeenAsCut: a body that ends early is an error, never a clean
 // short answer.
 func TestCutAnswerIsSeenAsCut(t *testing.T) {
-	for _, f := range []faulty.Fault{faulty.CutBody, faulty.CutChunked} {
+	for _, f := range []rawendpoint.Fault{rawendpoint.CutBody, rawendpoint.CutChunked} {
 		e := endpoint(t)
 		e.Set(f)
 		c := upstream.NewClient(upstream.Options{})
@@ -171,7 +171,7 @@
 // never reaches the caller.
 func TestForeignAnswerIsDiscarded(t *testing.T) {
 	e := endpoint(t)
-	e.Set(faulty.AnswerForeign)
+	e.Set(rawendpoint.AnswerForeign)
 	c := upstream.NewClient(upstream.Options{})
 	defer c.Close()
 	a := send(c, e.Addr(), "GET", "k", "", http.Header{}, time.Minute)
