--- /dev/null
+++ b/balancer/bench_test.go
@@ -0,0 +1,48 @@
+package balancer_test
+
+import (
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/lotuswing/lotuswing/balancer"
+	"github.com/lotuswing/lotuswing/coord/placement"
+	"github.com/lotuswing/lotuswing/platform"
+	"github.com/lotuswing/lotuswing/settings"
+	"github.com/lotuswing/lotuswing/telemetry"
+	"github.com/rcrowley/go-metrics"
+	"gotest.tools/v3/assert"
+)
+
+// BenchmarkRequest is one request on the platform's terms, from the handler to an
+// endpoint over loopback and back, with its log lines.
+func BenchmarkRequest(b *testing.B) {
+	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
+		w.Header().Set("Response-Signature", "s")
+		_, _ = io.WriteString(w, "whole")
+	}))
+	defer endpoint.Close()
+	chooser := newPrefixChooser()
+	chooser.endpoints = []placement.Endpoint{{VM: "e0", Addr: endpoint.Listener.Addr().String()}}
+	tracing, err := telemetry.NewTracing("none", io.Discard)
+	assert.NilError(b, err)
+	h := balancer.New(balancer.Config{
+		Chooser: chooser, Limits: settings.Limits{BodyBytes: 1 << 20, ReplayBytes: 1 << 14}, Log: hclog.NewNullLogger(),
+		Metrics: metrics.NewRegistry(), Tracing: tracing, Requests: telemetry.NewRequestLogger(io.Discard, 1000),
+		Policy: platform.Policy(settings.Retries{}),
+	})
+	b.ReportAllocs()
+	for b.Loop() {
+		r := httptest.NewRequest(http.MethodGet, "/safe/x", nil)
+		r.Host = "desk"
+		r.Header.Set("Request-Id", "r1")
+		w := httptest.NewRecorder()
+		h.ServeHTTP(w, r)
+		if w.Code != http.StatusOK {
+			b.Fatal(w.Code)
+		}
+	}
+}
--- a/balancer/serve.go
+++ b/balancer/serve.go
@@ -27,12 +27,12 @@
 		}
 		a := b.send(ctx, x, number, grant)
 		if delivers(&a.result, x.route.Kind.Repeatable, b.cfg.Policy.RetryServerErrors) {
-			return nil, b.passOn(x, a)
+			return nil, b.passOn(x, &a)
 		}
 		b.cfg.Chooser.Complete(grant, b.failedResult(&a.result, x.callerLeft(), time.Since(a.sent)))
-		x.noteFailed(a)
-		if !b.mayRetry(x, a, time.Now()) {
-			return nil, b.giveUp(ctx, x, a)
+		x.noteFailed(&a)
+		if !b.mayRetry(x, &a, time.Now()) {
+			return nil, b.giveUp(ctx, x, &a)
 		}
 		a.result.Close()
 	}
@@ -77,10 +77,10 @@
 }
 
 // send makes one attempt.
-func (b *Balancer) send(ctx context.Context, x *exchange, number int, grant placement.Grant) *attempt {
+func (b *Balancer) send(ctx context.Context, x *exchange, number int, grant placement.Grant) attempt {
 	ctx, span := b.cfg.Tracing.Tracer.Start(ctx, "send")
 	defer span.End()
-	a := &attempt{number: number, grant: grant, sent: time.Now()}
+	a := attempt{number: number, grant: grant, sent: time.Now()}
 	a.result = b.client(x.route).Send(ctx, upstream.Request{
 		ID:            b.attemptID(x, grant),
 		Addr:          grant.Endpoint.Addr,
@@ -92,7 +92,7 @@
 		Informational: x.passOnInformational,
 	})
 	span.SetAttributes(attribute.String("verdict", a.result.Verdict.String()), attribute.String("reason", string(a.result.Reason)))
-	x.logAttempt(a, time.Now())
+	x.logAttempt(&a, time.Now())
 	return a
 }
 
