--- a/coord/document/replica.go
+++ b/coord/document/replica.go
@@ -55,7 +55,7 @@
 	return version > v.Version && version > r.rejected[name]
 }
 
-// Offer takes in a value that is higher than the present one and that check
+// Offer accepts a value that is higher than the present one and that check
 // accepts; check also puts it in force, under the replica's lock, so that
 // versions come into force in order. A rejected version is not asked for
 // again.
--- a/coord/selection/decide.go
+++ b/coord/selection/decide.go
@@ -32,7 +32,7 @@
 
 // The actions.
 const (
-	Wait   Action = iota // and look again
+	Wait   Action = iota // and look at the endpoints again
 	Take                 // the best candidate
 	Refuse               // the request
 )
--- a/direct/complete.go
+++ b/direct/complete.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// learn takes in the time of a completion; c.mu is held.
+// learn learns from the time of a completion; c.mu is held.
 func (c *Chooser) learn(g placement.Grant, took time.Duration, slots int) {
 	service := serviceName(g.Service)
 	w, l := selection.Learn(c.workloads[g.Kind], c.lastSlots[service], g.Choice, took, slots)
--- a/logread/logread.go
+++ b/logread/logread.go
@@ -1,9 +1,9 @@
-// Package logread finds the story of one request in the logs of balancers.
+// Package logread finds one request in the logs of balancers.
 //
-// The story is every line that names the request, in the order in which its
-// process wrote them, and the lines about what that process believed: endpoints
-// that the request met, the configuration and the store, from a while before
-// the request until its end. The wall clocks of processes may differ, so lines
+// It returns every line that names the request, in the order in which its process
+// wrote them, and the context lines of that process: what it knew of endpoints that
+// the request met, of the configuration and of the store, from a while before the
+// request until its end. It owns nothing and relies on the form of the log lines. The wall clocks of processes may differ, so lines
 // of several processes are never ordered by them; each process has a part of
 // its own.
 //
@@ -26,7 +26,7 @@
 
 // Options of a search. Zero fields take the defaults.
 type Options struct {
-	// Before is how long before the request other lines are told; default 10 s.
+	// Before is how long before the request context lines are included; default 10 s.
 	Before time.Duration
 	// After is how long after its last line; default 1 s.
 	After time.Duration
@@ -49,7 +49,7 @@
 // Line is one line of a log.
 type Line struct {
 	At      time.Time
-	Request bool // it names the request; otherwise it tells a belief
+	Request bool // it names the request; otherwise it is a context line
 	Text    string
 }
 
@@ -78,8 +78,8 @@
 			return nil, fmt.Errorf("logread: %s: %w", source.Name, err)
 		}
 		for _, name := range slices.Sorted(maps.Keys(processes)) {
-			if told := choose(processes[name], opts); len(told) > 0 {
-				parts = append(parts, Part{Source: source.Name, Process: name, Lines: told})
+			if chosen := choose(processes[name], opts); len(chosen) > 0 {
+				parts = append(parts, Part{Source: source.Name, Process: name, Lines: chosen})
 			}
 		}
 	}
@@ -156,19 +156,19 @@
 		}
 	}
 	from, until := lines[first].At.Add(-opts.Before), lines[last].At.Add(opts.After)
-	var told []Line
+	var chosen []Line
 	for _, l := range lines {
 		within := !l.At.Before(from) && !l.At.After(until)
-		if l.Request || within && belief(l.Text, endpoints) {
-			told = append(told, l)
+		if l.Request || within && isContext(l.Text, endpoints) {
+			chosen = append(chosen, l)
 		}
 	}
-	return told
+	return chosen
 }
 
-// belief reports whether a line tells what a process believed: of itself, of
-// the store and the configuration, or of an endpoint that the request met.
-func belief(text string, endpoints map[string]bool) bool {
+// isContext reports whether a line says what a process knew: of itself, of the
+// store and the configuration, or of an endpoint that the request met.
+func isContext(text string, endpoints map[string]bool) bool {
 	if Value(text, "request") != "" && !strings.Contains(text, ": endpoint: ") {
 		return false
 	}
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -178,7 +178,7 @@
 	members := n.snapshot.Load().view.Members
 	order := n.rng.Perm(len(members))
 	n.mu.Unlock()
-	told := 0
+	called := 0
 	for _, i := range order {
 		if members[i].ID == n.cfg.Settings.ID {
 			continue
@@ -186,7 +186,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 2*heartbeatWait)
 		f(ctx, members[i].Addr)
 		cancel()
-		if told++; told == offerFanout {
+		if called++; called == offerFanout {
 			return
 		}
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -51,7 +51,7 @@
 	tickPeriod      = 20 * time.Millisecond  // of the ledgers
 	renewPeriod     = time.Second            // of contracts in use, a third of their life
 	pauseLimit      = 2 * time.Second        // beyond which the process counts as paused
-	offerFanout     = 3                      // peers that are told of news at once
+	offerFanout     = 3                      // peers that hear of news at once
 )
 
 // Config of a node.
--- a/telemetry/queue.go
+++ b/telemetry/queue.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// queueBytes bounds what waits to be written, in bytes.
+// queueBytes bounds what waits to be written, in bytes. Chosen without a
+// measurement.
 const queueBytes = 256 << 10
 
 // Queue is a writer of log lines that never waits for the reader of the log:
@@ -24,7 +25,7 @@
 
 	mu      sync.Mutex
 	pending []byte
-	told    int64 // drops that have been logged
+	logged  int64 // of the dropped ones, how many a line has counted
 	closed  bool
 }
 
@@ -35,7 +36,7 @@
 	return q
 }
 
-// Write takes in one or more whole lines. It never waits and never fails.
+// Write queues one or more whole lines. It never waits and never fails.
 func (q *Queue) Write(lines []byte) (int, error) {
 	q.mu.Lock()
 	if q.closed || len(q.pending)+len(lines) > queueBytes {
@@ -85,9 +86,9 @@
 	defer q.mu.Unlock()
 	batch = append(batch, q.pending...)
 	q.pending = q.pending[:0]
-	if dropped := q.dropped.Load(); dropped > q.told {
-		batch = fmt.Appendf(batch, "%s [WARN]  lotuswing.log: lines dropped: lines=%d\n", time.Now().UTC().Format(timeFormat), dropped-q.told)
-		q.told = dropped
+	if dropped := q.dropped.Load(); dropped > q.logged {
+		batch = fmt.Appendf(batch, "%s [WARN]  lotuswing.log: lines dropped: lines=%d\n", time.Now().UTC().Format(timeFormat), dropped-q.logged)
+		q.logged = dropped
 	}
 	return batch
 }
