--- a/audit/audit.go
+++ b/audit/audit.go
@@ -1,6 +1,8 @@
 // Package audit compares what callers were told with what endpoints ran, and
 // other promises with what was seen.
 //
+// The demo and the tests with separate processes rely on it; it owns no state.
+//
 // # Usage
 //
 //	found := audit.Answers(told, runs)
--- a/cli/balancer.go
+++ b/cli/balancer.go
@@ -1,6 +1,9 @@
 // Package cli is the command line of lotuswing, one balancer process. It links
 // nothing that only operators and developers need.
 //
+// It owns the process: signals, the log, the memory limit, and the reading of changed
+// settings (reload.go). It relies on package server for the rest.
+//
 // # Usage
 //
 //	os.Exit(cli.Balancer(os.Args[1:], os.Stdout, os.Stderr))
--- a/command/command.go
+++ b/command/command.go
@@ -1,6 +1,8 @@
 // Package command is what the command lines of the two binaries share: flags,
 // exit codes, tables.
 //
+// It owns no state and relies on kingpin for the parsing.
+//
 // # Usage
 //
 //	a := command.NewApp("lotusctl", "What it is for.", out, errOut)
--- a/coord/budget/budget.go
+++ b/coord/budget/budget.go
@@ -11,6 +11,9 @@
 // paused after its last check. So it is at least twice the cost of one
 // measurement.
 //
+// The package owns no state: a Bucket and an Account are immutable values that their
+// holder keeps. Rates and costs come from the tenant's document.
+//
 // # Usage
 //
 //	b := budget.New(limit, now)
--- a/coord/contract/endpoint.go
+++ b/coord/contract/endpoint.go
@@ -35,7 +35,8 @@
 	return &slots{Endpoint: e, health: health.New(opts.Health), held: map[string]contractHeld{}}
 }
 
-// mostShedDoublings bounds the pause after sheds in a row: 10 ms to 1.28 s.
+// mostShedDoublings bounds the pause after sheds in a row: 10 ms to 1.28 s. Chosen
+// without a measurement, as loadWeight.
 const mostShedDoublings = 7
 
 // shed leaves the endpoint alone for a moment, doubled while it goes on. It is
--- a/coord/contract/ledger.go
+++ b/coord/contract/ledger.go
@@ -10,7 +10,7 @@
 )
 
 // failedPause is how long an endpoint that fails and is not ejected is left
-// alone.
+// alone. Chosen without a measurement.
 const failedPause = 100 * time.Millisecond
 
 // Ledger is the account of one service's slots and of who waits for them.
--- a/coord/document/document.go
+++ b/coord/document/document.go
@@ -2,6 +2,9 @@
 // settled against a key-value service, and copies spread between processes
 // without ever going back.
 //
+// A Replica owns the process's copy; the store owns the document. Apply relies on a
+// Store with compare-and-swap and on a Clock that it is given.
+//
 // # Usage
 //
 //	out, err := document.Apply(ctx, kv, clock, "config/bennani", edit, document.ApplyOptions{})
--- a/coord/health/health.go
+++ b/coord/health/health.go
@@ -7,6 +7,9 @@
 // look-up can be compared. The average is taken of the logarithm: one request
 // from a heavy tail does not make an endpoint look slow.
 //
+// The package owns no state: a State is an immutable value. Its constants were chosen
+// without a measurement.
+//
 // # Usage
 //
 //	s := health.New(health.Options{})
@@ -32,7 +35,7 @@
 
 const (
 	alpha       = 0.2 // weight of a new sample in the moving average
-	mostDoubled = 10
+	mostDoubled = 10  // doublings of an ejection, which EjectMost bounds anyway
 )
 
 func (o Options) withDefaults() Options {
--- a/coord/lease/lease.go
+++ b/coord/lease/lease.go
@@ -6,6 +6,9 @@
 // before the request to the store was sent and shortened by a margin for clock
 // drift, and each use asks Valid with the present time.
 //
+// A Keeper owns the term that it holds; the store owns the lease. It relies on a Store
+// with compare-and-swap and times to live.
+//
 // # Usage
 //
 //	k := lease.NewKeeper(store, "lease/probe/bennani", "vm-3", 5*time.Second)
@@ -28,7 +31,8 @@
 )
 
 // marginDivisor is the share of the time to live that is given up against
-// clock drift between holder and store: one eighth.
+// clock drift between holder and store: one eighth. Chosen without a measurement; it
+// covers clocks that run apart by 12 percent.
 const marginDivisor = 8
 
 // ErrHeld is returned while another holder has the lease.
--- a/coord/leaving/leaving.go
+++ b/coord/leaving/leaving.go
@@ -5,6 +5,8 @@
 // gets new work at the same address. Sets merge by union, so balancers may
 // exchange them in any order and any number of times.
 //
+// The package owns no state: a Set is an immutable value.
+//
 // # Usage
 //
 //	s = s.With(leaving.Mark{VM: "e-17", Source: leaving.Answer}, now)
--- a/coord/member/member.go
+++ b/coord/member/member.go
@@ -6,6 +6,10 @@
 // incarnation. The number of messages a member sends does not depend on the
 // size of the fleet. The package decides; it does no input or output.
 //
+// A Table owns the view; what it hears is in digest.go, what others read in view.go.
+// The times of Options were chosen without a measurement; what a digest costs is in
+// docs/CAPACITY.md.
+//
 // # Usage
 //
 //	t := member.NewTable(self, member.Options{})
--- a/coord/pick/pick.go
+++ b/coord/pick/pick.go
@@ -6,6 +6,8 @@
 // balancing", 1996), leaving out those that are leaving, ejected or already
 // tried.
 //
+// It owns no state; the caller's random numbers decide.
+//
 // # Usage
 //
 //	i, ok := pick.TwoChoices(candidates, rng)
--- a/coord/reason/reason.go
+++ b/coord/reason/reason.go
@@ -1,6 +1,9 @@
 // Package reason lists the reason codes of answers that the balancer makes
 // itself, each with its documentation as data.
 //
+// Callers, operators and their searches rely on the codes: they never change their
+// meaning. A new one goes at the end of its group.
+//
 // # Usage
 //
 //	doc, ok := reason.Lookup(reason.QueueFull)
--- a/coord/rendezvous/rendezvous.go
+++ b/coord/rendezvous/rendezvous.go
@@ -2,6 +2,8 @@
 // nodes with the same view agree without exchanging a message, and a node that
 // leaves moves only the keys it had.
 //
+// It owns no state and relies on all nodes using the same hash.
+//
 // # Usage
 //
 //	home, ok := rendezvous.First("bennani/archives", ids)
--- a/coord/verdict/verdict.go
+++ b/coord/verdict/verdict.go
@@ -4,6 +4,9 @@
 // always safe to make, MayHaveRun: a code path that forgets to decide makes no
 // false promise.
 //
+// It owns no state. What an attempt proves is decided in package upstream, what all
+// attempts of a request prove together in package balancer.
+//
 // # Usage
 //
 //	v := verdict.MayHaveRun
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -3,6 +3,9 @@
 // with an endpoint that drains, one that turns slow and a change of
 // configuration while it runs. It checks every promise that it can see.
 //
+// It owns all that it starts: start.go the parts, disturb.go what happens to them,
+// report.go what is checked.
+//
 // # Usage
 //
 //	report, err := demo.Run(ctx, demo.Options{For: 10 * time.Second, Log: log})
--- a/internal/jsonc/jsonc.go
+++ b/internal/jsonc/jsonc.go
@@ -4,6 +4,9 @@
 // Unknown fields, repeated keys, wrong types and unusable durations are
 // faults. All faults of a file are reported in one run.
 //
+// It owns no state and relies on hujson for the syntax. It exists because a fault must be
+// told with file, line, column and field.
+//
 // # Usage
 //
 //	dec := jsonc.Decode("vm-1.jsonc", raw, &settings)
--- a/load/load.go
+++ b/load/load.go
@@ -1,6 +1,9 @@
 // Package load makes open-loop load: requests begin when the plan says so,
 // however slow the answers are, and latency counts from the intended start.
 //
+// It owns the requests that it makes; lotusctl load, the demo and the process tests use
+// it.
+//
 // # Usage
 //
 //	report, err := load.Run(ctx, load.Plan{Target: "http://127.0.0.1:8080", Host: "medina.bennani", Rate: 100, For: 10 * time.Second})
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,9 @@
 // Package settings is the documented configuration of one balancer process,
 // read from a file of JSON with comments.
 //
+// It owns no state. Names and forms of the fields are what deployments write; they
+// stay.
+//
 // # Usage
 //
 //	s, err := settings.Load("vm-1.jsonc")
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -7,6 +7,11 @@
 // Clocks are not disturbed: no decision of the product depends on the time of
 // day, and the steady clock of a process cannot be moved from outside.
 //
+// It owns the processes that it starts, and ends only these. The faults are in
+// faults.go, the links in proxy.go, the processes in process.go, what callers and
+// endpoints saw in ledger.go, promises with a time limit in timed.go. It relies on
+// package platformtest for the platform.
+//
 // # Usage
 //
 //	result, err := soak.Run(ctx, soak.Config{Seed: 7, For: time.Minute, Balancers: 4, Command: command, Log: log})
--- a/standin/store.go
+++ b/standin/store.go
@@ -2,6 +2,9 @@
 // platform's key-value service and list of VMs, and endpoints. Each can be
 // told to fail in the ways that the real one does.
 //
+// A Store owns its keys in memory; its HTTP form, which package storeclient speaks, is in
+// storeapi.go. An Endpoint owns the account of what ran.
+//
 // # Usage
 //
 //	s := standin.NewStore(standin.StoreOptions{})
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -5,6 +5,10 @@
 // Prometheus scrapes. Traces have a span for each hop; with the exporter
 // "none" no span is recorded.
 //
+// It owns the queue of log lines that are not written yet (queue.go), the rate of the
+// lines about requests (requestlog.go, events.go) and the latency histograms
+// (histogram.go). It relies on nobody: a log that is not read holds up no request.
+//
 // # Usage
 //
 //	log, err := telemetry.Logger("lotuswing", "info", os.Stderr)
--- a/tenant/tenant.go
+++ b/tenant/tenant.go
@@ -1,6 +1,10 @@
 // Package tenant is the operators' document of one tenant: services, templates
 // of request kinds, and teams that fill in a template's parameters.
 //
+// A document becomes a Config in render.go; requests are routed in route.go, and on
+// the operators' platform by host and longest prefix in prefix.go. The package owns no
+// state and relies on package jsonc for the place of each fault.
+//
 // # Usage
 //
 //	cfg, err := tenant.Parse("bennani.jsonc", raw)
--- a/vm/vm.go
+++ b/vm/vm.go
@@ -3,6 +3,8 @@
 // The list lags behind reality: it adds machines and marks them as leaving,
 // but what an endpoint says of itself goes before it.
 //
+// It owns no state and relies on the form in which the platform publishes the list.
+//
 // # Usage
 //
 //	list, err := vm.Parse(raw)
