--- a/directory/follow.go
+++ b/directory/follow.go
@@ -93,8 +93,8 @@
 }
 
 // Watching returns for how long the present watch has waited at the store, 0
-// where there is none. What the store had to tell has come after some
-// milliseconds of waiting.
+// where there is none. A watch that has waited for some milliseconds has brought
+// whatever the store knew when it began.
 func (f *Follower) Watching(now time.Time) time.Duration {
 	since := f.watching.Load()
 	if since == 0 {
@@ -170,8 +170,8 @@
 }
 
 // gather pauses after changes, so that more of them come with the next answer. A
-// balancer on which others rely passes registrations on at once: what these do not
-// know of, they make again.
+// relay passes registrations on at once: a balancer that does not know of one
+// would register, too.
 func (f *Follower) gather(ctx context.Context, changes Changes) {
 	n := changes.count()
 	if f.serving.Load() {
--- a/node/local.go
+++ b/node/local.go
@@ -8,13 +8,13 @@
 	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
-// local is what this node knows by itself, for choosing without a home, and
-// the grants it uses.
+// local is what this node knows from its own requests, for choosing without a
+// home, and the grants that it uses.
 type local struct {
 	mu        sync.Mutex
 	held      map[string]placement.Grant
 	endpoints map[string]own
-	silent    map[string]time.Time // homes not to be asked before
+	silent    map[string]time.Time // homes that did not answer, until when they are left alone
 }
 
 // own is this node's own account of one endpoint.
