--- a/coord/member/digest.go
+++ b/coord/member/digest.go
@@ -5,6 +5,13 @@
 	"slices"
 )
 
+// Members sent with one message, chosen without a measurement: a heartbeat's digest
+// is then 310 bytes, whatever the size of the fleet (docs/CAPACITY.md).
+const (
+	digestNews = 8 // that changed
+	digestRest = 4 // others, in turn
+)
+
 // spreadFactor times the binary logarithm of the fleet's size is how often a
 // change is sent by each member that hears of it.
 const spreadFactor = 3
@@ -17,7 +24,7 @@
 	enough := spreadFactor * bits.Len(uint(len(t.records)))
 	var again []string
 	for i, id := range t.news {
-		if len(out) > t.opts.DigestNews {
+		if len(out) > digestNews {
 			again = append(again, t.news[i:]...)
 			break
 		}
@@ -45,7 +52,7 @@
 // rest adds members in turn to a digest; names of forgotten members leave the
 // ring on the way.
 func (t *Table) rest(out []Member) []Member {
-	for range min(t.opts.DigestRest, len(t.ring)) {
+	for range min(digestRest, len(t.ring)) {
 		t.next %= len(t.ring)
 		r, ok := t.records[t.ring[t.next]]
 		if !ok {
--- a/coord/member/member.go
+++ b/coord/member/member.go
@@ -7,8 +7,7 @@
 // size of the fleet. The package decides; it does no input or output.
 //
 // A Table owns the view; what it hears is in digest.go, what others read in view.go.
-// The times of Options were chosen without a measurement; what a digest costs is in
-// docs/CAPACITY.md.
+// What a digest costs is in docs/CAPACITY.md.
 //
 // # Usage
 //
@@ -20,6 +19,7 @@
 package member
 
 import (
+	"cmp"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -54,11 +54,14 @@
 // Options of a table. Zero fields take the defaults.
 type Options struct {
 	SuspectFor time.Duration // before a suspect is dead; default 2 s
-	ForgetFor  time.Duration // before a dead member is forgotten; default 1 h
-	DigestNews int           // changed members sent with a message; default 8
-	DigestRest int           // other members sent with a message, in turn; default 4
 }
 
+// Chosen without a measurement.
+const (
+	suspectFor = 2 * time.Second
+	forgetFor  = time.Hour // before a dead member is forgotten
+)
+
 type record struct {
 	Member
 	since time.Time // of the state
@@ -78,18 +81,7 @@
 
 // NewTable returns a table that knows only self.
 func NewTable(self Member, opts Options) *Table {
-	if opts.SuspectFor == 0 {
-		opts.SuspectFor = 2 * time.Second
-	}
-	if opts.ForgetFor == 0 {
-		opts.ForgetFor = time.Hour
-	}
-	if opts.DigestNews == 0 {
-		opts.DigestNews = 8
-	}
-	if opts.DigestRest == 0 {
-		opts.DigestRest = 4
-	}
+	opts.SuspectFor = cmp.Or(opts.SuspectFor, suspectFor)
 	t := &Table{self: self.ID, opts: opts, records: map[string]*record{}}
 	t.records[self.ID] = &record{Member: self}
 	return t
@@ -188,7 +180,7 @@
 			dead.State = Dead
 			t.set(now, dead)
 			changed = true
-		case (r.State == Dead || r.State == Left) && id != t.self && now.Sub(r.since) >= t.opts.ForgetFor:
+		case (r.State == Dead || r.State == Left) && id != t.self && now.Sub(r.since) >= forgetFor:
 			delete(t.records, id)
 			changed = true
 		}
--- a/storeclient/client.go
+++ b/storeclient/client.go
@@ -30,26 +30,26 @@
 	"github.com/lotuswing/lotuswing/coord/store"
 )
 
-// Defaults of Options. They were chosen without a measurement.
+// Defaults of Options and bounds of a client, chosen without a measurement.
 const (
 	defaultTimeout  = 2 * time.Second
-	defaultRate     = 20 // calls a second
-	defaultCooldown = 2 * time.Second
-	tripAfter       = 3 // failures in a row
+	defaultRate     = 20              // calls a second
+	tripAfter       = 3               // failures in a row, after which the service is left alone
+	cooldown        = 2 * time.Second // for which it is
+	idleConnections = 2
 )
 
 // Options configures a Client. Zero fields take the defaults.
 type Options struct {
-	Timeout  time.Duration // of one call other than a watch
-	Rate     int           // calls a second that this client may make
-	Cooldown time.Duration // how long the client leaves a failing service alone
-	HTTP     *http.Client
+	Timeout time.Duration // of one call other than a watch; default 2 s
+	Rate    int           // calls a second that this client may make; default 20
 }
 
 // Client calls the service. It is safe for concurrent use.
 type Client struct {
 	base string
 	opts Options
+	http *http.Client
 
 	mu       sync.Mutex
 	tokens   float64
@@ -67,13 +67,8 @@
 	if opts.Rate == 0 {
 		opts.Rate = defaultRate
 	}
-	if opts.Cooldown == 0 {
-		opts.Cooldown = defaultCooldown
-	}
-	if opts.HTTP == nil {
-		opts.HTTP = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
-	}
-	return &Client{base: base, opts: opts, tokens: float64(opts.Rate)}
+	connections := &http.Transport{MaxIdleConnsPerHost: idleConnections}
+	return &Client{base: base, opts: opts, http: &http.Client{Transport: connections}, tokens: float64(opts.Rate)}
 }
 
 // Get reads a key.
@@ -116,7 +111,7 @@
 	}
 	// Without GetBody the transport never sends a write twice on its own.
 	req.GetBody = nil
-	resp, err := c.opts.HTTP.Do(req)
+	resp, err := c.http.Do(req)
 	if err != nil {
 		c.failed(time.Now())
 		return store.Entry{}, lostAnswer(method, err)
@@ -185,7 +180,7 @@
 	defer c.mu.Unlock()
 	c.failures++
 	if c.failures >= tripAfter {
-		c.until = now.Add(c.opts.Cooldown)
+		c.until = now.Add(cooldown)
 	}
 }
 
