--- a/coord/contract/contract.go
+++ b/coord/contract/contract.go
@@ -31,6 +31,7 @@
 package contract
 
 import (
+	"cmp"
 	"time"
 
 	"github.com/lotuswing/lotuswing/coord/health"
@@ -100,24 +101,17 @@
 }
 
 func (o Options) withDefaults() Options {
-	setDefault(&o.TTL, 3*time.Second)
-	setDefault(&o.QueueLimit, 2000)
-	setDefault(&o.FreshFor, 2*time.Second)
-	setDefault(&o.ZoneCost, 0.1)
-	setDefault(&o.PatientSpare, 0.04)
-	setDefault(&o.PatientShare, 0.2)
-	setDefault(&o.ColdSlots, 1)
-	setDefault(&o.TrialEvery, time.Second)
-	setDefault(&o.LearnFor, 100*time.Millisecond)
-	setDefault(&o.Overbook, 1)
-	setDefault(&o.OverbookOff, 10*time.Second)
-	setDefault(&o.ShedPause, 10*time.Millisecond)
+	o.TTL = cmp.Or(o.TTL, 3*time.Second)
+	o.QueueLimit = cmp.Or(o.QueueLimit, 2000)
+	o.FreshFor = cmp.Or(o.FreshFor, 2*time.Second)
+	o.ZoneCost = cmp.Or(o.ZoneCost, 0.1)
+	o.PatientSpare = cmp.Or(o.PatientSpare, 0.04)
+	o.PatientShare = cmp.Or(o.PatientShare, 0.2)
+	o.ColdSlots = cmp.Or(o.ColdSlots, 1)
+	o.TrialEvery = cmp.Or(o.TrialEvery, time.Second)
+	o.LearnFor = cmp.Or(o.LearnFor, 100*time.Millisecond)
+	o.Overbook = cmp.Or(o.Overbook, 1)
+	o.OverbookOff = cmp.Or(o.OverbookOff, 10*time.Second)
+	o.ShedPause = cmp.Or(o.ShedPause, 10*time.Millisecond)
 	return o
 }
-
-func setDefault[T comparable](field *T, value T) {
-	var zero T
-	if *field == zero {
-		*field = value
-	}
-}
--- a/coord/document/apply.go
+++ b/coord/document/apply.go
@@ -1,6 +1,7 @@
 package document
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -68,12 +69,8 @@
 // because the version it named has passed, or it is tried again with the same
 // identity. The error, if any, is the last one of the service.
 func Apply(ctx context.Context, s Store, clock Clock, key string, p Proposal, opts ApplyOptions) (Outcome, error) {
-	if opts.Attempts == 0 {
-		opts.Attempts = 5
-	}
-	if opts.Pause == 0 {
-		opts.Pause = 200 * time.Millisecond
-	}
+	opts.Attempts = cmp.Or(opts.Attempts, 5)
+	opts.Pause = cmp.Or(opts.Pause, 200*time.Millisecond)
 	var last error
 	for i := range opts.Attempts {
 		if i > 0 {
--- a/coord/health/health.go
+++ b/coord/health/health.go
@@ -19,6 +19,7 @@
 package health
 
 import (
+	"cmp"
 	"math"
 	"slices"
 	"time"
@@ -39,21 +40,11 @@
 )
 
 func (o Options) withDefaults() Options {
-	if o.EjectAfter == 0 {
-		o.EjectAfter = 3
-	}
-	if o.EjectFor == 0 {
-		o.EjectFor = 500 * time.Millisecond
-	}
-	if o.EjectMost == 0 {
-		o.EjectMost = 8 * time.Second
-	}
-	if o.SlowFactor == 0 {
-		o.SlowFactor = 3
-	}
-	if o.SlowSamples == 0 {
-		o.SlowSamples = 3
-	}
+	o.EjectAfter = cmp.Or(o.EjectAfter, 3)
+	o.EjectFor = cmp.Or(o.EjectFor, 500*time.Millisecond)
+	o.EjectMost = cmp.Or(o.EjectMost, 8*time.Second)
+	o.SlowFactor = cmp.Or(o.SlowFactor, 3)
+	o.SlowSamples = cmp.Or(o.SlowSamples, 3)
 	return o
 }
 
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -18,6 +18,7 @@
 package soak
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -54,17 +55,10 @@
 }
 
 func (c Config) withDefaults() Config {
-	set := func(field *int, value int) {
-		if *field == 0 {
-			*field = value
-		}
-	}
-	set(&c.Balancers, 4)
-	set(&c.Endpoints, 4)
-	set(&c.Callers, 8)
-	if c.Gap == 0 {
-		c.Gap = 300 * time.Millisecond
-	}
+	c.Balancers = cmp.Or(c.Balancers, 4)
+	c.Endpoints = cmp.Or(c.Endpoints, 4)
+	c.Callers = cmp.Or(c.Callers, 8)
+	c.Gap = cmp.Or(c.Gap, 300*time.Millisecond)
 	if c.Log == nil {
 		c.Log = hclog.NewNullLogger()
 	}
--- a/storeclient/client.go
+++ b/storeclient/client.go
@@ -15,6 +15,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -61,12 +62,8 @@
 // New returns a client of the service at base, such as
 // "http://127.0.0.1:7400".
 func New(base string, opts Options) *Client {
-	if opts.Timeout == 0 {
-		opts.Timeout = defaultTimeout
-	}
-	if opts.Rate == 0 {
-		opts.Rate = defaultRate
-	}
+	opts.Timeout = cmp.Or(opts.Timeout, defaultTimeout)
+	opts.Rate = cmp.Or(opts.Rate, defaultRate)
 	connections := &http.Transport{MaxIdleConnsPerHost: idleConnections}
 	return &Client{base: base, opts: opts, http: &http.Client{Transport: connections}, tokens: float64(opts.Rate)}
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -20,6 +20,7 @@
 package upstream
 
 import (
+	"cmp"
 	"context"
 	"net"
 	"net/http"
@@ -54,12 +55,8 @@
 
 // NewClient returns a client.
 func NewClient(opts Options) *Client {
-	if opts.DialTimeout == 0 {
-		opts.DialTimeout = defaultDialTimeout
-	}
-	if opts.IdleTimeout == 0 {
-		opts.IdleTimeout = defaultIdleTimeout
-	}
+	opts.DialTimeout = cmp.Or(opts.DialTimeout, defaultDialTimeout)
+	opts.IdleTimeout = cmp.Or(opts.IdleTimeout, defaultIdleTimeout)
 	if opts.Dialect == nil {
 		native := Native()
 		opts.Dialect = &native
