--- a/coord/contract/admit.go
+++ b/coord/contract/admit.go
@@ -23,7 +23,7 @@
 	ahead := l.ahead(r)
 	wait := max(l.estimate(ahead, usable), l.drains[r.Class].wait(ahead))
 	late := now.Add(wait).Sub(r.WaitUntil)
-	if end := now.Add(wait + l.base[r.Class].typical()).Sub(r.Deadline); end > late {
+	if end := now.Add(wait + l.serviceTimes[r.Class].typical()).Sub(r.Deadline); end > late {
 		late = end
 	}
 	if late > 0 {
@@ -50,9 +50,9 @@
 
 // estimate returns how long n requests take to clear the given slots.
 func (l *Ledger) estimate(n, usable int) time.Duration {
-	mean := max(l.base[placement.Interactive].typical(), l.base[placement.Patient].typical())
-	if l.queues[placement.Patient].len() == 0 && l.base[placement.Interactive].samples > 0 {
-		mean = l.base[placement.Interactive].typical()
+	mean := max(l.serviceTimes[placement.Interactive].typical(), l.serviceTimes[placement.Patient].typical())
+	if l.queues[placement.Patient].len() == 0 && l.serviceTimes[placement.Interactive].samples > 0 {
+		mean = l.serviceTimes[placement.Interactive].typical()
 	}
 	return time.Duration(float64(n) * float64(mean) / float64(usable))
 }
--- a/coord/contract/average.go
+++ b/coord/contract/average.go
@@ -7,33 +7,33 @@
 
 // Chosen without a measurement.
 const (
-	// baseAlpha is the weight of one completion in the usual service time.
-	baseAlpha = 0.02
+	// serviceTimeAlpha is the weight of one completion in the usual service time.
+	serviceTimeAlpha = 0.02
 	// drainAlpha is the weight of one grant in the interval between grants.
 	drainAlpha = 0.1
 	// drainSamples are needed before the interval is believed.
 	drainSamples = 5
 )
 
-// usual is a moving average of service times.
-type usual struct {
+// serviceTime is the usual service time of a class, a moving average.
+type serviceTime struct {
 	log     float64 // of nanoseconds
 	samples int
 }
 
-func (u *usual) add(took time.Duration) {
+func (t *serviceTime) add(took time.Duration) {
 	sample := math.Log(float64(max(took, 1)))
-	u.samples++
-	weight := max(baseAlpha, 1/float64(u.samples))
-	u.log += weight * (sample - u.log)
+	t.samples++
+	weight := max(serviceTimeAlpha, 1/float64(t.samples))
+	t.log += weight * (sample - t.log)
 }
 
 // typical returns the geometric mean, 0 while nothing is known.
-func (u *usual) typical() time.Duration {
-	if u.samples == 0 {
+func (t *serviceTime) typical() time.Duration {
+	if t.samples == 0 {
 		return 0
 	}
-	return time.Duration(math.Exp(u.log))
+	return time.Duration(math.Exp(t.log))
 }
 
 // drain is how fast a class that waits is granted slots.
--- a/coord/contract/choose.go
+++ b/coord/contract/choose.go
@@ -58,8 +58,8 @@
 }
 
 // choose returns the endpoint for a request, or nil if it had better wait.
-func (l *Ledger) choose(now time.Time, w waiting) *slots {
-	var best *slots
+func (l *Ledger) choose(now time.Time, w waiting) *account {
+	var best *account
 	bestTier, bestCost := tierSlow, math.Inf(1)
 	depth := 0
 	if w.Class == placement.Interactive {
@@ -70,7 +70,7 @@
 			continue
 		}
 		t := s.tier(now, l.opts, l.median)
-		if t == tierSlow && !l.tryslow(now, s, w) {
+		if t == tierSlow && !l.trySlow(now, s, w) {
 			continue
 		}
 		c := s.cost(w.Zone, l.opts)
@@ -88,13 +88,13 @@
 	return best
 }
 
-// tryslow reports whether a slow endpoint is worth a request: to test it from
+// trySlow reports whether a slow endpoint is worth a request: to test it from
 // time to time, or because the wait for a good one would be longer.
-func (l *Ledger) tryslow(now time.Time, s *slots, w waiting) bool {
+func (l *Ledger) trySlow(now time.Time, s *account, w waiting) bool {
 	if now.Sub(s.lastTrial) >= l.opts.TrialEvery {
 		return true
 	}
-	typical := float64(l.base[w.Class].typical())
+	typical := float64(l.serviceTimes[w.Class].typical())
 	extra := time.Duration((s.health.Slowness()/l.median - 1) * typical)
 	ahead := l.queues[placement.Interactive].len() + l.queues[placement.Patient].len()
 	return l.estimate(ahead, max(1, l.goodSlots(now))) > extra
--- a/coord/contract/endpoint.go
+++ b/coord/contract/endpoint.go
@@ -18,8 +18,8 @@
 	booked  bool // granted beyond the slots
 }
 
-// slots is the ledger's account of one endpoint.
-type slots struct {
+// account is what the ledger knows of one endpoint and has granted there.
+type account struct {
 	placement.Endpoint
 	health     health.State
 	held       map[string]contractHeld
@@ -31,8 +31,8 @@
 	sheds      int       // in a row
 }
 
-func newSlots(e placement.Endpoint, opts Options) *slots {
-	return &slots{Endpoint: e, health: health.New(opts.Health), held: map[string]contractHeld{}}
+func newAccount(e placement.Endpoint, opts Options) *account {
+	return &account{Endpoint: e, health: health.New(opts.Health), held: map[string]contractHeld{}}
 }
 
 // mostShedDoublings bounds the pause after sheds in a row: 10 ms to 1.28 s. Chosen
@@ -42,13 +42,13 @@
 // shed leaves the endpoint alone for a moment, doubled while it goes on. It is
 // full, or rejects everything; either way it is no failure: nothing ran, and
 // requests wait for it rather than being refused.
-func (s *slots) shed(now time.Time, opts Options) {
+func (s *account) shed(now time.Time, opts Options) {
 	s.pauseUntil = now.Add(opts.ShedPause << min(s.sheds, mostShedDoublings))
 	s.sheds++
 }
 
 // capacity returns how many requests the endpoint may have in flight at now.
-func (s *slots) capacity(now time.Time, opts Options) int {
+func (s *account) capacity(now time.Time, opts Options) int {
 	switch {
 	case s.leaving, s.health.Ejected(now):
 		return 0
@@ -61,7 +61,7 @@
 }
 
 // free returns the slots that may be granted at now.
-func (s *slots) free(now time.Time, opts Options) int {
+func (s *account) free(now time.Time, opts Options) int {
 	if now.Before(s.pauseUntil) {
 		return 0
 	}
@@ -71,13 +71,13 @@
 // mayOverbook reports whether a request may be sent ahead of a free slot. A
 // slot is idle while the news of its release and the next grant travel; a
 // request that waits at the endpoint fills that time.
-func (s *slots) mayOverbook(now time.Time, depth int, opts Options) bool {
+func (s *account) mayOverbook(now time.Time, depth int, opts Options) bool {
 	whole := s.capacity(now, opts) == s.Slots && !now.Before(s.pauseUntil)
 	return whole && len(s.held) < s.Slots+depth
 }
 
 // fresh reports whether the endpoint has lately shown that it stays.
-func (s *slots) fresh(now time.Time, opts Options) bool {
+func (s *account) fresh(now time.Time, opts Options) bool {
 	return now.Sub(s.lastSign) <= opts.FreshFor
 }
 
@@ -91,7 +91,7 @@
 	tierSlow
 )
 
-func (s *slots) tier(now time.Time, opts Options, median float64) tier {
+func (s *account) tier(now time.Time, opts Options, median float64) tier {
 	switch {
 	case s.health.Slow(median):
 		return tierSlow
@@ -108,7 +108,7 @@
 const loadWeight = 0.25
 
 // cost is the expected time of a request, in units of the usual time.
-func (s *slots) cost(zone string, opts Options) float64 {
+func (s *account) cost(zone string, opts Options) float64 {
 	c := s.health.Slowness() * (1 + loadWeight*float64(len(s.held)))
 	if zone != s.Zone {
 		c += opts.ZoneCost
@@ -116,6 +116,6 @@
 	return c
 }
 
-func sortBySign(list []*slots) {
-	slices.SortStableFunc(list, func(a, b *slots) int { return a.lastSign.Compare(b.lastSign) })
+func sortBySign(list []*account) {
+	slices.SortStableFunc(list, func(a, b *account) int { return a.lastSign.Compare(b.lastSign) })
 }
--- a/coord/contract/ledger.go
+++ b/coord/contract/ledger.go
@@ -15,26 +15,26 @@
 
 // Ledger is the account of one service's slots and of who waits for them.
 type Ledger struct {
-	opts      Options
-	endpoints map[string]*slots
-	order     []*slots // by VM
-	owner     map[string]*slots
-	queues    [placement.Classes]queue
-	base      [placement.Classes]usual
-	drains    [placement.Classes]drain
-	inUse     [placement.Classes]int // contracts
-	median    float64
-	overbook  overbooking
-	learning  time.Time            // nothing is granted before this time
-	ended     map[string]time.Time // contracts that ended lately
+	opts         Options
+	endpoints    map[string]*account
+	order        []*account // by VM
+	owner        map[string]*account
+	queues       [placement.Classes]queue
+	serviceTimes [placement.Classes]serviceTime
+	drains       [placement.Classes]drain
+	inUse        [placement.Classes]int // contracts
+	median       float64
+	overbook     overbooking
+	learning     time.Time            // nothing is granted before this time
+	ended        map[string]time.Time // contracts that ended lately
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger(opts Options) *Ledger {
 	return &Ledger{
 		opts:      opts.withDefaults(),
-		endpoints: map[string]*slots{},
-		owner:     map[string]*slots{},
+		endpoints: map[string]*account{},
+		owner:     map[string]*account{},
 		ended:     map[string]time.Time{},
 		median:    1,
 	}
@@ -48,11 +48,11 @@
 // that stays in the list, and its contracts, are kept. An endpoint that leaves
 // reports as leaving gets nothing from now on.
 func (l *Ledger) SetEndpoints(now time.Time, list []placement.Endpoint, leaves func(vm string) bool) []Decision {
-	next := make(map[string]*slots, len(list))
+	next := make(map[string]*account, len(list))
 	for _, e := range list {
 		s, ok := l.endpoints[e.VM]
 		if !ok {
-			s = newSlots(e, l.opts)
+			s = newAccount(e, l.opts)
 		}
 		s.Endpoint = e
 		s.leaving = s.leaving || leaves(e.VM)
@@ -68,7 +68,7 @@
 	for _, s := range next {
 		l.order = append(l.order, s)
 	}
-	slices.SortFunc(l.order, func(a, b *slots) int { return compareStrings(a.VM, b.VM) })
+	slices.SortFunc(l.order, func(a, b *account) int { return compareStrings(a.VM, b.VM) })
 	return l.dispatch(now)
 }
 
@@ -82,14 +82,14 @@
 	return 0
 }
 
-func (l *Ledger) dropContracts(s *slots) {
+func (l *Ledger) dropContracts(s *account) {
 	for id := range s.held {
 		l.drop(s, id)
 	}
 }
 
 // drop ends a contract without learning from it.
-func (l *Ledger) drop(s *slots, id string) {
+func (l *Ledger) drop(s *account, id string) {
 	l.inUse[s.held[id].class]--
 	delete(s.held, id)
 	delete(l.owner, id)
@@ -143,8 +143,8 @@
 	switch o {
 	case placement.Completed:
 		s.sheds = 0
-		l.base[class].add(took)
-		s.health = s.health.WithCompletion(float64(took) / float64(max(l.base[class].typical(), 1)))
+		l.serviceTimes[class].add(took)
+		s.health = s.health.WithCompletion(float64(took) / float64(max(l.serviceTimes[class].typical(), 1)))
 	case placement.Shed:
 		s.shed(now, l.opts)
 		if booked { // our own doing
@@ -253,7 +253,7 @@
 	return l.dispatch(now)
 }
 
-func (l *Ledger) hold(now time.Time, s *slots, r Request) Decision {
+func (l *Ledger) hold(now time.Time, s *account, r Request) Decision {
 	until := now.Add(l.opts.TTL)
 	s.held[r.ID] = contractHeld{id: r.ID, holder: r.Holder, class: r.Class, granted: now, until: until, booked: len(s.held) >= s.Slots}
 	l.owner[r.ID] = s
--- a/coord/contract/state.go
+++ b/coord/contract/state.go
@@ -83,7 +83,7 @@
 		for _, w := range l.queues[c].items {
 			st.Waiting = append(st.Waiting, WaitingState{Request: w.Request, Since: w.since})
 		}
-		st.Usual = append(st.Usual, UsualState{Log: l.base[c].log, Samples: l.base[c].samples})
+		st.Usual = append(st.Usual, UsualState{Log: l.serviceTimes[c].log, Samples: l.serviceTimes[c].samples})
 		d := l.drains[c]
 		st.Drains = append(st.Drains, DrainState{Last: d.last, Interval: d.interval, Samples: d.samples})
 	}
@@ -100,7 +100,7 @@
 	}
 	l.overbook = overbooking{off: st.Off, times: st.OffTimes}
 	for _, e := range st.Endpoints {
-		s := newSlots(e.Endpoint, l.opts)
+		s := newAccount(e.Endpoint, l.opts)
 		s.health = health.Restore(l.opts.Health, e.Health)
 		s.leaving, s.cold = e.Leaving, e.Cold
 		s.lastSign, s.pauseUntil, s.lastTrial, s.sheds = e.LastSign, e.PauseUntil, e.LastTrial, e.Sheds
@@ -116,7 +116,7 @@
 		l.queues[w.Request.Class].push(waiting{Request: w.Request, since: w.Since})
 	}
 	for c := range st.Usual {
-		l.base[c] = usual{log: st.Usual[c].Log, samples: st.Usual[c].Samples}
+		l.serviceTimes[c] = serviceTime{log: st.Usual[c].Log, samples: st.Usual[c].Samples}
 		l.drains[c] = drain{last: st.Drains[c].Last, interval: st.Drains[c].Interval, samples: st.Drains[c].Samples}
 	}
 	return l
--- a/coord/contract/status.go
+++ b/coord/contract/status.go
@@ -28,7 +28,7 @@
 	st := Status{Waiting: map[string]int{}, Typical: map[string]time.Duration{}}
 	for c := range placement.Classes {
 		st.Waiting[c.String()] = l.queues[c].len()
-		st.Typical[c.String()] = l.base[c].typical()
+		st.Typical[c.String()] = l.serviceTimes[c].typical()
 	}
 	for _, s := range l.order {
 		st.Endpoints = append(st.Endpoints, EndpointStatus{
@@ -42,7 +42,7 @@
 	return st
 }
 
-func (l *Ledger) stateName(now time.Time, s *slots) string {
+func (l *Ledger) stateName(now time.Time, s *account) string {
 	switch {
 	case s.leaving:
 		return "leaving"
@@ -60,7 +60,7 @@
 // sign of staying for the given time, the longest silent first. They are the
 // ones worth a measurement.
 func (l *Ledger) Unconfirmed(now time.Time, silent time.Duration) []placement.Endpoint {
-	var out []*slots
+	var out []*account
 	for _, s := range l.order {
 		excluded := s.leaving || s.health.Ejected(now) // gets nothing, whatever a probe says
 		if !excluded && len(s.held) == 0 && now.Sub(s.lastSign) >= silent {
