--- /dev/null
+++ b/relay/rules_test.go
@@ -0,0 +1,54 @@
+package relay
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// TestNextRelay: the own zone's relay first, then others, spread by turn.
+func TestNextRelay(t *testing.T) {
+	now := time.Unix(1000, 0)
+	own := Relay{Addr: "me", Zone: "medina"}
+	home := Relay{ID: "a", Addr: "a", Zone: "medina"}
+	others := []Relay{{ID: "b", Addr: "b", Zone: "tribunal"}, {ID: "c", Addr: "c", Zone: "ville-nouvelle"}}
+	all := append([]Relay{home}, others...)
+	failed := func(addr string) map[string]time.Time { return map[string]time.Time{addr: now.Add(time.Second)} }
+	for _, c := range []struct {
+		name      string
+		all       []Relay
+		penalized map[string]time.Time
+		turn      int
+		want      string // empty for none
+	}{
+		{"that of the own zone", all, nil, 1, "a"},
+		{"another one while it is left alone", all, failed("a"), 0, "b"},
+		{"another one in turn", all, failed("a"), 1, "c"},
+		{"that of the own zone again", all, map[string]time.Time{"a": now}, 0, "a"},
+		{"not itself", []Relay{{ID: "me", Addr: "me", Zone: "medina"}}, nil, 0, ""},
+		{"none", nil, nil, 0, ""},
+		{"none that is not left alone", []Relay{home}, failed("a"), 0, ""},
+	} {
+		got, ok := nextRelay(c.all, own, c.penalized, c.turn, now)
+		assert.Equal(t, ok, c.want != "", c.name)
+		assert.Equal(t, got.ID, c.want, c.name)
+	}
+}
+
+// TestTimesOfRelays: how long one that failed is left alone, when the store is
+// followed instead, and how long a vacancy is left to others.
+func TestTimesOfRelays(t *testing.T) {
+	o := Options{}.withDefaults()
+	now := time.Unix(1000, 0)
+	assert.Equal(t, o.penalty(errors.New("silent")), 3*time.Second)
+	assert.Equal(t, o.penalty(errUnsettled), 750*time.Millisecond)
+	assert.Assert(t, !o.outOfTouch(now.Add(-650*time.Millisecond), now))
+	assert.Assert(t, o.outOfTouch(now.Add(-651*time.Millisecond), now))
+	assert.Equal(t, o.jitter(0), time.Second)
+	assert.Equal(t, o.jitter(2), 10*time.Second)
+	assert.Equal(t, o.backoff(0, 0.2), 300*time.Millisecond)
+	assert.Equal(t, o.backoff(100*time.Millisecond, 0.8), 100*time.Millisecond)
+	assert.Equal(t, o.backoff(0, 0.01), 600*time.Millisecond, "a very small VM counts as one with 0.1 of a core")
+}
