--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -15,15 +15,7 @@
 // heartbeat exchanges digests with a few peers, chosen in turn. The number of
 // messages does not depend on the size of the fleet.
 func (n *Node) heartbeat(ctx context.Context) {
-	n.mu.Lock()
-	changed := n.table.Tick(time.Now())
-	var targets []member.Member
-	for range heartbeatFanout {
-		if m, ok := n.table.Next(n.rng); ok {
-			targets = append(targets, m)
-		}
-	}
-	n.mu.Unlock()
+	changed, targets := n.members.tick(time.Now(), heartbeatFanout)
 	if changed {
 		n.rebuild()
 	}
@@ -45,7 +37,7 @@
 	}
 	listed := n.snapshot.Load().vms.Revision > 0
 	if !knowsPeers && listed && len(seeds) == 0 || time.Since(n.started) > settleAlone {
-		n.settle()
+		n.members.settle()
 	}
 }
 
@@ -70,58 +62,20 @@
 	ctx, cancel := context.WithTimeout(ctx, heartbeatWait)
 	defer cancel()
 	var reply link.Digest
-	if err := n.client.Call(ctx, addr, link.Exchange, n.digest(), &reply); err != nil {
+	if err := n.client.Call(ctx, addr, link.Exchange, n.members.digest(n.replica.Versions()), &reply); err != nil {
 		n.log.Debug("heartbeat failed", "addr", addr, "error", err)
 		return false
 	}
 	n.merge(reply)
 	if n.fetchNewer(reply.From.Addr, reply.Versions) && reply.Settled {
-		n.settle()
+		n.members.settle()
 	}
 	return true
 }
 
-// settle notes that this node has the versions of the fleet, so that what it
-// reads from a lagging store cannot bring an older one back into force.
-func (n *Node) settle() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.settled = true
-}
-
-func (n *Node) digest() link.Digest {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return link.Digest{
-		From:     n.table.Self(),
-		Members:  n.table.Digest(),
-		Leaving:  n.marks.Marks(),
-		Versions: n.replica.Versions(),
-		Settled:  n.settled,
-	}
-}
-
-func (n *Node) knows(id string) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.table.Knows(id)
-}
-
-func (n *Node) allMembers() []member.Member {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.table.All()
-}
-
 // merge merges what a peer said of members and leaving endpoints.
 func (n *Node) merge(d link.Digest) {
-	now := time.Now()
-	n.mu.Lock()
-	changed := n.table.Merge(now, append([]member.Member{d.From}, d.Members...))
-	marks, fresh := n.marks.Merge(d.Leaving, now)
-	n.marks = marks
-	n.mu.Unlock()
-	if changed || len(fresh) > 0 {
+	if n.members.merge(d, time.Now()) {
 		n.rebuild()
 	}
 }
@@ -161,9 +115,7 @@
 }
 
 func (n *Node) unreachable(m member.Member) {
-	n.mu.Lock()
-	changed := n.table.Unreachable(time.Now(), m.ID)
-	n.mu.Unlock()
+	changed := n.members.unreachable(m.ID, time.Now())
 	n.client.Forget(m.Addr)
 	if changed {
 		n.rebuild()
@@ -174,12 +126,9 @@
 
 // toSomePeers calls f for a few members chosen at random.
 func (n *Node) toSomePeers(f func(ctx context.Context, addr string)) {
-	n.mu.Lock()
 	members := n.snapshot.Load().view.Members
-	order := n.rng.Perm(len(members))
-	n.mu.Unlock()
 	called := 0
-	for _, i := range order {
+	for _, i := range n.members.shuffled(len(members)) {
 		if members[i].ID == n.cfg.Settings.ID {
 			continue
 		}
--- a/node/marks.go
+++ b/node/marks.go
@@ -7,6 +7,7 @@
 	"github.com/lotuswing/lotuswing/coord/leaving"
 )
 
+// Chosen without a measurement.
 const (
 	// forgetPeriod is between two looks for marks that are no longer needed.
 	forgetPeriod = time.Minute
@@ -18,11 +19,7 @@
 // MarkLeaving notes that an endpoint is leaving and tells a few peers at once;
 // heartbeats carry the mark to the rest.
 func (n *Node) MarkLeaving(m leaving.Mark) {
-	n.mu.Lock()
-	known := n.marks.Has(m.VM)
-	n.marks = n.marks.With(m, time.Now())
-	n.mu.Unlock()
-	if known {
+	if !n.members.mark(m, time.Now()) {
 		return
 	}
 	n.log.Info("endpoint is leaving", "vm", m.VM, "source", string(m.Source))
@@ -36,12 +33,7 @@
 	for _, m := range n.snapshot.Load().vms.VMs {
 		listed[m.ID] = true
 	}
-	n.mu.Lock()
-	before := n.marks.Len()
-	n.marks = n.marks.Forget(time.Now().Add(-keepMarks), func(vm string) bool { return listed[vm] })
-	changed := n.marks.Len() != before
-	n.mu.Unlock()
-	if changed {
+	if n.members.forgetMarks(time.Now().Add(-keepMarks), listed) {
 		n.rebuild()
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -6,8 +6,8 @@
 // documents and the ledgers, all of which a restart may lose. What the request path
 // reads is an immutable snapshot behind an atomic pointer; every change builds a
 // new one (snapshot.go). A request begins in acquire.go: at the home (home.go, and
-// host.go on the home's side) or, where none answers, in alone.go. Members are kept
-// up to date in heartbeat.go, documents in documents.go and vmlist.go, endpoints
+// host.go on the home's side) or, where none answers, in alone.go. Members (membership.go)
+// are kept up to date in heartbeat.go, documents in documents.go and vmlist.go, endpoints
 // that leave in marks.go, measuring in measure.go. The rules are those of package
 // coord/contract and its neighbours.
 //
@@ -35,7 +35,6 @@
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/lotuswing/lotuswing/coord/document"
-	"github.com/lotuswing/lotuswing/coord/leaving"
 	"github.com/lotuswing/lotuswing/coord/member"
 	"github.com/lotuswing/lotuswing/link"
 	"github.com/lotuswing/lotuswing/settings"
@@ -74,16 +73,13 @@
 	snapshot atomic.Pointer[snapshot]
 	sequence atomic.Uint64
 
-	mu      sync.Mutex // of the fields below, which writers of the snapshot use
-	table   *member.Table
-	marks   leaving.Set
-	rng     *rand.Rand
-	settled bool // it has the versions of the fleet, or there is no fleet
-	started time.Time
+	publishing sync.Mutex // held by writers of the snapshot
+	started    time.Time
 
-	homes  homes
-	local  local
-	meters map[string]*meter // by tenant
+	members *membership
+	homes   homes
+	local   local
+	meters  map[string]*meter // by tenant
 
 	stop context.CancelFunc
 	done sync.WaitGroup
@@ -128,8 +124,7 @@
 		metrics: cfg.Metrics,
 		store:   storeclient.New(s.Store.URL, storeclient.Options{Timeout: s.Store.Timeout, Rate: s.Store.Rate}),
 		client:  link.NewClient(tlsConfig),
-		table:   member.NewTable(self, member.Options{}),
-		rng:     rand.New(rand.NewPCG(uint64(now.UnixNano()), self.Incarnation)),
+		members: newMembership(self, uint64(now.UnixNano())),
 		started: now,
 		meters:  map[string]*meter{},
 	}
@@ -196,9 +191,7 @@
 // Leave announces a planned stop to all peers: they choose other homes and
 // send nothing new here. Calls already waiting here are answered.
 func (n *Node) Leave(ctx context.Context) {
-	n.mu.Lock()
-	n.table.Leave()
-	n.mu.Unlock()
+	n.members.leave()
 	n.rebuild()
 	for _, m := range n.snapshot.Load().view.Members {
 		if m.ID != n.cfg.Settings.ID {
--- a/node/receiver.go
+++ b/node/receiver.go
@@ -90,12 +90,12 @@
 
 // Exchange swaps digests.
 func (r *receiver) Exchange(d link.Digest, reply *link.Digest) error {
-	joins := !r.node.knows(d.From.ID)
+	joins := !r.node.members.knows(d.From.ID)
 	r.node.merge(d)
 	go r.node.fetchNewer(d.From.Addr, d.Versions)
-	*reply = r.node.digest()
+	*reply = r.node.members.digest(r.node.replica.Versions())
 	if joins {
-		reply.Members = r.node.allMembers()
+		reply.Members = r.node.members.all()
 	}
 	return nil
 }
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -32,12 +32,13 @@
 	homes     map[string]member.Member // by tenant/service
 }
 
-// rebuild makes a new snapshot from the table, the marks and the documents.
+// rebuild makes a new snapshot from the members, the marks and the documents.
 func (n *Node) rebuild() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.publishing.Lock()
+	defer n.publishing.Unlock()
 	old := n.snapshot.Load()
-	next := &snapshot{view: n.table.View(), leaving: n.marks, configs: map[string]*tenant.Config{}}
+	view, marks := n.members.view()
+	next := &snapshot{view: view, leaving: marks, configs: map[string]*tenant.Config{}}
 	if old != nil {
 		next.configs, next.vms = old.configs, old.vms
 	}
@@ -60,8 +61,8 @@
 
 // withConfig puts a tenant's configuration in force.
 func (n *Node) withConfig(cfg *tenant.Config) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.publishing.Lock()
+	defer n.publishing.Unlock()
 	next := *n.snapshot.Load()
 	next.configs = map[string]*tenant.Config{cfg.Tenant: cfg}
 	for name, c := range n.snapshot.Load().configs {
@@ -74,20 +75,20 @@
 
 // withVMs puts a list of VMs in force and marks those that leave.
 func (n *Node) withVMs(list vm.List, now time.Time) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.publishing.Lock()
+	defer n.publishing.Unlock()
 	next := *n.snapshot.Load()
 	next.vms = list
 	for _, m := range list.VMs {
 		if m.Role == vm.Endpoint && m.State == vm.Leaving {
-			n.marks = n.marks.With(leaving.Mark{VM: m.ID, Source: leaving.List}, now)
+			n.members.mark(leaving.Mark{VM: m.ID, Source: leaving.List}, now)
 		}
 	}
-	next.leaving = n.marks
+	_, next.leaving = n.members.view()
 	n.publish(&next)
 }
 
-// publish completes a snapshot and puts it in force. n.mu is held.
+// publish completes a snapshot and puts it in force. n.publishing is held.
 func (n *Node) publish(next *snapshot) {
 	next.ids = next.view.IDs()
 	next.trusted = next.view.Trusted()
@@ -161,9 +162,7 @@
 	if s.vms.Revision == 0 {
 		return false, "no list of VMs yet"
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if !n.settled {
+	if !n.members.isSettled() {
 		return false, "no settled peer has answered yet"
 	}
 	return true, ""
