--- a/direct/probe.go
+++ b/direct/probe.go
@@ -23,13 +23,13 @@
 	if path == "" {
 		return false
 	}
-	target, ok := c.nextProbe(s, now)
+	next, ok := c.nextProbe(s, now)
 	if !ok {
 		return false
 	}
 	done := make(chan struct{})
 	go func() {
-		c.ask(context.WithoutCancel(ctx), target, path)
+		c.ask(context.WithoutCancel(ctx), next, path)
 		close(done)
 	}()
 	timer := time.NewTimer(probeWait)
@@ -52,8 +52,15 @@
 	return cfg.Services[service].ProbePath
 }
 
+// target is an endpoint to ask. A probe may outlast the search that it was sent for,
+// and then what is remembered of the endpoint: its response brings nothing back.
+type target struct {
+	listed directory.Endpoint
+	known  *endpoint
+}
+
 // nextProbe returns the endpoint to ask, and takes the probe from its budget.
-func (c *Chooser) nextProbe(s *search, now time.Time) (directory.Endpoint, bool) {
+func (c *Chooser) nextProbe(s *search, now time.Time) (target, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	index, ok := c.opts.NextProbe(&s.ranking, func(index int) (may bool) {
@@ -62,27 +69,26 @@
 		return may
 	})
 	if !ok {
-		return directory.Endpoint{}, false
+		return target{}, false
 	}
-	return s.listed[index], true
+	return target{listed: s.listed[index], known: c.known(s.listed[index].VM)}, true
 }
 
-// ask probes one endpoint and remembers the response. The probe may outlast the
-// search that it was sent for.
-func (c *Chooser) ask(ctx context.Context, target directory.Endpoint, path string) {
+// ask probes one endpoint and remembers the response.
+func (c *Chooser) ask(ctx context.Context, t target, path string) {
 	c.probes.Inc(1)
-	answer, err := c.cfg.Client.Probe(ctx, target.Addr, path, probeLimit)
+	id, e := t.listed.VM, t.known
+	answer, err := c.cfg.Client.Probe(ctx, t.listed.Addr, path, probeLimit)
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := c.known(target.VM)
 	if err != nil {
-		c.cfg.Log.Debug("probe failed", "id", target.VM, "error", err)
+		c.cfg.Log.Debug("probe failed", "id", id, "error", err)
 		e.state = e.state.WithoutProbe()
 		return
 	}
 	e.state = e.state.WithProbe(answer.Load, now)
-	if answer.Instance != "" && answer.Instance != target.VM && c.cfg.Directory.MarkLeaving(target.VM, now) {
-		c.cfg.Log.Info("endpoint", "id", target.VM, "state", "leaving", "why", "a probe found another instance", "instance", answer.Instance)
+	if answer.Instance != "" && answer.Instance != id && c.cfg.Directory.MarkLeaving(id, now) {
+		c.cfg.Log.Info("endpoint", "id", id, "state", "leaving", "why", "a probe found another instance", "instance", answer.Instance)
 	}
 }
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithTimeout(ctx, heartbeatWait)
 	defer cancel()
 	var reply link.Digest
-	if err := n.client.Call(ctx, addr, link.Exchange, n.members.digest(n.replica.Versions()), &reply); err != nil {
+	if err := n.client.Call(ctx, addr, link.Exchange, n.members.digest(n.replica.Versions), &reply); err != nil {
 		n.log.Debug("heartbeat failed", "addr", addr, "error", err)
 		return false
 	}
--- a/node/membership.go
+++ b/node/membership.go
@@ -43,15 +43,17 @@
 	return changed, targets
 }
 
-// digest returns what is told to a peer.
-func (m *membership) digest(versions map[string]uint64) link.Digest {
+// digest returns what is told to a peer. The versions of the documents are read
+// while nothing can settle this node: a peer takes the versions of a settled node
+// for those of the fleet.
+func (m *membership) digest(versions func() map[string]uint64) link.Digest {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return link.Digest{
 		From:     m.table.Self(),
 		Members:  m.table.Digest(),
 		Leaving:  m.marks.Marks(),
-		Versions: versions,
+		Versions: versions(),
 		Settled:  m.settled,
 	}
 }
--- a/node/receiver.go
+++ b/node/receiver.go
@@ -93,7 +93,7 @@
 	joins := !r.node.members.knows(d.From.ID)
 	r.node.merge(d)
 	go r.node.fetchNewer(d.From.Addr, d.Versions)
-	*reply = r.node.members.digest(r.node.replica.Versions())
+	*reply = r.node.members.digest(r.node.replica.Versions)
 	if joins {
 		reply.Members = r.node.members.all()
 	}
