--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -64,14 +64,14 @@
 // failedResult returns what an attempt shows about its endpoint whose response is
 // not passed on. A request on whose behalf nothing was written, or whose caller
 // left, shows nothing.
-func (b *Balancer) failedResult(res *upstream.Result, callerLeft bool, took time.Duration) placement.Result {
+func failedResult(d *upstream.Dialect, res *upstream.Result, callerLeft bool, took time.Duration) placement.Result {
 	result := placement.Result{Outcome: placement.Failed, Took: took}
 	switch {
 	case res.Reason == reason.EndpointReplaced:
 		result.Replaced = true
 	case res.Reason == reason.EndpointRefused:
 		result.Outcome = placement.Shed
-		result.Load = b.loadReport(res)
+		result.Load = loadReport(d, res)
 	case callerLeft, res.Reason == reason.NothingWritten:
 		result.Outcome = placement.Unused
 	}
@@ -79,8 +79,7 @@
 }
 
 // loadReport returns the load report that came with a response.
-func (b *Balancer) loadReport(res *upstream.Result) placement.LoadReport {
-	d := &b.cfg.Policy.Dialect
+func loadReport(d *upstream.Dialect, res *upstream.Result) placement.LoadReport {
 	return d.ParseLoad(res.Response.Header.Get(d.Load))
 }
 
--- a/balancer/serve.go
+++ b/balancer/serve.go
@@ -29,7 +29,7 @@
 		if delivers(&a.result, x.route.Kind.Repeatable, b.cfg.Policy.RetryServerErrors) {
 			return nil, b.passOn(x, &a)
 		}
-		b.cfg.Chooser.Complete(grant, b.failedResult(&a.result, x.callerLeft(), time.Since(a.sent)))
+		b.cfg.Chooser.Complete(grant, failedResult(&b.cfg.Policy.Dialect, &a.result, x.callerLeft(), time.Since(a.sent)))
 		x.noteFailed(&a)
 		if !b.mayRetry(x, &a, time.Now()) {
 			return nil, b.giveUp(ctx, x, &a)
@@ -128,7 +128,7 @@
 // passOn passes an endpoint's response on and reports how the request ended.
 func (b *Balancer) passOn(x *exchange, a *attempt) error {
 	status := a.result.Response.StatusCode
-	result := placement.Result{Outcome: outcomeOf(status, false, nil), Load: b.loadReport(&a.result)}
+	result := placement.Result{Outcome: outcomeOf(status, false, nil), Load: loadReport(&b.cfg.Policy.Dialect, &a.result)}
 	defer func() {
 		result.Took = time.Since(a.sent)
 		go b.cfg.Chooser.Complete(a.grant, result) // the caller's last bytes go first
--- a/direct/acquire.go
+++ b/direct/acquire.go
@@ -12,6 +12,7 @@
 	"github.com/lotuswing/lotuswing/coord/selection"
 	"github.com/lotuswing/lotuswing/directory"
 	"github.com/lotuswing/lotuswing/internal/pause"
+	"github.com/lotuswing/lotuswing/tenant"
 )
 
 // search is one request's search for an endpoint.
@@ -26,7 +27,7 @@
 // Acquire chooses an endpoint for a request: it looks at the endpoints, decides and
 // looks again after a pause, until one is taken or the request is refused.
 func (c *Chooser) Acquire(ctx context.Context, r placement.Request) (placement.Grant, *placement.Refusal) {
-	s := search{request: r, service: serviceName(r.Service)}
+	s := search{request: r, service: tenant.ServiceName(r.Service)}
 	giveUp := c.opts.GiveUpAt(r, time.Now())
 	for {
 		probesBefore := s.probes
@@ -121,13 +122,3 @@
 		Search:     s.ranking.Search(s.probes),
 	}
 }
-
-// serviceName returns a service's name without its tenant.
-func serviceName(key string) string {
-	for i := range key {
-		if key[i] == '/' {
-			return key[i+1:]
-		}
-	}
-	return key
-}
--- a/direct/complete.go
+++ b/direct/complete.go
@@ -5,6 +5,7 @@
 
 	"github.com/lotuswing/lotuswing/coord/placement"
 	"github.com/lotuswing/lotuswing/coord/selection"
+	"github.com/lotuswing/lotuswing/tenant"
 )
 
 // forgetEvery is between two looks for endpoints that are gone.
@@ -32,14 +33,14 @@
 	}
 	e.state = e.state.WithOutcome(r.Outcome, c.workloads[g.Kind].Ratio(r.Took), now)
 	if r.Outcome == placement.Failed && e.state.Health().Ejected(now) {
-		c.cfg.Log.Info("endpoint", "id", g.Endpoint.VM, "service", serviceName(g.Service), "state", "ejected",
+		c.cfg.Log.Info("endpoint", "id", g.Endpoint.VM, "service", tenant.ServiceName(g.Service), "state", "ejected",
 			"for", e.state.Health().EjectedUntil().Sub(now).String(), "request", g.ID)
 	}
 }
 
 // learn learns from the time of a completion; c.mu is held.
 func (c *Chooser) learn(g placement.Grant, took time.Duration, slots int) {
-	service := serviceName(g.Service)
+	service := tenant.ServiceName(g.Service)
 	w, l := selection.Learn(c.workloads[g.Kind], c.lastSlots[service], g.Choice, took, slots)
 	c.workloads[g.Kind], c.lastSlots[service] = w, l
 }
--- a/tenant/route.go
+++ b/tenant/route.go
@@ -18,6 +18,14 @@
 // ServiceKey names a service among all tenants.
 func (r Route) ServiceKey() string { return r.Tenant + "/" + r.Kind.Service }
 
+// ServiceName returns a service's name without its tenant.
+func ServiceName(key string) string {
+	if _, name, ok := strings.Cut(key, "/"); ok {
+		return name
+	}
+	return key
+}
+
 // Route finds the team and kind of a request. The host has no port. The
 // reason is empty when there is a route.
 func (c *Config) Route(host, method, path string) (Route, reason.Code) {
