--- a/access/access.go
+++ b/access/access.go
@@ -1,14 +1,13 @@
-// Package access finds out which team a caller belongs to, by the key that it sends.
+// Package access identifies the team of a caller by the API key that it sends.
 //
-// A Table is what one version of the shared configuration says of teams and their keys.
-// It holds salted digests in place of keys: whoever sees the memory, a log line or a
-// trace of a balancer learns no key from them, and a look-up takes the same time for
-// whatever is sent. Bearer reads the key from a request's headers, Judge says what
-// becomes of a request, and Doubts remembers keys that nobody knew yet, because a
-// balancer may hear later than the caller of a key that was just added.
+// A Table holds the teams and keys of one version of the shared configuration. It stores salted
+// digests instead of keys: memory, log lines and traces of a balancer reveal no key, and the time of
+// a look-up tells nothing about the keys. Bearer reads the key from the headers of a request. Judge
+// decides whether a request is admitted. Doubts remembers unknown keys, because a balancer may learn
+// of a new key later than its caller does.
 //
-// The package owns no clock and relies on nothing but the configuration. The salt is
-// drawn anew by each process, so that digests of two processes cannot be compared.
+// The package reads no clock and depends only on the configuration. Each process draws a random
+// salt, so that digests of two processes cannot be compared.
 //
 // # Usage
 //
@@ -29,58 +28,59 @@
 	"github.com/lotuswing/lotuswing/coord/quota"
 )
 
-// Team is a group of callers that share keys and a quota, as the configuration names it.
+// Team is a group of callers that share API keys and a quota, as configured.
 type Team struct {
 	Name     string
 	Keys     []string
-	Priority int         // 0 the most urgent; it goes before that of a route
-	Quota    quota.Limit // of all balancers together; the zero value for none
-	Regions  []string    // in which its requests may be served; empty for all
+	Priority int         // 0 is the most urgent; overrides the priority of a route
+	Quota    quota.Limit // for all balancers together; the zero value for none
+	Regions  []string    // where its requests may be served; empty for all
 }
 
-// digestBytes is the length of a digest: half of a SHA-256, so that nobody finds a second
-// key with the digest of another one.
+// digestBytes is the length of a digest: half of a SHA-256 sum, long enough that nobody finds a
+// second key with the same digest.
 const digestBytes = 16
 
-// Digest stands for a key within one process.
+// Digest identifies a key within one process.
 type Digest [digestBytes]byte
 
-// salt begins what digests are made of. rand.Text never fails.
+// salt is prepended to each key before it is hashed. rand.Text never fails.
 var salt = rand.Text()
 
-// DigestOf returns the digest of a key.
+// DigestOf returns the salted digest of a key.
 func DigestOf(key string) Digest {
 	sum := sha256.Sum256([]byte(salt + key))
 	return Digest(sum[:digestBytes])
 }
 
-// shownBytes is how much of a digest a log line shows: enough to tell some thousand apart.
-const shownBytes = 4
+// loggedBytes is how many bytes of a digest are logged: enough to distinguish some thousand keys.
+const loggedBytes = 4
 
-// String returns the beginning of the digest, for logs.
-func (d Digest) String() string { return hex.EncodeToString(d[:shownBytes]) }
+// String returns the first loggedBytes of the digest in hexadecimal, for logs.
+func (d Digest) String() string { return hex.EncodeToString(d[:loggedBytes]) }
 
-// Standing is what a Table knows of a key.
+// Standing is the state of a key in a Table.
 type Standing uint8
 
 const (
-	// Unknown keys were in no version that this process has had in force.
+	// Unknown keys were in no version of the configuration that this process has used.
 	Unknown Standing = iota
 	// Held keys belong to a team.
 	Held
-	// Withdrawn keys belonged to a team in an earlier version.
+	// Withdrawn keys belonged to a team in an earlier version, and belong to none now.
 	Withdrawn
 )
 
-// Table is what one version of the configuration says of teams. It is an immutable value;
-// nil stands for a configuration without teams, under which nobody needs a key.
+// Table holds the teams and keys of one version of the configuration. It is an immutable value; nil
+// stands for a configuration without teams, under which callers need no key.
 type Table struct {
-	teams     map[string]Team // by name, without their keys
-	byKey     map[Digest]string
-	withdrawn map[Digest]struct{}
+	teams     map[string]Team     // by name, without their keys
+	byKey     map[Digest]string   // names of teams
+	withdrawn map[Digest]struct{} // bounded by maxWithdrawn
 }
 
-// NewTable returns the table of the teams; nil where there is none.
+// NewTable returns the table of the teams; nil if there are none. It returns an error that lists all
+// invalid teams.
 func NewTable(teams []Team) (*Table, error) {
 	if len(teams) == 0 {
 		return nil, nil
@@ -96,13 +96,13 @@
 	return t, nil
 }
 
-// add adds a team to a table that is being made.
+// add adds a team to a table under construction.
 func (t *Table) add(team Team) error {
 	if err := checkTeam(team); err != nil {
 		return fmt.Errorf("team %q: %w", team.Name, err)
 	}
 	if _, ok := t.teams[team.Name]; ok {
-		return fmt.Errorf("team %q stands there twice", team.Name)
+		return fmt.Errorf("team %q is configured twice", team.Name)
 	}
 	for _, key := range team.Keys {
 		d := DigestOf(key)
@@ -116,40 +116,42 @@
 	return nil
 }
 
-// checkTeam returns what is wrong with a team on its own. Its name stands in a header of
-// each request, a key in one of the caller's.
+// checkTeam returns an error if a team is invalid on its own. Its name is sent in a header of each
+// request, and its keys in a header of the caller.
 func checkTeam(team Team) error {
 	switch {
-	case !plain(team.Name):
-		return errors.New("the name cannot stand in a header")
+	case !isVisibleASCII(team.Name):
+		return errors.New("the name is not valid in a header")
 	case team.Quota.Rate < 0 || team.Quota.Burst < 0:
-		return fmt.Errorf("quota of %v and %v; neither is below 0", team.Quota.Rate, team.Quota.Burst)
+		return fmt.Errorf("quota rate %v and burst %v: neither may be negative", team.Quota.Rate, team.Quota.Burst)
 	}
 	for i, key := range team.Keys {
-		if !plain(key) || len(key) > mostKeyBytes {
-			return fmt.Errorf("key %d cannot be sent by a caller", i+1) // which it is stays untold
+		if !isVisibleASCII(key) || len(key) > maxKeyBytes {
+			return fmt.Errorf("key %d is not a valid bearer token", i+1) // the error must not reveal the key
 		}
 	}
 	return nil
 }
 
-// plain reports whether a text is not empty and has neither blanks nor control characters.
-func plain(text string) bool {
+// isVisibleASCII reports whether a text is not empty and has only ASCII characters without spaces
+// and control characters.
+func isVisibleASCII(text string) bool {
 	return text != "" && !strings.ContainsFunc(text, func(c rune) bool { return c <= ' ' || c > '~' })
 }
 
-// mostWithdrawn bounds what is remembered of keys that were taken away: 16 bytes each.
-const mostWithdrawn = 1 << 16
+// maxWithdrawn limits how many withdrawn keys are remembered, at 16 bytes each. From this number on,
+// only the keys of the previous version are added to a new set.
+const maxWithdrawn = 1 << 16
 
-// After returns the table with what it has to remember of the one in force before: keys
-// that are held by nobody any more.
+// After returns the table that also remembers which keys of the previous table, and of those before
+// it, belong to no team any more.
 func (t *Table) After(before *Table) *Table {
 	if t == nil || before == nil {
 		return t
 	}
 	next := *t
 	next.withdrawn = map[Digest]struct{}{}
-	if len(before.withdrawn) < mostWithdrawn {
+	if len(before.withdrawn) < maxWithdrawn {
 		maps.Copy(next.withdrawn, before.withdrawn)
 	}
 	for d := range before.byKey {
@@ -161,7 +163,8 @@
 	return &next
 }
 
-// Find returns the team that holds a key, if one does.
+// Find returns the team of a key, and the standing of the key; the team is empty unless the key is
+// Held.
 func (t *Table) Find(d Digest) (Team, Standing) {
 	if t == nil {
 		return Team{}, Unknown
@@ -175,7 +178,7 @@
 	return Team{}, Unknown
 }
 
-// Team returns a team by its name.
+// Team returns the team with a name, without its keys.
 func (t *Table) Team(name string) (Team, bool) {
 	if t == nil {
 		return Team{}, false
@@ -184,7 +187,7 @@
 	return team, ok
 }
 
-// Keys returns how many keys a team has.
+// Keys returns the number of keys of a team.
 func (t *Table) Keys(name string) int {
 	if t == nil {
 		return 0
@@ -206,7 +209,7 @@
 	return len(t.teams), len(t.byKey)
 }
 
-// All returns the teams in no order, without their keys.
+// All returns the teams in no particular order, without their keys.
 func (t *Table) All() []Team {
 	if t == nil {
 		return nil
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -13,24 +13,24 @@
 
 func table(t testing.TB, teams ...access.Team) *access.Table {
 	t.Helper()
-	made, err := access.NewTable(teams)
+	tbl, err := access.NewTable(teams)
 	assert.NilError(t, err)
-	return made
+	return tbl
 }
 
-func find(made *access.Table, key string) (string, access.Standing) {
-	team, standing := made.Find(access.DigestOf(key))
+func find(tbl *access.Table, key string) (string, access.Standing) {
+	team, standing := tbl.Find(access.DigestOf(key))
 	return team.Name, standing
 }
 
-// TestKeysOfVersions: a key that was taken away is known as such, whatever versions follow,
-// until a team holds it again.
-func TestKeysOfVersions(t *testing.T) {
+// TestKeyStandingAcrossVersions checks that a withdrawn key stays known as such in all later
+// versions, until a team holds it again.
+func TestKeyStandingAcrossVersions(t *testing.T) {
 	first := table(t, access.Team{Name: "a", Keys: []string{"k1", "k2"}}, access.Team{Name: "b", Keys: []string{"k3"}})
 	second := table(t, access.Team{Name: "a", Keys: []string{"k2"}}, access.Team{Name: "b", Keys: []string{"k3", "k4"}}).After(first)
 	third := table(t, access.Team{Name: "b", Keys: []string{"k1"}}).After(second)
 	cases := []struct {
-		made     *access.Table
+		tbl      *access.Table
 		key      string
 		team     string
 		standing access.Standing
@@ -46,14 +46,14 @@
 		{nil, "k1", "", access.Unknown},
 	}
 	for i, c := range cases {
-		team, standing := find(c.made, c.key)
+		team, standing := find(c.tbl, c.key)
 		assert.Equal(t, team, c.team, "case %d", i)
 		assert.Equal(t, standing, c.standing, "case %d", i)
 	}
 }
 
-// TestThousandsOfKeys are told apart.
-func TestThousandsOfKeys(t *testing.T) {
+// TestManyKeysAreDistinct checks that 10,000 keys are each found with the right team.
+func TestManyKeysAreDistinct(t *testing.T) {
 	var teams []access.Team
 	for i := range 100 {
 		team := access.Team{Name: fmt.Sprintf("team-%d", i)}
@@ -62,18 +62,18 @@
 		}
 		teams = append(teams, team)
 	}
-	made := table(t, teams...)
-	n, keys := made.Len()
+	tbl := table(t, teams...)
+	n, keys := tbl.Len()
 	assert.Assert(t, n == 100 && keys == 10000)
 	for _, team := range teams {
 		for _, key := range team.Keys {
-			name, _ := find(made, key)
+			name, _ := find(tbl, key)
 			assert.Equal(t, name, team.Name)
 		}
 	}
 }
 
-// TestBearer: what a caller may send in the place of a key.
+// TestBearer checks which values of the Authorization header are accepted.
 func TestBearer(t *testing.T) {
 	cases := []struct {
 		values []string
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestJudge: a key that nobody holds is refused for good only once that is certain.
+// TestJudge checks that an unknown key is denied only once it is certain that no team holds it.
 func TestJudge(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	const within = 2 * time.Second
@@ -129,7 +129,8 @@
 	}
 }
 
-// TestDoubtsAreBounded and keep when a key was first sent.
+// TestDoubtsAreBounded checks that the first time of a key is kept, and forgotten once too many
+// unknown keys are sent.
 func TestDoubtsAreBounded(t *testing.T) {
 	var d access.Doubts
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -139,17 +140,17 @@
 	for i := range 10000 {
 		d.Since(access.DigestOf(fmt.Sprint(i)), now)
 	}
-	assert.Equal(t, d.Since(first, now.Add(time.Minute)), now.Add(time.Minute), "who sends thousands is told to come back")
+	assert.Equal(t, d.Since(first, now.Add(time.Minute)), now.Add(time.Minute), "the key is forgotten after thousands of others")
 }
 
-// TestDigestShowsNothing of a key.
-func TestDigestShowsNothing(t *testing.T) {
+// TestDigestDoesNotRevealKey checks that no format of a digest shows the key.
+func TestDigestDoesNotRevealKey(t *testing.T) {
 	d := access.DigestOf("key-of-medina")
 	assert.Equal(t, len(d.String()), 8)
 	assert.Assert(t, !strings.Contains(fmt.Sprintf("%v %+v %x", d, d, d), "key"))
 }
 
-// FuzzBearer: whatever is sent, a key has no blanks and no control characters.
+// FuzzBearer checks that an accepted key has no spaces and no control characters.
 func FuzzBearer(f *testing.F) {
 	f.Add("Bearer abc", "")
 	f.Add("bearer \x00", "Basic a")
@@ -165,14 +166,14 @@
 	})
 }
 
-// BenchmarkFind: 0.3 us for a key among 10,000, most of it the digest.
+// BenchmarkFind measures the look-up of a key among 10,000: 0.3 us, most of it for the digest.
 func BenchmarkFind(b *testing.B) {
 	team := access.Team{Name: "a"}
 	for i := range 10000 {
 		team.Keys = append(team.Keys, fmt.Sprintf("key-%d", i))
 	}
-	made := table(b, team)
+	tbl := table(b, team)
 	for b.Loop() {
-		made.Find(access.DigestOf("key-5000"))
+		tbl.Find(access.DigestOf("key-5000"))
 	}
 }
--- a/access/bearer.go
+++ b/access/bearer.go
@@ -9,26 +9,27 @@
 // Header is the request header that carries a caller's key (RFC 6750).
 const Header = "Authorization"
 
-// Challenge is what a response of status 401 says in the header WWW-Authenticate.
+// Challenge is the value of the header WWW-Authenticate in a response with status 401.
 const Challenge = "Bearer"
 
 const (
-	// scheme begins the header's value, in any case (RFC 9110, section 11.1).
-	scheme = "bearer "
-	// mostKeyBytes bounds a key: longer ones are refused before they are hashed.
-	mostKeyBytes = 512
+	// authScheme begins the value of the header, in any case (RFC 9110, section 11.1).
+	authScheme = "bearer "
+	// maxKeyBytes is the length of the longest accepted key: longer ones are refused before they are
+	// hashed.
+	maxKeyBytes = 512
 )
 
 var (
-	// ErrNoKey says that a request carries no key.
+	// ErrNoKey is returned for a request without a key.
 	ErrNoKey = errors.New("no key was sent")
-	// ErrMalformed says that a request carries something else in place of a key. What that
-	// is stays untold: it may be a key all the same.
+	// ErrMalformed is returned for a request whose Authorization header is not a single bearer
+	// token. The error does not quote the header, which may still hold a key.
 	ErrMalformed = errors.New("what was sent is no key: 'Authorization: Bearer KEY' belongs here, once")
 )
 
-// Bearer returns the key that a request carries. A request with two of them might be read
-// in two ways, and carries none.
+// Bearer returns the key that a request carries, or ErrNoKey or ErrMalformed. A request with two
+// Authorization headers is ambiguous, and malformed.
 func Bearer(h http.Header) (string, error) {
 	values := h.Values(Header)
 	if len(values) == 0 {
@@ -38,11 +39,11 @@
 		return "", ErrMalformed
 	}
 	value := values[0]
-	if len(value) < len(scheme) || !strings.EqualFold(value[:len(scheme)], scheme) {
+	if len(value) < len(authScheme) || !strings.EqualFold(value[:len(authScheme)], authScheme) {
 		return "", ErrMalformed
 	}
-	key := strings.TrimLeft(value[len(scheme):], " ")
-	if !plain(key) || len(key) > mostKeyBytes {
+	key := strings.TrimLeft(value[len(authScheme):], " ")
+	if !isVisibleASCII(key) || len(key) > maxKeyBytes {
 		return "", ErrMalformed
 	}
 	return key, nil
