--- a/coord/quota/fleet_test.go
+++ b/coord/quota/fleet_test.go
@@ -28,9 +28,9 @@
 	// returnedFraction is the fraction of admitted requests that are returned after simQueueWait.
 	returnedFraction float64
 
-	sent    []time.Time // when admitted requests arrived
-	refused []time.Time
-	calls   int
+	sent    []time.Time // when requests were admitted
+	refused []time.Time // when requests were refused
+	calls   int         // reports sent between nodes
 }
 
 type simNode struct {
@@ -77,6 +77,7 @@
 // isRelay reports whether a node is the relay of its zone.
 func (f *fleet) isRelay(n *simNode) bool { return f.relayOf(n.zone) == n }
 
+// isRegisteredRelay reports whether an address is that of the relay of any zone.
 func (f *fleet) isRegisteredRelay(addr string) bool {
 	for z := range f.zones {
 		if r := f.relayOf(z); r != nil && r.addr == addr {
@@ -123,14 +124,16 @@
 	return to != nil && !to.down && !f.partitioned(from, to) && f.rng.Float64() >= f.loss
 }
 
+// simTimeout is how long a node waits for the answer to a lost message.
 const simTimeout = 650 * time.Millisecond
 
+// report sends the report of a follower to its relay.
 func (f *fleet) report(n *simNode) {
 	f.calls++
-	r, started, relay := n.limiter.Report(f.Now()), n.limiter, f.relayOf(n.zone)
+	r, original, relay := n.limiter.Report(f.Now()), n.limiter, f.relayOf(n.zone)
 	n.inFlight = true
 	done := func(a Answer, ok bool) {
-		if n.limiter != started {
+		if n.limiter != original {
 			return
 		}
 		n.inFlight = false
@@ -139,7 +142,7 @@
 		} else {
 			n.limiter.ReportFailed(f.Now())
 		}
-		f.retryWaiting(n, started)
+		f.retryWaiting(n, original)
 		f.reportIfDue(n)
 	}
 	if !f.delivered(n, relay) {
@@ -157,8 +160,9 @@
 	})
 }
 
+// reportToPeers sends the report of a relay to the relays of other zones.
 func (f *fleet) reportToPeers(n *simNode) {
-	r, started := n.limiter.ZoneReport(f.isRegisteredRelay, f.Now()), n.limiter
+	r, original := n.limiter.ZoneReport(f.isRegisteredRelay, f.Now()), n.limiter
 	for z := range f.zones {
 		to := f.relayOf(z)
 		if to == n || !f.delivered(n, to) {
@@ -170,7 +174,7 @@
 			f.reportIfDue(to)
 			if f.delivered(to, n) {
 				f.After(f.latency(), func() {
-					if n.limiter == started {
+					if n.limiter == original {
 						n.limiter.ZoneReportAnswered(r, a, f.Now())
 					}
 				})
@@ -201,11 +205,11 @@
 
 // arrive has a request of a team arrive at a node. It waits for a snapshot where it has to.
 func (f *fleet) arrive(n *simNode, team string) {
-	started, deadline := n.limiter, f.Now().Add(MaxRefreshWait)
+	original, deadline := n.limiter, f.Now().Add(MaxRefreshWait)
 	var retry func()
 	retry = func() {
 		switch {
-		case n.limiter != started || n.down:
+		case n.limiter != original || n.down:
 		case f.Now().Before(deadline) && n.limiter.RefreshIfStale(team, f.limit, f.Now()):
 			n.waiting = append(n.waiting, retry)
 			f.reportIfDue(n)
@@ -214,12 +218,12 @@
 		}
 	}
 	retry()
-	f.After(MaxRefreshWait, func() { f.retryWaiting(n, started) })
+	f.After(MaxRefreshWait, func() { f.retryWaiting(n, original) })
 }
 
 // retryWaiting retries the requests that wait for a snapshot.
-func (f *fleet) retryWaiting(n *simNode, started *Limiter) {
-	if n.limiter != started {
+func (f *fleet) retryWaiting(n *simNode, original *Limiter) {
+	if n.limiter != original {
 		return
 	}
 	waiting := n.waiting
@@ -249,9 +253,9 @@
 
 // returnLater returns an admitted request that could not be sent.
 func (f *fleet) returnLater(n *simNode) {
-	started := n.limiter
+	original := n.limiter
 	f.After(simQueueWait, func() {
-		if n.limiter == started && !n.down {
+		if n.limiter == original && !n.down {
 			n.limiter.Return("team", f.Now())
 			f.reportIfDue(n)
 		}
@@ -458,8 +462,8 @@
 	}
 }
 
-// restartRelays stops the relays one after the other and starts them again, while some messages are
-// lost.
+// restartRelays stops all current relays together, four times at intervals of two seconds, and
+// starts each again after 2.5 s. 3% of the messages are lost.
 func (f *fleet) restartRelays() {
 	f.loss = 0.03
 	for k := range 4 {
--- a/coord/quota/limiter.go
+++ b/coord/quota/limiter.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// Take takes one token of a team's quota for a request. If there is none, it returns false and when
-// to retry.
+// Take takes one token of a team's quota for a request. If the request must not be sent, it returns
+// false and how long to wait before a retry.
 func (q *Limiter) Take(team string, l Limit, now time.Time) (ok bool, retryAfter time.Duration) {
 	if l.Unlimited() {
 		return true, 0
@@ -174,7 +174,8 @@
 	return own, true
 }
 
-// SetRelay sets whether this balancer is a relay.
+// SetRelay sets whether this balancer is a relay. A change discards the counts of others, and
+// converts all accounts.
 func (q *Limiter) SetRelay(relay bool, now time.Time) {
 	if relay == q.relay {
 		return
--- a/coord/quota/quota.go
+++ b/coord/quota/quota.go
@@ -39,8 +39,8 @@
 	Spare float64
 }
 
-// capacity returns the number of tokens in a full bucket of which a balancer holds a share between 0
-// and 1. It is at least 1.
+// capacity returns the number of tokens in a full bucket for a share, between 0 and 1, of the quota.
+// It is at least 1.
 func (l Limit) capacity(share float64) float64 { return max(1, share*(usableBurst*l.Burst+l.Spare)) }
 
 // usableBurst is the fraction of the burst that buckets give out. The rest is for admitted requests
@@ -58,8 +58,8 @@
 	// normal report interval. A balancer that the team does not use gets no more snapshots, and the
 	// high rate in its last one would have it refuse the next request.
 	othersRateValidFor = 500 * time.Millisecond
-	// staleAfter is the age at which a snapshot no longer counts, so that the next request is sent
-	// and its report brings another snapshot.
+	// staleAfter is the age of a snapshot from which on the bucket is assumed to hold at least
+	// initialTokens, so that the next request is sent and its report brings another snapshot.
 	staleAfter = 2 * time.Second
 	// initialShare is the share of a quota that a balancer gives out before its first snapshot. The
 	// first snapshot takes a round trip after a start, and while no relay exists yet, all balancers
@@ -232,8 +232,8 @@
 
 // AsRelay returns the account of a relay, which receives the counts of others as they happen.
 // silentRate is the rate per second of the silent balancers. Their fraction of the burst is deducted
-// from the bucket, and returned once they report again. A bucket without any earlier snapshot has
-// been filling since the time since.
+// from the bucket, and returned once they report again. A bucket without any earlier snapshot starts
+// at initialFill and has been filling since the given time.
 func (a Account) AsRelay(l Limit, silentRate float64, since, now time.Time) Account {
 	if !a.synced {
 		a = Account{tokens: initialFill * l.Burst, updatedAt: since, coverage: 1, synced: true, syncedAt: now, newRelayUntil: now.Add(newRelayFor)}
@@ -253,7 +253,7 @@
 }
 
 // WithPeerSnapshot returns a relay's account after a snapshot from the relay of another zone. A new
-// relay does not know what was taken before, and takes over a lower level.
+// relay does not know what was taken before, so it adopts the snapshot's level if that is lower.
 func (a Account) WithPeerSnapshot(s Snapshot, now time.Time) Account {
 	if now.Before(a.newRelayUntil) {
 		a.tokens = min(a.tokens, s.Tokens)
@@ -261,9 +261,9 @@
 	return a
 }
 
-// RetryAfter returns when a refused request may be admitted, if no other request takes the token.
-// spread is a random number in [0, 1), which spreads the retries of requests that were refused
-// together.
+// RetryAfter returns how long to wait until a refused request may be admitted, if no other request
+// takes the token. spread is a random number in [0, 1), which spreads the retries of requests that
+// were refused together.
 func (a Account) RetryAfter(l Limit, spread float64) time.Duration {
 	missing := max(0, 1-a.tokens) + spread*l.Rate*retrySpreadSeconds
 	return time.Duration(missing / l.Rate * float64(time.Second))
--- a/coord/quota/refresh.go
+++ b/coord/quota/refresh.go
@@ -12,8 +12,8 @@
 	MaxRefreshWait = 25 * time.Millisecond
 	// freshFor is the age up to which a snapshot needs no refresh.
 	freshFor = urgentInterval
-	// smallShareRequests is the limit below which a balancer's share of a quota counts as small:
-	// requests in one second, with the burst.
+	// smallShareRequests is the number of requests, in one second with the burst, below which a
+	// balancer's share of a quota counts as small: the balancer then seldom sees the team.
 	smallShareRequests = 2
 )
 
--- a/coord/quota/refresh_test.go
+++ b/coord/quota/refresh_test.go
@@ -34,14 +34,14 @@
 	due, ok := follower.Due(now)
 	assert.Assert(t, ok && !due.After(now), "the report is due at once")
 
-	asked := follower.Report(now)
+	pending := follower.Report(now)
 	now = now.Add(MaxRefreshWait)
 	assert.Assert(t, follower.RefreshIfStale("small", small, now))
 	now = now.Add(time.Millisecond)
 	assert.Assert(t, !follower.RefreshIfStale("small", small, now), "the relay does not answer")
 	follower.ReportFailed(now)
 	assert.Assert(t, !follower.RefreshIfStale("small", small, now.Add(time.Second)), "the relay is unreachable")
-	follower.ReportAnswered(asked, relay.HandleReport(asked, limitOf, now), now)
+	follower.ReportAnswered(pending, relay.HandleReport(pending, limitOf, now), now)
 	assert.Assert(t, follower.RefreshIfStale("small", small, now.Add(freshFor)), "the relay answers again")
 	assert.Assert(t, !relay.RefreshIfStale("small", small, now.Add(time.Second)), "a relay needs no snapshot")
 }
--- a/coord/tally/silent.go
+++ b/coord/tally/silent.go
@@ -5,7 +5,7 @@
 // Estimates of what silent balancers and zones may be counting.
 
 // currentSilentRate returns the rate per second at which silent balancers of the reporter's zone may
-// be counting; 0 once the report of it is outdated.
+// be counting, as last reported; 0 if that report is older than twice silentAfter.
 func (n *keyState) currentSilentRate(now time.Time) float64 {
 	if now.Sub(n.reportedAt) > 2*silentAfter {
 		return 0
@@ -109,8 +109,8 @@
 	return true
 }
 
-// Members returns how many balancers have reported within extrapolateFor: to this relay, and in all
-// zones.
+// Members returns how many balancers have reported within extrapolateFor: in the own zone, and in
+// all zones.
 func (a *Aggregator) Members(now time.Time) (own, all int) {
 	for _, rep := range a.reporters {
 		switch {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -48,7 +48,7 @@
 	Zone string
 	// Spare is how many requests above its quota the operators tolerate, for each team.
 	Spare float64
-	// Limit returns the configured quota of a team; false if it has none.
+	// Limit returns the configured quota of a team; false if the team is unknown.
 	Limit   func(team string) (quota.Limit, bool)
 	Log     hclog.Logger
 	Metrics metrics.Registry
@@ -84,23 +84,23 @@
 // and for at most quota.MaxRefreshWait.
 func (k *Keeper) Await(ctx context.Context, team string, l quota.Limit) {
 	began := time.Now()
-	answered, asks := k.refreshIfStale(team, l, began)
-	if asks {
+	answered, stale := k.refreshIfStale(team, l, began)
+	if stale {
 		k.awaited.Inc(1)
 	}
-	for asks && ctx.Err() == nil {
+	for stale && ctx.Err() == nil {
 		left := time.Until(began.Add(quota.MaxRefreshWait))
 		if left <= 0 {
 			return
 		}
 		pause.Until(ctx, answered, left)
-		answered, asks = k.refreshIfStale(team, l, time.Now())
+		answered, stale = k.refreshIfStale(team, l, time.Now())
 	}
 }
 
 // refreshIfStale reports whether the next request of a team needs a fresh snapshot of its quota, and
 // if so makes a report due. The channel is closed when that report was answered or has failed.
-func (k *Keeper) refreshIfStale(team string, l quota.Limit, now time.Time) (answered <-chan struct{}, asks bool) {
+func (k *Keeper) refreshIfStale(team string, l quota.Limit, now time.Time) (answered <-chan struct{}, stale bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.limiter.RefreshIfStale(team, k.withSpare(l), now) {
@@ -110,8 +110,8 @@
 	return k.answered, true
 }
 
-// Take takes one token of a team's quota for a request. If there is none, it returns false and when
-// to retry.
+// Take takes one token of a team's quota for a request. If the request must not be sent, it returns
+// false and how long to wait before a retry.
 func (k *Keeper) Take(team string, l quota.Limit, now time.Time) (bool, time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -183,8 +183,8 @@
 	return l
 }
 
-// configuredLimit returns the configured quota of a team, with the spare requests; false if it has
-// none.
+// configuredLimit returns the configured quota of a team, with the spare requests; false if the team
+// is unknown.
 func (k *Keeper) configuredLimit(team string) (quota.Limit, bool) {
 	l, ok := k.cfg.Limit(team)
 	return k.withSpare(l), ok
