--- a/coord/retry/retry.go
+++ b/coord/retry/retry.go
@@ -1,14 +1,13 @@
-// Package retry decides whether a request goes to another endpoint after a failed
-// attempt, and when a caller whose request did not run should come back.
+// Package retry decides whether a failed attempt is followed by one at another
+// endpoint, and after which time a caller should retry a failed request.
 //
-// Retries are bounded three times over: by what the attempts prove, so that a
-// request that is not repeatable runs at most once; by a number of attempts; and
-// by a budget for each service, so that a failing service does not get many times
-// its load. The budget is a Bucket, or a Window where the settings bound the
-// retries of the whole fleet.
+// Three limits apply to retries: the verdict of the attempts, so that a non-repeatable
+// request runs at most once; a maximum number of attempts; and a budget for each
+// service, so that a failing service does not get a multiple of its load. The budget is
+// a Bucket, or a Window if the settings limit the retries of the whole fleet.
 //
-// The package owns no state: budgets are immutable values that the caller keeps.
-// It has no clock and does no input or output.
+// The package has no state, no clock and no I/O: budgets are immutable values that the
+// caller keeps.
 //
 // # Usage
 //
@@ -27,25 +26,25 @@
 )
 
 const (
-	// MaxAttempts is how many endpoints a request is sent to of which an attempt may have run,
-	// where its route sets no bound.
+	// MaxAttempts is the maximum number of attempts if one of them may have run and the route sets
+	// no limit.
 	MaxAttempts = 4
-	// MaxRefusals is the same while every attempt is proved not to have run: then nothing is lost
-	// but a round trip.
+	// MaxRefusals is the maximum number of attempts while all of them are proved not to have run.
+	// It is higher because such an attempt costs only a round trip.
 	MaxRefusals = 12
 )
 
-// Request is what the decision needs to know of a request.
+// Request has the properties of a request that Decide needs.
 type Request struct {
 	Repeatable  bool
-	MaxAttempts int  // of its route; 0 for the constants above
-	MayHaveRun  bool // one of its attempts may have run, the last one included
-	OnTrial     bool // endpoints ended under it; it is sent to one at a time
+	MaxAttempts int  // of the route; 0 for MaxAttempts and MaxRefusals
+	MayHaveRun  bool // one of the attempts may have run, including the last
+	OnTrial     bool // suspected of crashing endpoints, so sent to one endpoint at a time
 	Deadline    time.Time
 }
 
-// limit returns how many attempts the request may have.
-func (r Request) limit() int {
+// maxAttempts returns the maximum number of attempts of the request.
+func (r Request) maxAttempts() int {
 	switch {
 	case r.MaxAttempts > 0:
 		return r.MaxAttempts
@@ -55,34 +54,35 @@
 	return MaxRefusals
 }
 
-// Attempt is the one that has just failed.
+// Attempt is the attempt that has just failed.
 type Attempt struct {
 	Number     int // 1 for the first
 	Verdict    verdict.Verdict
-	Replayable bool // the body can be sent again from its start
-	Broken     bool // its connection ended before the response did
+	Replayable bool // the body can be sent again from the start
+	Broken     bool // the connection ended before the response did
 }
 
-// Decision says whether to try again and, if not, why.
+// Decision is whether to retry and, if not, the reason.
 type Decision struct {
 	Again  bool
 	Reason reason.Code
 }
 
-// Budget tells whether it covers one more retry.
+// Budget limits the retries of a service.
 type Budget interface {
-	Covers(now time.Time) bool
+	// Allows reports whether the budget has one more retry.
+	Allows(now time.Time) bool
 }
 
-// Decide is the rule for another attempt. What the attempt proves comes first: no
-// budget makes it right to run a request twice that must run once.
+// Decide decides whether to make another attempt. The verdict is checked first: no budget permits
+// running a non-repeatable request twice.
 func Decide(r Request, a Attempt, budget Budget, now time.Time) Decision {
 	switch {
-	case !a.Verdict.MayRepeat(r.Repeatable):
+	case !a.Verdict.MayRetry(r.Repeatable):
 		return Decision{Reason: reason.AnswerUnknown}
 	case r.OnTrial && a.Broken:
 		return Decision{Reason: reason.Quarantined}
-	case a.Number >= r.limit(), !a.Replayable, !budget.Covers(now):
+	case a.Number >= r.maxAttempts(), !a.Replayable, !budget.Allows(now):
 		return Decision{Reason: reason.RetryExhausted}
 	case now.After(r.Deadline):
 		return Decision{Reason: reason.TooLate}
--- a/coord/retry/retry_test.go
+++ b/coord/retry/retry_test.go
@@ -10,12 +10,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// covering is a budget that covers everything, or nothing.
-type covering bool
+// fakeBudget allows every retry, or none.
+type fakeBudget bool
 
-func (c covering) Covers(time.Time) bool { return bool(c) }
+func (c fakeBudget) Allows(time.Time) bool { return bool(c) }
 
-// TestDecide goes through the rules for another attempt.
+// TestDecide checks the rules for another attempt.
 func TestDecide(t *testing.T) {
 	now := time.Unix(1000, 0)
 	soon, past := now.Add(time.Second), now.Add(-time.Second)
@@ -26,47 +26,47 @@
 		name    string
 		request retry.Request
 		attempt retry.Attempt
-		covered covering
+		allowed fakeBudget
 		want    reason.Code // empty for another attempt
 	}{
-		{"it did not run", retry.Request{Deadline: soon}, notRun, true, ""},
-		{"it may have run and must run once", retry.Request{MayHaveRun: true, Deadline: soon}, open, true, reason.AnswerUnknown},
-		{"it may have run and is repeatable", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, open, true, ""},
+		{"did not run", retry.Request{Deadline: soon}, notRun, true, ""},
+		{"non-repeatable, may have run", retry.Request{MayHaveRun: true, Deadline: soon}, open, true, reason.AnswerUnknown},
+		{"repeatable, may have run", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, open, true, ""},
 		{"a third attempt that may have run", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, at(open, 3), true, ""},
 		{"a fourth attempt that may have run", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, at(open, 4), true, reason.RetryExhausted},
 		{"an eleventh refusal", retry.Request{Deadline: soon}, at(notRun, 11), true, ""},
 		{"a twelfth refusal", retry.Request{Deadline: soon}, at(notRun, 12), true, reason.RetryExhausted},
 		{"a refusal after an attempt that may have run", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, at(notRun, 4), true, reason.RetryExhausted},
-		{"the route's bound", retry.Request{MaxAttempts: 2, Deadline: soon}, at(notRun, 2), true, reason.RetryExhausted},
-		{"it broke off on trial", retry.Request{Repeatable: true, OnTrial: true, Deadline: soon}, retry.Attempt{Number: 1, Verdict: verdict.MayHaveRun, Replayable: true, Broken: true}, true, reason.Quarantined},
-		{"it was refused on trial", retry.Request{Repeatable: true, OnTrial: true, Deadline: soon}, notRun, true, ""},
-		{"it broke off", retry.Request{Repeatable: true, Deadline: soon}, retry.Attempt{Number: 1, Verdict: verdict.MayHaveRun, Replayable: true, Broken: true}, true, ""},
-		{"a body that is gone", retry.Request{Deadline: soon}, retry.Attempt{Number: 1, Verdict: verdict.NotRun}, true, reason.RetryExhausted},
-		{"a budget that is spent", retry.Request{Deadline: soon}, notRun, false, reason.RetryExhausted},
-		{"a deadline that has passed", retry.Request{Deadline: past}, notRun, true, reason.TooLate},
+		{"limit of the route", retry.Request{MaxAttempts: 2, Deadline: soon}, at(notRun, 2), true, reason.RetryExhausted},
+		{"connection broke on trial", retry.Request{Repeatable: true, OnTrial: true, Deadline: soon}, retry.Attempt{Number: 1, Verdict: verdict.MayHaveRun, Replayable: true, Broken: true}, true, reason.Quarantined},
+		{"refused on trial", retry.Request{Repeatable: true, OnTrial: true, Deadline: soon}, notRun, true, ""},
+		{"connection broke", retry.Request{Repeatable: true, Deadline: soon}, retry.Attempt{Number: 1, Verdict: verdict.MayHaveRun, Replayable: true, Broken: true}, true, ""},
+		{"body not replayable", retry.Request{Deadline: soon}, retry.Attempt{Number: 1, Verdict: verdict.NotRun}, true, reason.RetryExhausted},
+		{"budget used up", retry.Request{Deadline: soon}, notRun, false, reason.RetryExhausted},
+		{"deadline passed", retry.Request{Deadline: past}, notRun, true, reason.TooLate},
 	} {
-		got := retry.Decide(c.request, c.attempt, c.covered, now)
+		got := retry.Decide(c.request, c.attempt, c.allowed, now)
 		assert.Equal(t, got, retry.Decision{Again: c.want == "", Reason: c.want}, c.name)
 	}
 }
 
-// TestBucket: requests earn retries, which are kept up to a limit.
+// TestBucket: requests earn retries, which are saved up to a limit.
 func TestBucket(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := retry.NewBucket()
 	for range 20 {
-		assert.Assert(t, b.Covers(now))
+		assert.Assert(t, b.Allows(now))
 		b = b.WithRetry(now)
 	}
 	for range 5 {
-		assert.Assert(t, !b.Covers(now))
+		assert.Assert(t, !b.Allows(now))
 		b = b.WithRequest(now)
 	}
-	assert.Assert(t, b.Covers(now))
+	assert.Assert(t, b.Allows(now))
 }
 
-// TestWhenToComeBack for both ways in which a request did not run.
-func TestWhenToComeBack(t *testing.T) {
+// TestRetryAfter checks the Retry-After if no endpoint was found, and if the attempts failed.
+func TestRetryAfter(t *testing.T) {
 	assert.Equal(t, retry.AfterNoEndpoint(800*time.Millisecond, 0), 100*time.Millisecond)
 	assert.Equal(t, retry.AfterNoEndpoint(800*time.Millisecond, 0.5), 200*time.Millisecond)
 	assert.Equal(t, retry.AfterNoEndpoint(0, 0.5), time.Second)
--- a/coord/retry/window.go
+++ b/coord/retry/window.go
@@ -2,48 +2,47 @@
 
 import "time"
 
-// WindowLimit bounds the retries of one process in any span of a length.
+// WindowLimit limits the retries of one process in any time span of a given length.
 type WindowLimit struct {
 	Span      time.Duration // length of the window
 	Ratio     float64       // retries for each request in the window
-	Allowance float64       // retries beyond the ratio
+	Allowance float64       // retries in addition to the ratio
 }
 
-// ShareOf returns the part of a fleet's bound on retries that each process may use
-// on its own, so that their sum keeps the bound without any of them knowing how
-// many there are: ratio is retries for each request, burst retries beyond it, both
-// in any span.
+// ShareOf returns the part of a fleet's retry limit that each process may use on its own, so that
+// the sum stays within the limit although no process knows how many there are. ratio is the number
+// of retries per request and burst the additional retries, both in any time span of that length.
 func ShareOf(span time.Duration, ratio, burst float64) WindowLimit {
 	return WindowLimit{Span: span, Ratio: ratio * processRatioShare, Allowance: min(processAllowance, burst)}
 }
 
 const (
-	// processRatioShare leaves room between a process's share and the fleet's ratio for the
-	// allowances of processes that are more than the burst.
+	// processRatioShare keeps a process below the fleet's ratio. The difference makes up for the
+	// allowances of processes beyond the number that the burst covers.
 	processRatioShare = 0.85
-	// processAllowance lets a process that has few requests retry one at all.
+	// processAllowance lets a process with few requests retry at all.
 	processAllowance = 1
 )
 
-// windowParts is how many parts of the window are counted. All but one make up
-// the span, so that the whole span is counted wherever in the newest part the time
-// stands.
-const windowParts = 20
+// windowCounters is the number of counters in a window, one for each interval. The span equals all
+// intervals but one, so that the whole span is counted wherever in the newest interval the current
+// time is.
+const windowCounters = 20
 
-// Window bounds retries by the requests of a sliding window, which it counts in
-// parts. It is an immutable value.
+// Window limits retries by the number of requests in a sliding window, which is divided into
+// windowCounters intervals. It is an immutable value.
 type Window struct {
 	limit    WindowLimit
-	part     int64 // number of the newest part since the epoch
-	requests [windowParts]int
-	retries  [windowParts]int
+	interval int64 // number of the newest interval, counted from the epoch
+	requests [windowCounters]int
+	retries  [windowCounters]int
 }
 
 // NewWindow returns an empty window.
 func NewWindow(limit WindowLimit) Window { return Window{limit: limit} }
 
-// WithLimit returns the window under another limit. Counts stay where the span
-// is the same, and begin anew where it is not.
+// WithLimit returns the window with another limit. The counts are kept if the span is the same,
+// otherwise reset.
 func (w Window) WithLimit(limit WindowLimit) Window {
 	if limit.Span != w.limit.Span {
 		return NewWindow(limit)
@@ -54,41 +53,41 @@
 
 // WithRequest returns the window after one more request.
 func (w Window) WithRequest(now time.Time) Window {
-	w = w.at(now)
-	w.requests[w.part%windowParts]++
+	w = w.advancedTo(now)
+	w.requests[w.interval%windowCounters]++
 	return w
 }
 
 // WithRetry returns the window after one more retry.
 func (w Window) WithRetry(now time.Time) Window {
-	w = w.at(now)
-	w.retries[w.part%windowParts]++
+	w = w.advancedTo(now)
+	w.retries[w.interval%windowCounters]++
 	return w
 }
 
-// Covers reports whether one more retry at now keeps the bound.
-func (w Window) Covers(now time.Time) bool {
-	w = w.at(now)
+// Allows reports whether one more retry at now is within the limit.
+func (w Window) Allows(now time.Time) bool {
+	w = w.advancedTo(now)
 	var requests, retries int
-	for i := range windowParts {
+	for i := range windowCounters {
 		requests += w.requests[i]
 		retries += w.retries[i]
 	}
 	return float64(retries+1) <= w.limit.Ratio*float64(requests)+w.limit.Allowance
 }
 
-// at returns the window with the parts before its span emptied.
-func (w Window) at(now time.Time) Window {
-	part := now.UnixNano() / max(1, int64(w.limit.Span)/(windowParts-1))
-	if part-w.part >= windowParts {
-		w.requests, w.retries = [windowParts]int{}, [windowParts]int{}
-		w.part = part
+// advancedTo returns the window advanced to now, with the counters that have left it reset.
+func (w Window) advancedTo(now time.Time) Window {
+	interval := now.UnixNano() / max(1, int64(w.limit.Span)/(windowCounters-1))
+	if interval-w.interval >= windowCounters {
+		w.requests, w.retries = [windowCounters]int{}, [windowCounters]int{}
+		w.interval = interval
 		return w
 	}
-	for w.part < part {
-		w.part++
-		w.requests[w.part%windowParts] = 0
-		w.retries[w.part%windowParts] = 0
+	for w.interval < interval {
+		w.interval++
+		w.requests[w.interval%windowCounters] = 0
+		w.retries[w.interval%windowCounters] = 0
 	}
 	return w
 }
