--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -12,22 +12,23 @@
 	"go.opentelemetry.io/otel/attribute"
 )
 
-// One attempt: an endpoint is chosen for the request, and the request is sent there.
+// This file makes one attempt: it chooses an endpoint and sends the request there.
 
-// try makes one attempt. Where the endpoint wants no more requests once there is a connection to
-// it, nothing was sent and another one is chosen.
-func (b *Balancer) try(ctx context.Context, x *exchange, number int) (attempt, error) {
-	for chosen := 1; ; chosen++ {
-		grant, err := b.prepare(ctx, x, number)
+// makeAttempt makes one attempt; number is 1 for the first. An endpoint that stops accepting
+// requests between being chosen and having a connection gets nothing. Another one is then chosen
+// within the same attempt, up to retry.MaxRefusals in all.
+func (b *Balancer) makeAttempt(ctx context.Context, x *exchange, number int) (attempt, error) {
+	for choices := 1; ; choices++ {
+		grant, err := b.acquireEndpoint(ctx, x, number)
 		if err != nil {
 			return attempt{}, err
 		}
-		if chosen == 1 {
-			b.countRepeat(x, time.Now())
+		if choices == 1 {
+			b.chargeRetry(x, time.Now())
 		}
 		a := b.send(ctx, x, number, grant)
-		a.stale = x.wake(b.cfg.Suspensions.Check())
-		if a.result.Withdrawn && x.body.Replayable() && chosen < retry.MaxRefusals {
+		a.suspended = x.applySuspension(b.cfg.Suspensions.Check())
+		if a.result.Withdrawn && x.body.Replayable() && choices < retry.MaxRefusals {
 			b.cfg.Chooser.Complete(grant, placement.Result{Outcome: placement.Unused})
 			x.tried = append(x.tried, grant.Endpoint.VM)
 			b.endTrial(x)
@@ -38,23 +39,24 @@
 	}
 }
 
-// prepare finds out whether and where the request may be sent now. Where the VM was suspended
-// meanwhile, nothing of that holds any more and it begins anew, with the time that is left.
-func (b *Balancer) prepare(ctx context.Context, x *exchange, number int) (placement.Grant, error) {
+// acquireEndpoint checks the quarantine, chooses an endpoint and checks the caller's key again. If
+// the VM was suspended meanwhile, these results are out of date: acquireEndpoint discards them and
+// starts over with the time that remains.
+func (b *Balancer) acquireEndpoint(ctx context.Context, x *exchange, number int) (placement.Grant, error) {
 	for {
-		x.wake(b.cfg.Suspensions.Check())
-		if err := b.screen(ctx, x); err != nil {
+		x.applySuspension(b.cfg.Suspensions.Check())
+		if err := b.checkQuarantine(ctx, x); err != nil {
 			return placement.Grant{}, err
 		}
-		grant, err := b.choose(ctx, x, number)
+		grant, err := b.chooseEndpoint(ctx, x, number)
 		if err != nil {
 			return grant, err
 		}
-		if err := b.stillHeld(x, time.Now()); err != nil {
+		if err := b.recheckKey(x, time.Now()); err != nil {
 			b.cfg.Chooser.Complete(grant, placement.Result{Outcome: placement.Unused})
 			return placement.Grant{}, err
 		}
-		if !x.wake(b.cfg.Suspensions.Check()) {
+		if !x.applySuspension(b.cfg.Suspensions.Check()) {
 			return grant, nil
 		}
 		b.cfg.Chooser.Complete(grant, placement.Result{Outcome: placement.Unused})
@@ -62,8 +64,9 @@
 	}
 }
 
-// choose gets an endpoint, waiting for one as long as the chooser sees fit.
-func (b *Balancer) choose(ctx context.Context, x *exchange, number int) (placement.Grant, error) {
+// chooseEndpoint gets an endpoint from the Chooser, which may wait for one. The error is a
+// refusal.
+func (b *Balancer) chooseEndpoint(ctx context.Context, x *exchange, number int) (placement.Grant, error) {
 	ctx, span := b.cfg.Tracing.Tracer.Start(ctx, "wait")
 	defer span.End()
 	kind := x.route.Kind
@@ -71,7 +74,7 @@
 		ID:       b.cfg.Chooser.NextID(),
 		Service:  x.route.ServiceKey(),
 		Class:    kind.Class,
-		Patience: patience(x, time.Now()),
+		Patience: remainingPatience(x, time.Now()),
 		Deadline: x.deadline,
 		Avoid:    x.tried,
 		Kind:     x.route.Team + "/" + kind.Name,
@@ -80,11 +83,11 @@
 		Alone:    x.pass.Trial,
 		Ended:    x.pass.Ended,
 		Priority: x.priority(b.teams()),
-		Regions:  x.regions(b.teams()),
+		Regions:  x.allowedRegions(b.teams()),
 	})
 	now := time.Now()
 	if refused != nil {
-		refused.Reason = waitingReason(refused.Reason, x.deadline, now)
+		refused.Reason = expiryReason(refused.Reason, x.deadline, now)
 		x.logNoEndpoint(number, refused, now)
 		return placement.Grant{}, refusal{reason: refused.Reason, message: "service " + x.route.ServiceKey(), retryAfter: refused.RetryAfter}
 	}
@@ -93,13 +96,13 @@
 	return grant, nil
 }
 
-// send makes one attempt.
+// send sends the request to the endpoint of a grant and logs the attempt.
 func (b *Balancer) send(ctx context.Context, x *exchange, number int, grant placement.Grant) attempt {
 	ctx, span := b.cfg.Tracing.Tracer.Start(ctx, "send")
 	defer span.End()
-	a := attempt{number: number, grant: grant, sent: time.Now()}
-	a.result = b.sendOn(ctx, x.route, grant, upstream.Request{
-		ID:            b.attemptID(x, grant),
+	a := attempt{number: number, grant: grant, sentAt: time.Now()}
+	a.result = b.sendUpstream(ctx, x.route, grant, upstream.Request{
+		ID:            b.upstreamRequestID(x, grant),
 		Addr:          grant.Endpoint.Addr,
 		In:            x.r,
 		Body:          x.body,
@@ -107,47 +110,47 @@
 		Instance:      grant.Endpoint.VM,
 		BufferBytes:   b.cfg.Policy.BufferBytes,
 		Admitted:      func() bool { return b.cfg.Chooser.Admits(grant, time.Now()) },
-		Informational: x.passOnInformational,
+		Informational: x.forwardInformational,
 	})
 	span.SetAttributes(attribute.String("verdict", a.result.Verdict.String()), attribute.String("reason", string(a.result.Reason)))
 	x.logAttempt(&a, time.Now())
 	return a
 }
 
-// sendOn sends a request on a connection that fits it. One that must run once and whose
-// endpoint has just answered a probe goes out on the probe's connection, if that is still
-// free, and else on a new one.
-func (b *Balancer) sendOn(ctx context.Context, route tenant.Route, grant placement.Grant, r upstream.Request) upstream.Result {
-	if b.provedAlive(route, grant.Choice) {
-		kept := r
-		kept.MostIdle = b.cfg.Policy.ProvedAlive
-		if result := b.cfg.Policy.Client.Send(ctx, kept); !result.Rested || !r.Body.Replayable() {
+// sendUpstream sends a request over a suitable connection. A non-repeatable request whose endpoint
+// has just answered a load probe reuses the connection of the probe if it is still idle; otherwise
+// it goes out on a new connection.
+func (b *Balancer) sendUpstream(ctx context.Context, route tenant.Route, grant placement.Grant, r upstream.Request) upstream.Result {
+	if b.mayUseProbeConnection(route, grant.Choice) {
+		reused := r
+		reused.MostIdle = b.cfg.Policy.ProvedAlive
+		if result := b.cfg.Policy.Client.Send(ctx, reused); !result.Rested || !r.Body.Replayable() {
 			return result
 		}
 	}
-	return b.client(route).Send(ctx, r)
+	return b.clientFor(route).Send(ctx, r)
 }
 
-// provedAlive reports whether a request that must run once may go out on a connection on
-// which its endpoint has just told its load.
-func (b *Balancer) provedAlive(route tenant.Route, c placement.Choice) bool {
+// mayUseProbeConnection reports whether a non-repeatable request may reuse the connection on which
+// its endpoint has just reported its load.
+func (b *Balancer) mayUseProbeConnection(route tenant.Route, c placement.Choice) bool {
 	p := b.cfg.Policy
 	return p.FreshConnections && p.Client != nil && !route.Kind.Repeatable && c.Age >= 0 && c.Age < p.ProvedAlive
 }
 
-// passOnInformational passes on a 1xx response.
-func (x *exchange) passOnInformational(code int, header http.Header) {
+// forwardInformational forwards a 1xx response to the caller, except 100 and 101.
+func (x *exchange) forwardInformational(code int, header http.Header) {
 	if code == http.StatusContinue || code == http.StatusSwitchingProtocols {
-		return // the server sends its own
+		return // net/http sends these itself
 	}
 	copyHeader(x.w.Header(), header)
 	x.w.WriteHeader(code)
 	clear(x.w.Header())
 }
 
-// attemptID returns the identity of an attempt towards the endpoint: the caller's
-// where that is sent on, else that of the grant.
-func (b *Balancer) attemptID(x *exchange, grant placement.Grant) string {
+// upstreamRequestID returns the request ID that the endpoint gets: the caller's if the dialect
+// forwards it, otherwise the ID of the grant.
+func (b *Balancer) upstreamRequestID(x *exchange, grant placement.Grant) string {
 	if b.cfg.Policy.Dialect.CallerRequestID {
 		return x.id
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,17 +1,16 @@
-// Package balancer serves callers: it accepts a request, finds its team and kind,
-// gets an endpoint for it, sends it there and passes the response on.
+// Package balancer is the HTTP handler for callers: it accepts a request, finds its
+// team and kind, gets an endpoint for it, sends it there and forwards the response.
 //
 // A request goes through a chain of go-kit endpoints, each with a trace span:
-// route (what is asked for), identify (by which team), deadline (by when), limit (within
-// the team's quota), then serve (choose an endpoint, send, judge what came back, and try
-// another one or answer). Start reading in serve.go.
+// route (find the team and kind), authenticate (check the caller's key), deadline
+// (set the time limit), enforceQuota (apply the team's quota), then serve (choose an
+// endpoint, send, evaluate the result, and retry or respond). Start reading in serve.go.
 //
-// The package owns what belongs to one process's requests: the request in flight,
-// the clients of endpoints and the retry budgets. It relies on a Chooser for
-// routes and endpoints, on package upstream for what an attempt proves, and on
-// coord/retry for whether there is another one. The rules of its own are in
-// rules.go. A request under which endpoints have ended is sent as package quarantine says
-// (screen.go).
+// The package owns the requests that this process is serving, the clients of
+// endpoints and the retry budgets. It relies on a Chooser for routes and endpoints, on
+// package upstream to determine whether an attempt may have run, and on coord/retry to
+// decide on retries. Its own rules are in rules.go. Requests suspected of crashing
+// endpoints are restricted by package quarantine (quarantine.go).
 //
 // # Usage
 //
@@ -46,61 +45,63 @@
 
 // Chooser routes requests and chooses their endpoints.
 type Chooser interface {
-	// NextID returns an identity for a request, unique among all balancers.
+	// NextID returns a request ID that is unique among all balancers.
 	NextID() string
-	// Route finds the team and kind of a request, or says why there is none.
+	// Route finds the team and kind of a request. Without a route the code is the reason.
 	Route(host, method, path string) (tenant.Route, reason.Code)
-	// Service returns a service and how many balancers share its connections.
+	// Service returns a service and the number of balancers that share its connections.
 	Service(tenantName, service string) (tenant.Service, int)
-	// Ready reports whether requests can be routed and, if not, why.
+	// Ready reports whether requests can be routed; if not, why is the reason.
 	Ready() (ok bool, why string)
-	// Acquire chooses an endpoint, or says why there is none.
+	// Acquire chooses an endpoint, or returns a refusal.
 	Acquire(ctx context.Context, r placement.Request) (placement.Grant, *placement.Refusal)
-	// Admits reports whether the endpoint of a grant still may get the request.
+	// Admits reports whether the endpoint of a grant still accepts the request.
 	Admits(g placement.Grant, now time.Time) bool
-	// Hear takes what an answer says of its endpoint, as soon as its head is there.
+	// Hear records what a response reports about its endpoint. It is called before the response is
+	// forwarded.
 	Hear(g placement.Grant, r upstream.Report)
-	// Complete reports how a granted request ended.
+	// Complete reports the result of a granted request.
 	Complete(g placement.Grant, r placement.Result)
 }
 
-// Quarantine knows the requests under which endpoints have ended, at whichever balancer.
+// Quarantine restricts requests suspected of crashing endpoints, across all balancers.
 type Quarantine interface {
-	// Quiet reports whether there are none.
+	// Quiet reports whether no request is suspected.
 	Quiet() bool
-	// Admit says whether and how a request may be sent now. It may wait.
+	// Admit decides whether and how a request may be sent now. It may wait.
 	Admit(ctx context.Context, r quarantine.Request) (quarantine.Pass, *quarantine.Refusal)
-	// Broke takes an attempt that broke off. The channel is closed when it is known whether
-	// its endpoint has ended.
+	// Broke records an attempt whose connection broke. The channel is closed once it is known
+	// whether the endpoint crashed.
 	Broke(a quarantine.Attempt) <-chan struct{}
-	// Ran takes a request that an endpoint ran to an end.
+	// Ran records that an endpoint ran a request to completion.
 	Ran(r quarantine.Request)
-	// Over takes a request that was admitted on trial and has ended.
+	// Over records that a request admitted on trial has ended.
 	Over(r quarantine.Request)
 }
 
-// Access knows the teams of the configuration in force and their keys.
+// Access provides the teams of the active configuration and their keys.
 type Access interface {
-	// Teams returns them; nil where callers need no keys.
+	// Teams returns the table of teams; nil if callers need no keys.
 	Teams() *access.Table
-	// InTouch reports whether this balancer hears of changes.
+	// InTouch reports whether this balancer receives configuration changes.
 	InTouch(now time.Time) bool
 }
 
-// Quotas bounds what teams send through all balancers together.
+// Quotas limits the requests that each team sends through all balancers together.
 type Quotas interface {
-	// Await waits a moment for what other balancers let through where that is not known well enough
-	// to take the team's next request.
+	// Await waits briefly for the usage counts of other balancers if they are not known well
+	// enough to admit the team's next request.
 	Await(ctx context.Context, team string, l quota.Limit)
-	// Take takes a request out of a team's quota, or says when there may be room.
+	// Take charges a request to a team's quota. If the quota is used up, ok is false and
+	// retryAfter is when there may be room.
 	Take(team string, l quota.Limit, now time.Time) (ok bool, retryAfter time.Duration)
-	// Repeat counts one that is sent once more, after an attempt that may have run.
+	// Repeat charges a retry that follows an attempt which may have run.
 	Repeat(team string, now time.Time)
-	// Return puts one back that was not sent.
+	// Return refunds a request that was not sent.
 	Return(team string, now time.Time)
 }
 
-// Config of a handler.
+// Config configures a Balancer.
 type Config struct {
 	Chooser Chooser
 	Limits  settings.Limits
@@ -108,36 +109,36 @@
 	Log     hclog.Logger
 	Metrics metrics.Registry
 	Tracing *telemetry.Tracing
-	// Requests writes the log lines of requests; nil for none.
+	// Requests writes the request log; nil for none.
 	Requests *telemetry.RequestLogger
-	// Quarantine knows requests under which endpoints ended; nil for none.
+	// Quarantine restricts requests suspected of crashing endpoints; nil for none.
 	Quarantine Quarantine
-	// Access knows teams and keys; nil where callers need none.
+	// Access provides teams and keys; nil if callers need no keys.
 	Access Access
-	// KeysWithin is after which a key that was added is known to every balancer.
+	// KeysWithin is the time within which every balancer knows an added key.
 	KeysWithin time.Duration
-	// Quotas bounds what teams send; nil for no bound.
+	// Quotas limits the requests of teams; nil for no limit.
 	Quotas Quotas
-	// Suspensions tells of suspensions of the VM; nil for none.
+	// Suspensions detects suspensions of the VM; nil for none.
 	Suspensions *suspend.Detector
-	// Histograms take the latency of requests; nil for none.
+	// Histograms record request latencies; nil for none.
 	Histograms *telemetry.Histograms
 }
 
-// Balancer is the handler for callers.
+// Balancer is the HTTP handler for callers.
 type Balancer struct {
-	cfg      Config
-	chain    endpoint.Endpoint
-	stopping atomic.Bool
-	sessions sync.WaitGroup // upgraded connections, which the server forgets
-	inFlight atomic.Int64
-	clients  clients
-	retries  retryBudgets
-	timers   timers
-	doubts   access.Doubts // keys that nobody knew yet
+	cfg         Config
+	chain       endpoint.Endpoint
+	stopping    atomic.Bool
+	sessions    sync.WaitGroup // upgraded connections, which net/http no longer tracks
+	inFlight    atomic.Int64
+	clients     clients
+	retries     retryBudgets
+	timers      timers
+	unknownKeys access.Doubts // when keys that no team holds were first seen
 }
 
-// New returns a handler.
+// New returns a Balancer.
 func New(cfg Config) *Balancer {
 	cfg.Policy = cfg.Policy.withDefaults()
 	b := &Balancer{
@@ -146,7 +147,7 @@
 		retries: retryBudgets{window: cfg.Policy.Retries, byService: map[string]retryBudget{}},
 		timers:  timers{registry: cfg.Metrics, byName: map[string]metrics.Timer{}},
 	}
-	b.chain = endpoint.Chain(b.hop("accept"), b.route, b.hop("route"), b.identify, b.deadline, b.limit, b.hop("serve"))(b.serve)
+	b.chain = endpoint.Chain(b.withSpan("accept"), b.route, b.withSpan("route"), b.authenticate, b.deadline, b.enforceQuota, b.withSpan("serve"))(b.serve)
 	return b
 }
 
@@ -154,19 +155,19 @@
 func (b *Balancer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b.inFlight.Add(1)
 	defer b.inFlight.Add(-1)
-	slept := b.cfg.Suspensions.Check()
+	suspendedFor := b.cfg.Suspensions.Check()
 	x := newExchange(w, r, b.requestID(r), time.Now())
-	x.slept = slept
+	x.suspendedFor = suspendedFor
 	x.place = pipeline.PlaceOf(r.Context())
 	x.log = b.cfg.Requests.Begin(x.id)
 	ctx := b.cfg.Tracing.Propagator.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
-	defer b.finish(x) // also where a response is cut off by a panic
+	defer b.finish(x) // also runs when a panic aborts the response
 	if _, err := b.chain(ctx, x); err != nil {
 		b.refuse(x, err)
 	}
 }
 
-// requestID returns the identity under which a request goes to endpoints.
+// requestID returns the caller's request ID if the dialect forwards it, otherwise a new ID.
 func (b *Balancer) requestID(r *http.Request) string {
 	d := &b.cfg.Policy.Dialect
 	if d.CallerRequestID {
@@ -177,8 +178,8 @@
 	return b.cfg.Chooser.NextID()
 }
 
-// hop returns a middleware that gives the rest of the chain a span.
-func (b *Balancer) hop(name string) endpoint.Middleware {
+// withSpan returns a middleware that runs the rest of the chain in a trace span.
+func (b *Balancer) withSpan(name string) endpoint.Middleware {
 	return func(next endpoint.Endpoint) endpoint.Endpoint {
 		if !b.cfg.Tracing.Enabled {
 			return next
@@ -191,18 +192,19 @@
 	}
 }
 
-// SetRetryLimit changes the bound on retries. What was counted under the old one
-// stays counted.
+// SetRetryLimit changes the limit on retries. Counts so far are kept if the length of the window
+// is the same.
 func (b *Balancer) SetRetryLimit(limit retry.WindowLimit) { b.retries.setLimit(limit) }
 
-// CloseIdle closes the connections to endpoints that no request uses.
+// CloseIdle closes idle connections to endpoints.
 func (b *Balancer) CloseIdle() { b.clients.closeIdle() }
 
 // InFlight returns the number of requests being served.
 func (b *Balancer) InFlight() int64 { return b.inFlight.Load() }
 
-// Stop begins a planned stop: callers are moved away as they ask.
+// Stop begins a planned stop: HTTP/1.1 connections are closed after their last response, so that
+// callers reconnect to another balancer.
 func (b *Balancer) Stop() { b.stopping.Store(true) }
 
-// WaitSessions waits until the last upgraded session has ended.
+// WaitSessions waits until all upgraded connections have ended.
 func (b *Balancer) WaitSessions() { b.sessions.Wait() }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -33,26 +33,26 @@
 
 func TestMain(m *testing.M) { fixedseed.Run(m) }
 
-// fakeChooser grants the endpoints in turn, leaving out those to be avoided.
+// fakeChooser grants the first endpoint that is not to be avoided.
 type fakeChooser struct {
 	cfg       *tenant.Config
 	endpoints []placement.Endpoint
 	sequence  atomic.Uint64
-	refuse    *placement.Refusal
-	// refuseAfter, where above 0, is how many grants there are.
-	refuseAfter int
+	refusal   *placement.Refusal
+	// maxGrants, if above 0, is the maximum number of grants.
+	maxGrants int
 
-	// during, where set, is called by each Acquire with how many there were before.
-	during func(acquired int)
-	// waiting and left, where set, make Acquire wait until the caller leaves.
-	waiting, left chan struct{}
+	// onAcquire, if set, is called by each Acquire with the number of grants before it.
+	onAcquire func(acquired int)
+	// acquireStarted and callerLeft, if set, make Acquire wait until the caller disconnects.
+	acquireStarted, callerLeft chan struct{}
 
 	mu      sync.Mutex
-	endings []placement.Result
+	results []placement.Result
 	granted int
-	heard   []heard
-	// unwilling endpoints have come to want no requests since they were granted.
-	unwilling []string
+	reports []endpointReport
+	// withdrawn endpoints stop accepting requests after they were granted.
+	withdrawn []string
 }
 
 func (f *fakeChooser) NextID() string { return fmt.Sprintf("id-%d", f.sequence.Add(1)) }
@@ -68,29 +68,29 @@
 func (f *fakeChooser) Ready() (bool, string) { return true, "" }
 
 func (f *fakeChooser) Acquire(ctx context.Context, a placement.Request) (placement.Grant, *placement.Refusal) {
-	if f.refuse != nil {
-		return placement.Grant{}, f.refuse
+	if f.refusal != nil {
+		return placement.Grant{}, f.refusal
 	}
-	if f.waiting != nil {
-		close(f.waiting)
+	if f.acquireStarted != nil {
+		close(f.acquireStarted)
 		<-ctx.Done()
-		close(f.left)
+		close(f.callerLeft)
 	}
 	if ctx.Err() != nil {
 		return placement.Grant{}, &placement.Refusal{Reason: reason.CallerLeft}
 	}
-	if f.during != nil {
+	if f.onAcquire != nil {
 		f.mu.Lock()
 		before := f.granted
 		f.mu.Unlock()
-		f.during(before)
+		f.onAcquire(before)
 	}
 	if !time.Now().Before(a.Deadline) {
 		return placement.Grant{}, &placement.Refusal{Reason: reason.Expired}
 	}
 	f.mu.Lock()
 	f.granted++
-	over := f.refuseAfter > 0 && f.granted > f.refuseAfter
+	over := f.maxGrants > 0 && f.granted > f.maxGrants
 	f.mu.Unlock()
 	if over {
 		return placement.Grant{}, &placement.Refusal{Reason: reason.TooLate}
@@ -106,17 +106,17 @@
 func (f *fakeChooser) Admits(g placement.Grant, _ time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !slices.Contains(f.unwilling, g.Endpoint.VM)
+	return !slices.Contains(f.withdrawn, g.Endpoint.VM)
 }
 
 func (f *fakeChooser) Hear(g placement.Grant, r upstream.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heard = append(f.heard, heard{g.Endpoint.VM, r})
+	f.reports = append(f.reports, endpointReport{g.Endpoint.VM, r})
 }
 
-// heard is what an endpoint said.
-type heard struct {
+// endpointReport is one call of Hear.
+type endpointReport struct {
 	vm     string
 	report upstream.Report
 }
@@ -124,44 +124,45 @@
 func (f *fakeChooser) Complete(_ placement.Grant, e placement.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.endings = append(f.endings, e)
+	f.results = append(f.results, e)
 }
 
-// ending waits for the report of an attempt, which comes after the caller has
-// its answer.
-func (f *fakeChooser) ending(i int) placement.Result {
+// awaitResult waits for the result of attempt i, which is reported after the caller has the
+// response.
+func (f *fakeChooser) awaitResult(i int) placement.Result {
 	for {
 		f.mu.Lock()
-		if len(f.endings) > i {
+		if len(f.results) > i {
 			defer f.mu.Unlock()
-			return f.endings[i]
+			return f.results[i]
 		}
 		f.mu.Unlock()
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// bench is a balancer in front of faulty endpoints.
-type bench struct {
+// harness is a balancer in front of faulty endpoints.
+type harness struct {
 	chooser   *fakeChooser
 	endpoints []*rawendpoint.Faulty
 	server    *httptest.Server
 }
 
-type cleaner interface {
+// testingT is the part of testing.T that rapid.T has as well.
+type testingT interface {
 	assert.TestingT
 	Cleanup(func())
 }
 
-func newBench(t cleaner, endpoints int) *bench {
-	return newBenchWith(t, endpoints, func(*balancer.Config) {})
+func newHarness(t testingT, endpoints int) *harness {
+	return newHarnessWith(t, endpoints, func(*balancer.Config) {})
 }
 
-// newBenchWith changes the configuration first.
-func newBenchWith(t cleaner, endpoints int, change func(*balancer.Config)) *bench {
+// newHarnessWith is newHarness with a change to the configuration.
+func newHarnessWith(t testingT, endpoints int, change func(*balancer.Config)) *harness {
 	cfg, err := tenant.Load("testdata/tenant.jsonc")
 	assert.NilError(t, err)
-	b := &bench{chooser: &fakeChooser{cfg: cfg}}
+	b := &harness{chooser: &fakeChooser{cfg: cfg}}
 	for i := range endpoints {
 		e, err := rawendpoint.NewFaulty()
 		assert.NilError(t, err)
@@ -186,7 +187,8 @@
 	return b
 }
 
-func (b *bench) ran(key string) int {
+// ran returns how often the endpoints ran the request with a key.
+func (b *harness) ran(key string) int {
 	n := 0
 	for _, e := range b.endpoints {
 		n += e.Ran(key)
@@ -194,17 +196,18 @@
 	return n
 }
 
-// told is what a caller was told.
-type told struct {
-	status  int
-	verdict string
-	reason  string
-	retry   string
-	body    string
-	whole   bool
+// callResult is the response that a caller got; the zero value stands for none.
+type callResult struct {
+	status     int
+	verdict    string
+	reason     string
+	retryAfter string
+	body       string
+	complete   bool
 }
 
-func (b *bench) call(t assert.TestingT, method, path, key, body string, header http.Header) told {
+// call sends one request on a new connection and reads the response.
+func (b *harness) call(t assert.TestingT, method, path, key, body string, header http.Header) callResult {
 	req, err := http.NewRequest(method, b.server.URL+path, strings.NewReader(body))
 	assert.NilError(t, err)
 	req.Host = "desk"
@@ -214,21 +217,21 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(req)
 	if err != nil {
-		return told{}
+		return callResult{}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
-	return told{
+	return callResult{
 		status: resp.StatusCode, verdict: resp.Header.Get(verdict.Header), reason: resp.Header.Get(verdict.ReasonHeader),
-		retry: resp.Header.Get("Retry-After"), body: string(raw), whole: err == nil,
+		retryAfter: resp.Header.Get("Retry-After"), body: string(raw), complete: err == nil,
 	}
 }
 
-// TestCallersAreToldTheTruth puts faults at any point of the exchange with two
-// endpoints and compares what callers are told with what ran.
-func TestCallersAreToldTheTruth(t *testing.T) {
+// TestVerdictMatchesRunsUnderFaults injects faults at any point of the exchange with two endpoints
+// and compares the verdict that callers get with the number of runs.
+func TestVerdictMatchesRunsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(t, 2)
+		b := newHarness(t, 2)
 		for i := range rapid.IntRange(1, 5).Draw(t, "requests") {
 			for _, e := range b.endpoints {
 				e.Set(rapid.SampledFrom(rawendpoint.AllFaults).Draw(t, "fault"))
@@ -249,49 +252,49 @@
 			assert.Assert(t, !once || ran <= 1, "%s ran %d times", key, ran)
 			switch got.verdict {
 			case "not-run":
-				assert.Equal(t, ran, 0, "told not-run by %s", got.reason)
+				assert.Equal(t, ran, 0, "verdict not-run with reason %s", got.reason)
 			case "ran":
 				assert.Assert(t, ran >= 1)
 			}
-			if got.whole && got.status == http.StatusOK {
+			if got.complete && got.status == http.StatusOK {
 				assert.Equal(t, got.body, "answer to "+key)
 			}
 			if got.status == http.StatusServiceUnavailable && got.verdict == "not-run" {
-				assert.Assert(t, got.retry != "", "a refusal says when to come back")
+				assert.Assert(t, got.retryAfter != "", "a refusal without Retry-After")
 			}
 		}
 	})
 }
 
-// TestRefusedRequestIsRepeatedElsewhere: a request that an endpoint did not
-// run goes to another, body included.
-func TestRefusedRequestIsRepeatedElsewhere(t *testing.T) {
-	b := newBench(t, 2)
+// TestNotRunResponseIsRetriedElsewhere checks that a request which an endpoint did not run is sent
+// to another one, including its body.
+func TestNotRunResponseIsRetriedElsewhere(t *testing.T) {
+	b := newHarness(t, 2)
 	b.endpoints[0].Set(rawendpoint.AnswerNotRun)
 	got := b.call(t, "POST", "/once", "petition", "stamped", http.Header{})
 	assert.Equal(t, got.status, http.StatusOK)
 	assert.Equal(t, b.endpoints[1].Ran("petition"), 1)
-	assert.Equal(t, b.chooser.ending(0).Outcome, placement.Shed)
+	assert.Equal(t, b.chooser.awaitResult(0).Outcome, placement.Shed)
 }
 
-// TestBareRejectionIsRepeatedForReadsOnly: an endpoint that rejects everything
-// does not fail reads while others serve; a filing is never sent again.
-func TestBareRejectionIsRepeatedForReadsOnly(t *testing.T) {
-	b := newBench(t, 2)
+// TestBare503IsRetriedOnlyIfRepeatable: an endpoint that responds 503 to everything must not fail
+// repeatable requests while others serve; a non-repeatable one is never sent again.
+func TestBare503IsRetriedOnlyIfRepeatable(t *testing.T) {
+	b := newHarness(t, 2)
 	b.endpoints[0].Set(rawendpoint.Bare503)
 	got := b.call(t, "GET", "/read", "read", "", http.Header{})
 	assert.Equal(t, got.status, http.StatusOK)
-	assert.Equal(t, b.chooser.ending(0).Outcome, placement.Failed)
+	assert.Equal(t, b.chooser.awaitResult(0).Outcome, placement.Failed)
 	got = b.call(t, "POST", "/once", "filing", "x", http.Header{})
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Equal(t, got.verdict, "ran")
 	assert.Equal(t, b.ran("filing"), 1)
 }
 
-// TestUnknownAnswerOfFilingIsNotRepeated: the filing may have run, so the
-// caller is told so and nothing is sent again.
-func TestUnknownAnswerOfFilingIsNotRepeated(t *testing.T) {
-	b := newBench(t, 2)
+// TestNonRepeatableIsNotRetriedAfterUnknownOutcome: the request may have run, so the verdict says
+// so and it is not sent again.
+func TestNonRepeatableIsNotRetriedAfterUnknownOutcome(t *testing.T) {
+	b := newHarness(t, 2)
 	b.endpoints[0].Set(rawendpoint.CloseAfterRead)
 	got := b.call(t, "POST", "/once", "petition", "stamped", http.Header{})
 	assert.Equal(t, got.status, http.StatusBadGateway)
@@ -300,10 +303,10 @@
 	assert.Equal(t, b.ran("petition"), 1)
 }
 
-// TestEarlierAttemptDecidesVerdict: a repeatable request whose first attempt
-// may have run is never told not-run because a later attempt did not.
+// TestEarlierAttemptDecidesVerdict: a repeatable request whose first attempt may have run never
+// gets the verdict not-run because a later attempt did not run.
 func TestEarlierAttemptDecidesVerdict(t *testing.T) {
-	b := newBench(t, 4)
+	b := newHarness(t, 4)
 	b.endpoints[0].Set(rawendpoint.CloseAfterRead)
 	for _, e := range b.endpoints[1:] {
 		e.Set(rawendpoint.AnswerNotRun)
@@ -313,44 +316,46 @@
 	assert.Equal(t, got.verdict, "may-have-run")
 }
 
-// TestRefusalAfterAttemptIsNotTold: no grant for a second attempt does not
-// make the first one not run.
-func TestRefusalAfterAttemptIsNotTold(t *testing.T) {
-	b := newBench(t, 1)
+// TestNoEndpointForRetryReportsMayHaveRun: the lack of an endpoint for a second attempt does not
+// change that the first one may have run.
+func TestNoEndpointForRetryReportsMayHaveRun(t *testing.T) {
+	b := newHarness(t, 1)
 	b.endpoints[0].Set(rawendpoint.CloseAfterRead)
-	b.chooser.refuseAfter = 1
+	b.chooser.maxGrants = 1
 	got := b.call(t, "POST", "/read", "k", "x", http.Header{})
 	assert.Equal(t, b.ran("k"), 1)
 	assert.Equal(t, got.verdict, "may-have-run")
 	assert.Equal(t, got.status, http.StatusBadGateway)
 }
 
-// TestCutAnswerReachesCallerAsCut over both framings.
-func TestCutAnswerReachesCallerAsCut(t *testing.T) {
+// TestTruncatedResponseStaysTruncated checks that the caller sees a truncated response as such,
+// with Content-Length and with chunked encoding.
+func TestTruncatedResponseStaysTruncated(t *testing.T) {
 	for _, f := range []rawendpoint.Fault{rawendpoint.CutBody, rawendpoint.CutChunked} {
-		b := newBench(t, 1)
+		b := newHarness(t, 1)
 		b.endpoints[0].Set(f)
 		got := b.call(t, "GET", "/read", "k", "", http.Header{})
-		assert.Assert(t, !got.whole, "%s: %+v", f, got)
+		assert.Assert(t, !got.complete, "%s: %+v", f, got)
 	}
 }
 
-// TestRefusalIsAnsweredAtOnce: what the chooser refuses is told to the caller
-// with the time to come back.
-func TestRefusalIsAnsweredAtOnce(t *testing.T) {
-	b := newBench(t, 1)
-	b.chooser.refuse = &placement.Refusal{Reason: reason.TooLate, RetryAfter: 1500 * time.Millisecond}
+// TestChooserRefusalHasRetryAfter checks that a refusal of the chooser reaches the caller with its
+// Retry-After.
+func TestChooserRefusalHasRetryAfter(t *testing.T) {
+	b := newHarness(t, 1)
+	b.chooser.refusal = &placement.Refusal{Reason: reason.TooLate, RetryAfter: 1500 * time.Millisecond}
 	got := b.call(t, "GET", "/read", "k", "", http.Header{})
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Equal(t, got.verdict, "not-run")
-	assert.Equal(t, got.retry, "2")
+	assert.Equal(t, got.retryAfter, "2")
 	assert.Assert(t, strings.Contains(got.body, `"retry_after_ms":1500`), got.body)
 	assert.Equal(t, b.ran("k"), 0)
 }
 
-// TestCallerThatLeavesCancelsUpstream: the grant is given back.
-func TestCallerThatLeavesCancelsUpstream(t *testing.T) {
-	b := newBench(t, 1)
+// TestCallerDisconnectCancelsAttempt: the attempt of a caller that disconnects is canceled and
+// reported as unused.
+func TestCallerDisconnectCancelsAttempt(t *testing.T) {
+	b := newHarness(t, 1)
 	b.endpoints[0].Set(rawendpoint.SilentAfterRead)
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, "GET", b.server.URL+"/read", nil)
@@ -365,34 +370,34 @@
 	}()
 	_, err = http.DefaultClient.Do(req)
 	assert.Assert(t, err != nil)
-	assert.Equal(t, b.chooser.ending(0).Outcome, placement.Unused)
+	assert.Equal(t, b.chooser.awaitResult(0).Outcome, placement.Unused)
 	assert.Equal(t, b.ran("k"), 1)
 }
 
-// TestCallerThatLeavesWhileWaiting gives its place back, though its body was
-// not asked for yet.
-func TestCallerThatLeavesWhileWaiting(t *testing.T) {
-	b := newBench(t, 1)
-	b.chooser.waiting = make(chan struct{})
-	b.chooser.left = make(chan struct{})
+// TestCallerDisconnectEndsAcquire checks that Acquire is canceled when the caller disconnects.
+// net/http detects this only once the body is read, which the balancer does before Acquire.
+func TestCallerDisconnectEndsAcquire(t *testing.T) {
+	b := newHarness(t, 1)
+	b.chooser.acquireStarted = make(chan struct{})
+	b.chooser.callerLeft = make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, "POST", b.server.URL+"/once", strings.NewReader("stamped"))
 	assert.NilError(t, err)
 	req.Host = "desk"
 	go func() {
-		<-b.chooser.waiting
+		<-b.chooser.acquireStarted
 		cancel()
 	}()
 	_, err = http.DefaultClient.Do(req)
 	assert.Assert(t, err != nil)
-	<-b.chooser.left
+	<-b.chooser.callerLeft
 	assert.Equal(t, b.ran(""), 0)
 }
 
-// TestSlowUploadHoldsNoSlot: a small body that stops arriving is given up at
-// the deadline, before anything is asked of the chooser.
+// TestSlowUploadHoldsNoSlot: a small body that stops arriving is abandoned at the deadline, before
+// an endpoint is acquired.
 func TestSlowUploadHoldsNoSlot(t *testing.T) {
-	b := newBench(t, 1)
+	b := newHarness(t, 1)
 	conn, err := net.Dial("tcp", b.server.Listener.Addr().String())
 	assert.NilError(t, err)
 	defer func() { _ = conn.Close() }()
@@ -405,9 +410,9 @@
 	assert.Equal(t, b.chooser.granted, 0)
 }
 
-// TestMalformedRequestsReachNoEndpoint sends raw bytes.
+// TestMalformedRequestsReachNoEndpoint sends malformed requests as raw bytes.
 func TestMalformedRequestsReachNoEndpoint(t *testing.T) {
-	b := newBench(t, 1)
+	b := newHarness(t, 1)
 	cases := map[string]string{
 		"two lengths":        "POST /once HTTP/1.1\r\nHost: desk\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx",
 		"bad length":         "POST /once HTTP/1.1\r\nHost: desk\r\nContent-Length: -1\r\n\r\n",
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -16,8 +16,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkRequest is one request on the platform's terms, from the handler to an
-// endpoint over loopback and back, with its log lines.
+// BenchmarkRequest measures one request with the platform's policy, from the handler to an
+// endpoint over loopback and back, including its log lines.
 func BenchmarkRequest(b *testing.B) {
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
--- a/balancer/body.go
+++ b/balancer/body.go
@@ -8,31 +8,32 @@
 	"github.com/lotuswing/lotuswing/coord/reason"
 )
 
-// limitBody bounds the body and lets the response begin before it has ended. A
-// body that says that it is too long is refused before anything is sent. limit, in
-// bytes, is the process's; the kind may have a lower one.
+// limitBody limits the body to limit bytes, or to the limit of the kind if that is lower, and
+// allows the response to begin before the body ends. A body whose Content-Length is above the
+// limit is refused before anything is sent.
 func limitBody(x *exchange, limit int64) error {
-	if most := x.route.Kind.MaxBody; most > 0 {
-		limit = min(limit, most)
+	if kindLimit := x.route.Kind.MaxBody; kindLimit > 0 {
+		limit = min(limit, kindLimit)
 	}
 	if x.r.ContentLength > limit {
 		return refusal{reason: reason.BodyTooLarge, message: fmt.Sprintf("%d bytes, at most %d", x.r.ContentLength, limit)}
 	}
 	if x.r.ProtoMajor == 1 {
-		// A server that cannot do it reads the body first, as net/http does anyway.
+		// The error is ignored: without full duplex, net/http reads the body before the response
+		// is written.
 		_ = http.NewResponseController(x.w).EnableFullDuplex()
 	}
 	x.r.Body = http.MaxBytesReader(x.w, x.r.Body, limit)
 	return nil
 }
 
-// readSmallBody reads a body of up to limit bytes before the request waits, so
-// that a slow upload holds no slot and a caller that leaves is noticed.
+// readSmallBody reads a body of up to limit bytes before the request waits for an endpoint. A slow
+// upload then holds no slot, and net/http detects when the caller disconnects.
 func readSmallBody(x *exchange, limit int) error {
 	if x.r.ContentLength <= 0 || x.r.ContentLength > int64(limit) {
 		return nil
 	}
-	// A connection may have no read deadline; the reading then ends with the caller.
+	// Some connections support no read deadline; the read then ends when the caller disconnects.
 	control := http.NewResponseController(x.w)
 	_ = control.SetReadDeadline(x.deadline)
 	err := x.body.Fill()
--- a/balancer/clients.go
+++ b/balancer/clients.go
@@ -7,7 +7,7 @@
 	"github.com/lotuswing/lotuswing/upstream"
 )
 
-// clients are the clients of endpoints, made on first use.
+// clients holds the HTTP clients for endpoints, created on first use.
 type clients struct {
 	policy Policy
 
@@ -15,16 +15,17 @@
 	byKey map[clientKey]*upstream.Client
 }
 
+// clientKey identifies a client: requests with equal keys share one.
 type clientKey struct {
 	service     string
-	connections int // most to one endpoint
+	connections int // maximum to one endpoint
 	protocol    string
 	fresh       bool // a new connection for each request
 }
 
-// client returns the client for a route. The connections that a service's
-// endpoints take are shared out among the balancers.
-func (b *Balancer) client(route tenant.Route) *upstream.Client {
+// clientFor returns the client for a route. The connections that the endpoints of a service accept
+// are divided among the balancers.
+func (b *Balancer) clientFor(route tenant.Route) *upstream.Client {
 	if b.cfg.Policy.Client != nil && route.Kind.Repeatable {
 		return b.cfg.Policy.Client
 	}
@@ -37,6 +38,7 @@
 	})
 }
 
+// get returns the client for a key, creating it on first use.
 func (c *clients) get(key clientKey) *upstream.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +57,7 @@
 	return client
 }
 
-// closeIdle closes the connections that no request uses.
+// closeIdle closes idle connections.
 func (c *clients) closeIdle() {
 	if c.policy.Client != nil {
 		c.policy.Client.Close()
@@ -67,14 +69,15 @@
 	}
 }
 
-// fewestPlanned is the fleet's size that is planned for at least: each tenant has
-// 13 to 18 balancers today.
-const fewestPlanned = 16
+// minPlannedBalancers is the smallest fleet size to plan for: each tenant has 13 to 18 balancers
+// today.
+const minPlannedBalancers = 16
 
-// plannedBalancers rounds the number of sharers up to a power of two, so that the
-// share stays the same while single balancers come and go.
+// plannedBalancers rounds the number of sharers up to a power of two, at least
+// minPlannedBalancers, so that the share of connections stays the same while single balancers join
+// and leave.
 func plannedBalancers(sharers int) int {
-	planned := fewestPlanned
+	planned := minPlannedBalancers
 	for planned < sharers {
 		planned *= 2
 	}
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -13,8 +13,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// All log lines and metrics of requests are written here. telemetry.Events says
-// what each field means.
+// This file writes all log lines and metrics of requests. telemetry.Events documents
+// the fields.
 
 func (x *exchange) logAdmitted(timeout time.Duration) {
 	kind := x.route.Kind
@@ -22,9 +22,9 @@
 		Text("team", x.team).Int("version", int64(x.route.Version)).Millis("deadline_ms", timeout).Bool("repeatable", kind.Repeatable).Done()
 }
 
-// logChosen records the choice of an endpoint before the request goes out, so that
-// the log tells where it went even if this process dies. Where the request must
-// not run twice, the line is written whatever the log's rate allows.
+// logChosen logs the choice of an endpoint before the request is sent, so that the log shows where
+// it went even if this process dies. For a non-repeatable request the line is written even above
+// the rate limit of the log.
 func (x *exchange) logChosen(number int, g placement.Grant, now time.Time) {
 	age := int64(-1)
 	if g.Choice.Age >= 0 {
@@ -33,7 +33,7 @@
 	x.log.Line(telemetry.EventChosen).Int("attempt", int64(number)).Text("endpoint", g.Endpoint.VM).Text("zone", g.Endpoint.Zone).
 		Millis("estimate_ms", g.Choice.Estimate).Float("pace", g.Choice.Pace).Int("busy", int64(g.Choice.Busy)).Bool("cold", g.Choice.Cold).
 		Bool("limited", g.Choice.Limited).
-		Int("age_ms", age).Int("probes", int64(g.Choice.Probes)).Millis("waited_ms", now.Sub(x.searching)).Done()
+		Int("age_ms", age).Int("probes", int64(g.Choice.Probes)).Millis("waited_ms", now.Sub(x.searchStart)).Done()
 	if x.route.Kind.Repeatable {
 		x.log.FlushWithin(now)
 	} else {
@@ -45,10 +45,10 @@
 	x.log.Line(telemetry.EventNoEndpoint).Int("attempt", int64(number)).Text("reason", string(r.Reason)).
 		Int("known", int64(r.Search.Known)).Int("ejected", int64(r.Search.Ejected)).Int("full", int64(r.Search.Full)).Int("limited", int64(r.Search.Limited)).
 		Int("backing_off", int64(r.Search.BackingOff)).
-		Millis("best_ms", r.Search.Best).Int("probes", int64(r.Search.Probes)).Millis("waited_ms", now.Sub(x.searching)).Done()
+		Millis("best_ms", r.Search.Best).Int("probes", int64(r.Search.Probes)).Millis("waited_ms", now.Sub(x.searchStart)).Done()
 }
 
-// logAttempt records what became of an attempt; the next search begins then.
+// logAttempt logs the result of an attempt and starts the clock for the next search.
 func (x *exchange) logAttempt(a *attempt, now time.Time) {
 	status := 0
 	if a.result.Response != nil {
@@ -56,13 +56,13 @@
 	}
 	line := x.log.Line(telemetry.EventAttempt).Int("attempt", int64(a.number)).Text("endpoint", a.grant.Endpoint.VM).
 		Text("verdict", a.result.Verdict.String()).Text("reason", string(a.result.Reason)).
-		Int("status", int64(status)).Millis("took_ms", now.Sub(a.sent)).
+		Int("status", int64(status)).Millis("took_ms", now.Sub(a.sentAt)).
 		Bool("leaving", a.result.Report.Word.Leaving).Millis("backoff_ms", a.result.Report.Word.Backoff)
 	if a.result.Err != nil {
 		line.Text("error", a.result.Err.Error())
 	}
 	line.Done()
-	x.searching = now
+	x.searchStart = now
 }
 
 func (x *exchange) logRetry(d retry.Decision, attempts int) {
@@ -70,7 +70,7 @@
 		Int("attempts", int64(attempts)).Int("most", int64(x.route.Kind.MaxAttempts)).Done()
 }
 
-// finish records the end of an exchange, also of one that was cut off.
+// finish records the end of an exchange, including one whose response was aborted.
 func (b *Balancer) finish(x *exchange) {
 	kind, service := "none", "none"
 	var target time.Duration
@@ -85,13 +85,13 @@
 	}
 	left := x.callerLeft()
 	x.log.Line(telemetry.EventEnded).Text("verdict", x.verdict.String()).Text("reason", string(x.reason)).
-		Int("status", int64(x.status)).Millis("took_ms", took).Millis("target_ms", target).Millis("behind_ms", x.behind).Bool("caller_left", left).Text("message", x.message).Done()
+		Int("status", int64(x.status)).Millis("took_ms", took).Millis("target_ms", target).Millis("behind_ms", x.turnWait).Bool("caller_left", left).Text("message", x.message).Done()
 	failed := x.verdict != verdict.Ran || x.status >= http.StatusInternalServerError || left
 	late := target > 0 && took > target
 	x.log.End(failed || late, now)
 }
 
-// timers are the latency timers by request kind and verdict, made on first use.
+// timers holds the latency timers by request kind and verdict, created on first use.
 type timers struct {
 	registry metrics.Registry
 
@@ -99,6 +99,7 @@
 	byName map[string]metrics.Timer
 }
 
+// get returns the timer for a request kind and verdict.
 func (t *timers) get(kind string, v verdict.Verdict) metrics.Timer {
 	name := fmt.Sprintf("request{kind=%q,verdict=%q}", kind, v.String())
 	t.mu.Lock()
--- a/balancer/exchange.go
+++ b/balancer/exchange.go
@@ -16,84 +16,85 @@
 	"github.com/lotuswing/lotuswing/upstream"
 )
 
-// exchange is one caller's request while it is served.
+// exchange is the state of one caller's request while it is served.
 type exchange struct {
 	id       string
 	w        http.ResponseWriter
 	r        *http.Request
 	accepted time.Time
 	log      *telemetry.RequestLog
-	place    pipeline.Place // among the requests of its connection
+	place    pipeline.Place // position among the pipelined requests of its connection
 
-	// Set by identify.
-	keyed bool          // the configuration has teams, so that keys stop here
-	key   access.Digest // of the key with which the request was admitted
-	team  string        // that holds the key; empty for none
+	// Set by authenticate.
+	teamsConfigured bool          // the configuration has teams, so keys are not forwarded
+	key             access.Digest // digest of the key that admitted the request
+	team            string        // team that holds the key; empty for none
 
 	// Set by route and deadline.
-	route    tenant.Route // its Kind is nil until then
+	route    tenant.Route // its Kind is nil until set
 	deadline time.Time
 
-	// Kept by serve from attempt to attempt.
-	body       *upstream.Body
-	bodyRead   bool      // the body was read whole before anything was sent
-	tried      []string  // VMs that got the request
-	mayHaveRun bool      // an attempt may have run, whatever later ones say
-	ran        bool      // an endpoint's response was passed on
-	searching  time.Time // since when an endpoint is looked for
-	pass       quarantine.Pass
-	shown      bool               // what the request did was told to the quarantine
-	suspect    quarantine.Request // filled when it is first asked for
-	slept      time.Duration      // for how long the VM has been suspended so far, as far as the times here know
-	behind     time.Duration      // how long it has waited for those before it on its connection
+	// Kept by serve across attempts.
+	body               *upstream.Body
+	bodyRead           bool      // the whole body was read before anything was sent
+	tried              []string  // VMs of failed attempts and of endpoints that stopped accepting requests
+	mayHaveRun         bool      // an attempt may have run, whatever later attempts show
+	ran                bool      // a response of an endpoint was forwarded
+	searchStart        time.Time // when the search for an endpoint started
+	pass               quarantine.Pass
+	quarantineNotified bool               // a result was reported to the quarantine since it last admitted the request
+	quarantineReq      quarantine.Request // built on first use by quarantineRequest
+	suspendedFor       time.Duration      // total suspension of the VM that the times here already include
+	turnWait           time.Duration      // time spent waiting for earlier requests on its connection
 
-	// What the caller is told.
+	// The response to the caller.
 	verdict verdict.Verdict
 	reason  reason.Code
 	status  int
-	message string // of a response of the balancer's own
+	message string // of a response that the balancer generates
 }
 
 func newExchange(w http.ResponseWriter, r *http.Request, id string, now time.Time) *exchange {
-	return &exchange{id: id, w: w, r: r, accepted: now, searching: now}
+	return &exchange{id: id, w: w, r: r, accepted: now, searchStart: now}
 }
 
-// wake brings the times of the request up to date after the VM was suspended, in which the
-// caller's time ran on and the clock stood still. It reports whether that was so.
-func (x *exchange) wake(slept time.Duration) bool {
-	d := slept - x.slept
+// applySuspension moves the times of the request back by any new suspension of the VM, because the
+// caller's time ran on while the process clock stood still. suspendedFor is the total
+// suspension so far. It reports whether there was a new one.
+func (x *exchange) applySuspension(suspendedFor time.Duration) bool {
+	d := suspendedFor - x.suspendedFor
 	if d <= 0 {
 		return false
 	}
-	x.slept = slept
+	x.suspendedFor = suspendedFor
 	x.accepted = x.accepted.Add(-d)
-	x.searching = x.searching.Add(-d)
+	x.searchStart = x.searchStart.Add(-d)
 	if !x.deadline.IsZero() {
 		x.deadline = x.deadline.Add(-d)
 	}
 	return true
 }
 
-// callerLeft reports whether the caller has gone.
+// callerLeft reports whether the caller has disconnected.
 func (x *exchange) callerLeft() bool { return x.r.Context().Err() != nil }
 
-// attempt is one try to get a response from an endpoint.
+// attempt is one attempt to get a response from an endpoint.
 type attempt struct {
-	number int // 1 for the first
-	grant  placement.Grant
-	sent   time.Time
-	result upstream.Result
-	stale  bool // the VM was suspended meanwhile: nobody knows how long it took, and how old the response is
+	number    int // 1 for the first
+	grant     placement.Grant
+	sentAt    time.Time
+	result    upstream.Result
+	suspended bool // the VM was suspended during it, so its duration and the age of the response are unknown
 }
 
-// noteFailed notes a failed attempt.
-func (x *exchange) noteFailed(a *attempt) {
+// recordFailure records a failed attempt.
+func (x *exchange) recordFailure(a *attempt) {
 	x.mayHaveRun = x.mayHaveRun || a.result.Verdict != verdict.NotRun
 	x.tried = append(x.tried, a.grant.Endpoint.VM)
 }
 
-// forRetry returns what coord/retry needs to know of the request.
-func (x *exchange) forRetry() retry.Request {
+// retryRequest returns the properties of the request that coord/retry decides by.
+func (x *exchange) retryRequest() retry.Request {
 	return retry.Request{
 		Repeatable:  x.route.Kind.Repeatable,
 		MaxAttempts: x.route.Kind.MaxAttempts,
--- a/balancer/forward.go
+++ b/balancer/forward.go
@@ -13,32 +13,32 @@
 	"github.com/lotuswing/lotuswing/upstream"
 )
 
-// How passing on a response fails.
+// Errors of forwarding a response.
 var (
-	errCutShort   = errors.New("balancer: answer cut short by the endpoint")
+	errTruncated  = errors.New("balancer: response truncated by the endpoint")
 	errCallerGone = errors.New("balancer: caller left during the answer")
 )
 
-// copyBuffer is the size of a buffer for copying, in bytes; that of io.Copy.
-const copyBuffer = 32 << 10
+// copyBufferBytes is the size of a copy buffer, the same as in io.Copy.
+const copyBufferBytes = 32 << 10
 
-var buffers = sync.Pool{New: func() any { b := make([]byte, copyBuffer); return &b }}
+var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBufferBytes); return &b }}
 
-// takeTurn waits until the requests before this one on its connection have their
-// responses.
-func (x *exchange) takeTurn() error {
+// awaitTurn waits until all earlier requests on the connection have their responses. It returns
+// errCallerGone if the connection ends first.
+func (x *exchange) awaitTurn() error {
 	began := time.Now()
 	if err := x.place.Wait(); err != nil {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
 	}
-	x.behind += time.Since(began)
+	x.turnWait += time.Since(began)
 	return nil
 }
 
-// beginResponse waits for the turn of the request. In a planned stop the last response
-// on a connection closes it, which moves the caller to another balancer.
+// beginResponse waits for the turn of the request. In a planned stop, the last response on an
+// HTTP/1.1 connection closes it, so that the caller reconnects to another balancer.
 func (b *Balancer) beginResponse(x *exchange) error {
-	if err := x.takeTurn(); err != nil {
+	if err := x.awaitTurn(); err != nil {
 		return err
 	}
 	if b.stopping.Load() && x.r.ProtoMajor == 1 && x.place.Last() {
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// forward passes a response on as it arrives.
+// forward streams a response to the caller and closes it. The errors are errCallerGone and
+// errTruncated.
 func (b *Balancer) forward(x *exchange, res *upstream.Result) error {
 	defer res.Close()
 	if err := b.beginResponse(x); err != nil {
@@ -55,7 +56,7 @@
 	}
 	response := res.Response
 	h := x.w.Header()
-	removeHopHeaders(response.Header)
+	removeHopByHopHeaders(response.Header)
 	if !b.cfg.Policy.Dialect.CallerRequestID {
 		response.Header.Del(b.cfg.Policy.Dialect.RequestID)
 	}
@@ -67,13 +68,14 @@
 	x.w.WriteHeader(response.StatusCode)
 	streaming := response.ContentLength < 0 && !res.Buffered
 	if err := copyBody(x.w, response.Body, streaming); err != nil {
-		b.cfg.Log.Warn("answer not passed on whole", "id", x.id, "error", err)
+		b.cfg.Log.Warn("response not forwarded in full", "id", x.id, "error", err)
 		return err
 	}
 	writeTrailers(h, response.Trailer, announced)
 	return nil
 }
 
+// announceTrailers lists the known trailers in the Trailer header and returns their number.
 func announceTrailers(h, trailer http.Header) int {
 	if len(trailer) == 0 {
 		return 0
@@ -86,8 +88,8 @@
 	return len(keys)
 }
 
-// writeTrailers sets the trailers that were announced and, under the server's
-// prefix, those that were not.
+// writeTrailers sets the trailers after the body. If there are more or fewer than were announced,
+// it adds net/http's TrailerPrefix, which unannounced trailers need.
 func writeTrailers(h, trailer http.Header, announced int) {
 	for name, values := range trailer {
 		if len(trailer) != announced {
@@ -99,10 +101,10 @@
 	}
 }
 
-// copyBody copies a body; a stream is flushed as it arrives.
+// copyBody copies a body to the caller; a streaming one is flushed after each read.
 func copyBody(w http.ResponseWriter, body io.Reader, streaming bool) error {
-	buf := buffers.Get().(*[]byte)
-	defer buffers.Put(buf)
+	buf := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(buf)
 	control := http.NewResponseController(w)
 	for {
 		n, err := body.Read(*buf)
@@ -111,14 +113,14 @@
 				return fmt.Errorf("%w: %w", errCallerGone, werr)
 			}
 			if streaming {
-				_ = control.Flush() // a writer that cannot flush does so when it likes
+				_ = control.Flush() // a writer without Flush decides itself when to send
 			}
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("%w: %w", errCutShort, err)
+			return fmt.Errorf("%w: %w", errTruncated, err)
 		}
 	}
 }
--- a/balancer/forward_test.go
+++ b/balancer/forward_test.go
@@ -17,9 +17,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// via puts a balancer in front of one handler, over HTTP/1.1 or HTTP/2 on both
-// sides, and returns a client of it.
-func via(t *testing.T, http2 bool, h http.HandlerFunc) (*http.Client, string) {
+// startProxy starts a balancer in front of a handler, over HTTP/1.1 or HTTP/2 on both sides, and
+// returns a client and the balancer's URL.
+func startProxy(t *testing.T, http2 bool, h http.HandlerFunc) (*http.Client, string) {
 	t.Helper()
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(!http2)
@@ -28,7 +28,7 @@
 	end.Config.Protocols = protocols
 	end.Start()
 	t.Cleanup(end.Close)
-	b := newBench(t, 0)
+	b := newHarness(t, 0)
 	b.chooser.endpoints = []placement.Endpoint{{VM: "e0", Addr: end.Listener.Addr().String(), Slots: 3}}
 	if http2 {
 		service := b.chooser.cfg.Services["pool"]
@@ -42,7 +42,8 @@
 	return &http.Client{Transport: &http.Transport{Protocols: protocols}}, front.URL
 }
 
-func both(t *testing.T, f func(t *testing.T, http2 bool)) {
+// forBothProtocols runs a subtest over HTTP/1.1 and one over HTTP/2.
+func forBothProtocols(t *testing.T, f func(t *testing.T, http2 bool)) {
 	for _, http2 := range []bool{false, true} {
 		t.Run(fmt.Sprintf("http2=%v", http2), func(t *testing.T) { f(t, http2) })
 	}
@@ -56,11 +57,11 @@
 	return req
 }
 
-// TestStreamsBothWays: each side reads what the other has written before
-// either has ended.
-func TestStreamsBothWays(t *testing.T) {
-	both(t, func(t *testing.T, http2 bool) {
-		client, url := via(t, http2, func(w http.ResponseWriter, r *http.Request) {
+// TestBidirectionalStreaming: each side reads what the other has written before either has
+// finished.
+func TestBidirectionalStreaming(t *testing.T) {
+	forBothProtocols(t, func(t *testing.T, http2 bool) {
+		client, url := startProxy(t, http2, func(w http.ResponseWriter, r *http.Request) {
 			_ = http.NewResponseController(w).EnableFullDuplex()
 			lines := bufio.NewScanner(r.Body)
 			for lines.Scan() {
@@ -87,10 +88,11 @@
 	})
 }
 
-// TestTrailersBothWays, announced and not.
-func TestTrailersBothWays(t *testing.T) {
-	both(t, func(t *testing.T, http2 bool) {
-		client, url := via(t, http2, func(w http.ResponseWriter, r *http.Request) {
+// TestTrailersAreForwarded checks the trailers of requests and responses, both announced and
+// unannounced.
+func TestTrailersAreForwarded(t *testing.T) {
+	forBothProtocols(t, func(t *testing.T, http2 bool) {
+		client, url := startProxy(t, http2, func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			w.Header().Set("Trailer", "X-Sum")
 			_, _ = io.WriteString(w, "body")
@@ -109,10 +111,10 @@
 	})
 }
 
-// TestInformationalAnswers pass through before the final one.
-func TestInformationalAnswers(t *testing.T) {
-	both(t, func(t *testing.T, http2 bool) {
-		client, url := via(t, http2, func(w http.ResponseWriter, _ *http.Request) {
+// TestInformationalResponsesAreForwarded checks that a 103 response precedes the final response.
+func TestInformationalResponsesAreForwarded(t *testing.T) {
+	forBothProtocols(t, func(t *testing.T, http2 bool) {
+		client, url := startProxy(t, http2, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Link", "</style.css>; rel=preload")
 			w.WriteHeader(http.StatusEarlyHints)
 			w.Header().Set("X-Final", "yes")
@@ -132,11 +134,11 @@
 	})
 }
 
-// TestHopHeadersStay: headers of one connection are not passed on; the
-// caller's address is.
-func TestHopHeadersStay(t *testing.T) {
+// TestHopByHopHeadersAreRemoved also checks that the caller's address and the trace context are
+// forwarded.
+func TestHopByHopHeadersAreRemoved(t *testing.T) {
 	seen := make(chan http.Header, 1)
-	client, url := via(t, false, func(w http.ResponseWriter, r *http.Request) {
+	client, url := startProxy(t, false, func(w http.ResponseWriter, r *http.Request) {
 		seen <- r.Header.Clone()
 		w.Header().Set("Connection", "X-Secret")
 		w.Header().Set("X-Secret", "of this connection")
@@ -162,16 +164,16 @@
 	assert.Equal(t, resp.Header.Get("Keep-Alive"), "")
 }
 
-// TestUpgradedSession carries bytes both ways and ends one direction at a time.
+// TestUpgradedSession copies bytes both ways and closes one direction at a time.
 func TestUpgradedSession(t *testing.T) {
-	_, url := via(t, false, func(w http.ResponseWriter, _ *http.Request) {
+	_, url := startProxy(t, false, func(w http.ResponseWriter, _ *http.Request) {
 		conn, buffered, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			return
 		}
 		defer func() { _ = conn.Close() }()
 		_, _ = io.WriteString(conn, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: count\r\n\r\n")
-		all, _ := io.ReadAll(buffered) // until the caller ends its direction
+		all, _ := io.ReadAll(buffered) // until the caller closes its direction
 		_, _ = fmt.Fprintf(conn, "%d bytes", len(all))
 	})
 	conn, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
@@ -192,10 +194,10 @@
 	assert.Equal(t, string(rest), "100005 bytes")
 }
 
-// TestAnswerBeforeBodyIsRead: an endpoint may refuse a large upload early.
-func TestAnswerBeforeBodyIsRead(t *testing.T) {
-	both(t, func(t *testing.T, http2 bool) {
-		client, url := via(t, http2, func(w http.ResponseWriter, _ *http.Request) {
+// TestResponseBeforeBodyIsRead: an endpoint may refuse a large upload early.
+func TestResponseBeforeBodyIsRead(t *testing.T) {
+	forBothProtocols(t, func(t *testing.T, http2 bool) {
+		client, url := startProxy(t, http2, func(w http.ResponseWriter, _ *http.Request) {
 			http.Error(w, "too large for me", http.StatusRequestEntityTooLarge)
 		})
 		resp, err := client.Do(newRequest(t, "POST", url+"/once", strings.NewReader(strings.Repeat("x", 900_000))))
@@ -204,11 +206,11 @@
 	})
 }
 
-// TestBodyLimit: a body above the balancer's limit is refused and the endpoint
-// never sees its end.
+// TestBodyLimit: a body above the balancer's limit is refused, and the endpoint never gets the
+// whole of it.
 func TestBodyLimit(t *testing.T) {
 	whole := make(chan bool, 1)
-	client, url := via(t, false, func(_ http.ResponseWriter, r *http.Request) {
+	client, url := startProxy(t, false, func(_ http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
 		whole <- err == nil
 	})
--- a/balancer/headers.go
+++ b/balancer/headers.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// hopHeaders belong to one connection (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// upgradeOf returns the protocol that a message asks to switch to, if any.
-func upgradeOf(h http.Header) string {
+// upgradeProtocol returns the protocol that a message asks to switch to; empty for none.
+func upgradeProtocol(h http.Header) string {
 	for _, value := range h.Values("Connection") {
 		for token := range strings.SplitSeq(value, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), "upgrade") {
@@ -25,9 +25,9 @@
 	return ""
 }
 
-// removeHopHeaders deletes the headers of one connection, those that the
-// Connection header names included.
-func removeHopHeaders(h http.Header) {
+// removeHopByHopHeaders deletes hop-by-hop headers, including those named in the Connection
+// header.
+func removeHopByHopHeaders(h http.Header) {
 	for _, value := range h.Values("Connection") {
 		for token := range strings.SplitSeq(value, ",") {
 			if name := textproto.TrimString(token); name != "" {
@@ -35,17 +35,17 @@
 			}
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
 
-// prepareHeaders makes a caller's headers fit for the endpoint and, where
-// tellCaller says so, tells it the caller's address.
-func prepareHeaders(r *http.Request, tellCaller bool) {
-	upgrade := upgradeOf(r.Header)
+// prepareHeaders adapts the caller's headers for the endpoint. If exposeCaller is set, it adds the
+// caller's address.
+func prepareHeaders(r *http.Request, exposeCaller bool) {
+	upgrade := upgradeProtocol(r.Header)
 	trailers := strings.Contains(strings.ToLower(r.Header.Get("Te")), "trailers")
-	removeHopHeaders(r.Header)
+	removeHopByHopHeaders(r.Header)
 	if upgrade != "" {
 		r.Header.Set("Connection", "Upgrade")
 		r.Header.Set("Upgrade", upgrade)
@@ -56,16 +56,17 @@
 	if _, ok := r.Header["User-Agent"]; !ok {
 		r.Header.Set("User-Agent", "") // keeps the transport from adding its own
 	}
-	if tellCaller {
+	if exposeCaller {
 		setForwarded(r)
 	}
 }
 
-// setForwarded adds the caller's address (RFC 7239 and the older X-Forwarded).
+// setForwarded adds the caller's address in the Forwarded header (RFC 7239) and the older
+// X-Forwarded headers.
 func setForwarded(r *http.Request) {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
-		return // the connection has no address, as a Unix socket's
+		return // the remote address has no host and port, as on a Unix socket
 	}
 	if prior := r.Header.Values("X-Forwarded-For"); len(prior) > 0 {
 		r.Header.Set("X-Forwarded-For", strings.Join(prior, ", ")+", "+host)
--- a/balancer/identify.go
+++ b/balancer/identify.go
@@ -11,14 +11,14 @@
 	"github.com/lotuswing/lotuswing/coord/reason"
 )
 
-// identify finds the team whose key the caller sends, where the configuration has teams. The
-// key goes no further than this: what is kept of it is a digest.
-func (b *Balancer) identify(next endpoint.Endpoint) endpoint.Endpoint {
+// authenticate finds the team that holds the caller's key, if the configuration has teams. Only a
+// digest of the key is kept.
+func (b *Balancer) authenticate(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		x := request.(*exchange)
 		if table := b.teams(); table != nil {
-			x.keyed = true
-			if err := b.admit(x, table, time.Now()); err != nil {
+			x.teamsConfigured = true
+			if err := b.checkKey(x, table, time.Now()); err != nil {
 				return nil, err
 			}
 		}
@@ -26,7 +26,7 @@
 	}
 }
 
-// teams returns the teams of the configuration in force; nil where callers need no keys.
+// teams returns the teams of the active configuration; nil if callers need no keys.
 func (b *Balancer) teams() *access.Table {
 	if b.cfg.Access == nil {
 		return nil
@@ -34,9 +34,9 @@
 	return b.cfg.Access.Teams()
 }
 
-// admit lets a request in by the key that it carries. A route that needs none takes a key
-// that a team holds for what it is, and passes over any other one.
-func (b *Balancer) admit(x *exchange, table *access.Table, now time.Time) error {
+// checkKey admits a request by its key and sets the team. A public route needs no key: there a key
+// that a team holds sets the team, and any other key is ignored.
+func (b *Balancer) checkKey(x *exchange, table *access.Table, now time.Time) error {
 	key, err := access.Bearer(x.r.Header)
 	public := x.route.Kind.Public
 	switch {
@@ -54,12 +54,13 @@
 	if public {
 		return nil
 	}
-	return b.refuseKey(digest, standing, now)
+	return b.keyRefusal(digest, standing, now)
 }
 
-// refuseKey returns the refusal of a key that no team holds.
-func (b *Balancer) refuseKey(digest access.Digest, s access.Standing, now time.Time) error {
-	since := b.doubts.Since(digest, now)
+// keyRefusal returns the refusal for a key that no team holds. A key that may have been added too
+// recently for this balancer to know gets a Retry-After.
+func (b *Balancer) keyRefusal(digest access.Digest, s access.Standing, now time.Time) error {
+	since := b.unknownKeys.Since(digest, now)
 	message := fmt.Sprintf("key with the salted digest %s", digest)
 	if access.Judge(s, since, b.cfg.KeysWithin, b.cfg.Access.InTouch(now), now) == access.ComeBack {
 		return refusal{reason: reason.KeyUnknown, message: message, retryAfter: b.cfg.KeysWithin}
@@ -67,9 +68,10 @@
 	return refusal{reason: reason.KeyRefused, message: message}
 }
 
-// stillHeld checks once more, when a request is about to be sent, that its team holds the
-// key: it may have waited for room meanwhile.
-func (b *Balancer) stillHeld(x *exchange, now time.Time) error {
+// recheckKey checks the key again just before the request is sent, because it may have been
+// withdrawn while the request waited for an endpoint. On a public route the team is updated
+// instead.
+func (b *Balancer) recheckKey(x *exchange, now time.Time) error {
 	if x.team == "" {
 		return nil
 	}
@@ -78,15 +80,16 @@
 	case standing == access.Held && team.Name == x.team:
 		return nil
 	case x.route.Kind.Public:
-		x.team = team.Name // empty where no team holds the key any more
-		x.nameTeam(b.cfg.Policy.Dialect.Team)
+		x.team = team.Name // empty if no team holds the key any more
+		x.setTeamHeader(b.cfg.Policy.Dialect.Team)
 		return nil
 	}
-	return b.refuseKey(x.key, access.Withdrawn, now)
+	return b.keyRefusal(x.key, access.Withdrawn, now)
 }
 
-// regions returns in which regions the request may be served: its route and its team both bind.
-func (x *exchange) regions(table *access.Table) placement.Regions {
+// allowedRegions returns the regions in which the request may be served, those allowed by both its
+// route and its team.
+func (x *exchange) allowedRegions(table *access.Table) placement.Regions {
 	regions := x.route.Kind.Regions
 	if table == nil || x.team == "" {
 		return regions
@@ -95,8 +98,8 @@
 	return regions.With(placement.Within(team.Regions))
 }
 
-// priority returns how urgent the request is, 0 the most: that of its team goes before that of its
-// route.
+// priority returns the priority of the request; 0 is the most urgent. The team's priority
+// overrides the route's.
 func (x *exchange) priority(table *access.Table) int {
 	if table == nil || x.team == "" {
 		return x.route.Kind.Priority
@@ -105,10 +108,11 @@
 	return team.Priority
 }
 
-// nameTeam names the team to the endpoint and keeps the key from it, whatever the caller
-// sent.
-func (x *exchange) nameTeam(header string) {
-	if !x.keyed {
+// setTeamHeader removes the caller's key and, in the header with the given name, replaces what the
+// caller sent by the name of the team. An empty name means no team header. Without teams in the
+// configuration, nothing changes.
+func (x *exchange) setTeamHeader(header string) {
+	if !x.teamsConfigured {
 		return
 	}
 	x.r.Header.Del(access.Header)
@@ -121,17 +125,17 @@
 	}
 }
 
-// countRepeat counts an attempt that follows one which may have run: the team's quota is of
-// what endpoints run.
-func (b *Balancer) countRepeat(x *exchange, now time.Time) {
+// chargeRetry charges a retry to the team's quota if an earlier attempt may have run, because the
+// quota limits what endpoints run.
+func (b *Balancer) chargeRetry(x *exchange, now time.Time) {
 	if b.cfg.Quotas != nil && x.team != "" && x.mayHaveRun {
 		b.cfg.Quotas.Repeat(x.team, now)
 	}
 }
 
-// limit refuses at once what is beyond the quota of the request's team. A request that no
-// endpoint has run, nor may have, is put back.
-func (b *Balancer) limit(next endpoint.Endpoint) endpoint.Endpoint {
+// enforceQuota refuses a request beyond the quota of its team at once. It refunds a request that
+// no endpoint ran or may have run.
+func (b *Balancer) enforceQuota(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		x := request.(*exchange)
 		team, ok := b.teams().Team(x.team)
--- a/balancer/identify_test.go
+++ b/balancer/identify_test.go
@@ -17,9 +17,9 @@
 
 // fakeTeams is a configuration of teams that can change.
 type fakeTeams struct {
-	mu    sync.Mutex
-	table *access.Table
-	deaf  bool // hears of no changes
+	mu           sync.Mutex
+	table        *access.Table
+	disconnected bool // receives no changes
 }
 
 func (f *fakeTeams) Teams() *access.Table {
@@ -28,10 +28,10 @@
 	return f.table
 }
 
-func (f *fakeTeams) InTouch(time.Time) bool { return !f.deaf }
+func (f *fakeTeams) InTouch(time.Time) bool { return !f.disconnected }
 
-// set brings another version into force.
-func (f *fakeTeams) set(t assert.TestingT, teams ...access.Team) {
+// setTeams activates another version.
+func (f *fakeTeams) setTeams(t assert.TestingT, teams ...access.Team) {
 	table, err := access.NewTable(teams)
 	assert.NilError(t, err)
 	f.mu.Lock()
@@ -39,13 +39,13 @@
 	f.table = table.After(f.table)
 }
 
-// fakeQuotas lets a number of requests through.
+// fakeQuotas admits a fixed number of requests.
 type fakeQuotas struct {
-	mu       sync.Mutex
-	left     int
-	taken    []string
-	repeated []string
-	back     []string
+	mu            sync.Mutex
+	left          int
+	taken         []string
+	repeated      []string
+	returnedTeams []string
 }
 
 func (f *fakeQuotas) Await(context.Context, string, quota.Limit) {}
@@ -71,22 +71,22 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.left++
-	f.back = append(f.back, team)
+	f.returnedTeams = append(f.returnedTeams, team)
 }
 
 func (f *fakeQuotas) returned() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.back)
+	return len(f.returnedTeams)
 }
 
 const keysWithin = 300 * time.Millisecond
 
-// teamBench is a balancer whose configuration has teams.
-func teamBench(t cleaner, endpoints int) (*bench, *fakeTeams, *fakeQuotas) {
+// newTeamHarness returns a harness whose configuration has teams.
+func newTeamHarness(t testingT, endpoints int) (*harness, *fakeTeams, *fakeQuotas) {
 	teams, quotas := &fakeTeams{}, &fakeQuotas{left: 1000}
-	teams.set(t, access.Team{Name: "medina", Keys: []string{"key-m"}, Quota: quota.Limit{Rate: 1, Burst: 1}}, access.Team{Name: "tribunal", Keys: []string{"key-t"}})
-	b := newBenchWith(t, endpoints, func(c *balancer.Config) {
+	teams.setTeams(t, access.Team{Name: "medina", Keys: []string{"key-m"}, Quota: quota.Limit{Rate: 1, Burst: 1}}, access.Team{Name: "tribunal", Keys: []string{"key-t"}})
+	b := newHarnessWith(t, endpoints, func(c *balancer.Config) {
 		c.Access, c.Quotas, c.KeysWithin = teams, quotas, keysWithin
 	})
 	return b, teams, quotas
@@ -94,10 +94,10 @@
 
 func bearer(key string) http.Header { return http.Header{"Authorization": {"Bearer " + key}} }
 
-// TestKeyStopsHere: the endpoint hears the team's name, whatever the caller says, and never
-// the key.
-func TestKeyStopsHere(t *testing.T) {
-	b, _, _ := teamBench(t, 1)
+// TestKeyIsNotForwarded: the endpoint gets the name of the team that holds the key, whatever team
+// the caller names, and never the key.
+func TestKeyIsNotForwarded(t *testing.T) {
+	b, _, _ := newTeamHarness(t, 1)
 	header := bearer("key-m")
 	header.Set(upstream.TeamHeader, "tribunal")
 	got := b.call(t, "GET", "/read", "k", "", header)
@@ -108,16 +108,17 @@
 	assert.Equal(t, sent.Get("Authorization"), "")
 }
 
-// TestWithoutTeamsHeadersPass: a configuration without teams takes nothing away.
-func TestWithoutTeamsHeadersPass(t *testing.T) {
-	b := newBench(t, 1)
+// TestAuthorizationIsForwardedWithoutTeams: without teams in the configuration, the Authorization
+// header belongs to the endpoint.
+func TestAuthorizationIsForwardedWithoutTeams(t *testing.T) {
+	b := newHarness(t, 1)
 	b.call(t, "GET", "/read", "k", "", bearer("key-m"))
 	assert.Equal(t, b.endpoints[0].Header("k").Get("Authorization"), "Bearer key-m")
 }
 
-// TestMalformedKeysAreRefused at once, and nothing is sent on.
+// TestMalformedKeysAreRefused checks that the request is refused at once and not sent.
 func TestMalformedKeysAreRefused(t *testing.T) {
-	b, _, _ := teamBench(t, 1)
+	b, _, _ := newTeamHarness(t, 1)
 	for _, values := range [][]string{nil, {""}, {"Basic abc"}, {"Bearer"}, {"Bearer key-m", "Bearer key-m"}, {"Bearer key-m x"}} {
 		got := b.call(t, "GET", "/read", "k", "", http.Header{"Authorization": values})
 		assert.Equal(t, got.status, http.StatusUnauthorized, "%q", values)
@@ -127,68 +128,70 @@
 	assert.Equal(t, b.ran("k"), 0)
 }
 
-// TestUnknownKeyMayBeNew: it is told to come back until every balancer knows of a key that
-// was added, and is refused for good then.
-func TestUnknownKeyMayBeNew(t *testing.T) {
-	b, teams, _ := teamBench(t, 1)
+// TestUnknownKeyIsRetryableAtFirst: an unknown key may be new, so it gets a Retry-After until
+// every balancer must know it, and 401 afterwards. A balancer that receives no changes always
+// responds with a Retry-After.
+func TestUnknownKeyIsRetryableAtFirst(t *testing.T) {
+	b, teams, _ := newTeamHarness(t, 1)
 	got := b.call(t, "GET", "/read", "k", "", bearer("new"))
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Equal(t, got.reason, "LW1008")
-	assert.Assert(t, got.retry != "")
+	assert.Assert(t, got.retryAfter != "")
 	wrong := b.call(t, "GET", "/read", "k", "", bearer("wrong"))
 	assert.Equal(t, wrong.reason, "LW1008")
-	teams.set(t, access.Team{Name: "medina", Keys: []string{"key-m", "new"}})
+	teams.setTeams(t, access.Team{Name: "medina", Keys: []string{"key-m", "new"}})
 	assert.Equal(t, b.call(t, "GET", "/read", "k", "", bearer("new")).status, http.StatusOK)
 	time.Sleep(keysWithin)
 	assert.Equal(t, b.call(t, "GET", "/read", "k", "", bearer("wrong")).status, http.StatusUnauthorized)
-	teams.deaf = true
-	assert.Equal(t, b.call(t, "GET", "/read", "k", "", bearer("wrong")).reason, "LW1008", "a balancer that hears nothing cannot tell")
+	teams.disconnected = true
+	assert.Equal(t, b.call(t, "GET", "/read", "k", "", bearer("wrong")).reason, "LW1008", "a balancer without changes cannot tell a new key from a wrong one")
 }
 
-// TestWithdrawnKeyIsRefusedWhileWaiting: a request that waited for room is not sent once its
-// key is taken away, and neither is the next one.
-func TestWithdrawnKeyIsRefusedWhileWaiting(t *testing.T) {
-	b, teams, quotas := teamBench(t, 1)
-	b.chooser.during = func(int) {
-		teams.set(t, access.Team{Name: "medina", Keys: []string{"other"}, Quota: quota.Limit{Rate: 1, Burst: 1}})
+// TestKeyWithdrawnDuringAcquireIsRefused: a request that waited for an endpoint is not sent if its
+// key was withdrawn meanwhile, and neither is the next one.
+func TestKeyWithdrawnDuringAcquireIsRefused(t *testing.T) {
+	b, teams, quotas := newTeamHarness(t, 1)
+	b.chooser.onAcquire = func(int) {
+		teams.setTeams(t, access.Team{Name: "medina", Keys: []string{"other"}, Quota: quota.Limit{Rate: 1, Burst: 1}})
 	}
 	got := b.call(t, "GET", "/read", "k", "", bearer("key-m"))
 	assert.Equal(t, got.status, http.StatusUnauthorized)
 	assert.Equal(t, b.ran("k"), 0)
-	assert.Equal(t, quotas.returned(), 1, "what was not sent is put back")
+	assert.Equal(t, quotas.returned(), 1, "a request that was not sent is refunded")
 	assert.Equal(t, b.call(t, "GET", "/read", "k", "", bearer("key-m")).status, http.StatusUnauthorized)
 }
 
-// TestQuotaIsRefusedAtOnce with when to come back; a team without one is not asked.
-func TestQuotaIsRefusedAtOnce(t *testing.T) {
-	b, _, quotas := teamBench(t, 1)
+// TestQuotaExceededHasRetryAfter: a request beyond the quota is refused at once with a
+// Retry-After. A team without a quota is not charged.
+func TestQuotaExceededHasRetryAfter(t *testing.T) {
+	b, _, quotas := newTeamHarness(t, 1)
 	quotas.left = 1
 	assert.Equal(t, b.call(t, "GET", "/read", "k", "", bearer("key-m")).status, http.StatusOK)
 	got := b.call(t, "POST", "/once", "k2", "x", bearer("key-m"))
 	assert.Equal(t, got.status, http.StatusTooManyRequests)
 	assert.Equal(t, got.reason, "LW2011")
 	assert.Equal(t, got.verdict, "not-run")
-	assert.Equal(t, got.retry, "2")
+	assert.Equal(t, got.retryAfter, "2")
 	assert.Equal(t, b.ran("k2"), 0)
 	assert.Equal(t, b.call(t, "POST", "/once", "k3", "x", bearer("key-t")).status, http.StatusOK)
 	assert.DeepEqual(t, quotas.taken, []string{"medina"})
 }
 
-// TestRepeatsCount: a request that is sent once more, after an attempt that may have run, has
-// its endpoints run two.
-func TestRepeatsCount(t *testing.T) {
-	b, _, quotas := teamBench(t, 2)
+// TestRetriesAreChargedToQuota: a request that is retried after an attempt which may have run is
+// charged twice, because endpoints may run it twice.
+func TestRetriesAreChargedToQuota(t *testing.T) {
+	b, _, quotas := newTeamHarness(t, 2)
 	b.endpoints[0].Set(rawendpoint.CloseAfterRead)
 	assert.Equal(t, b.call(t, "GET", "/read", "k", "", bearer("key-m")).status, http.StatusOK)
 	assert.DeepEqual(t, quotas.repeated, []string{"medina"})
 	b.endpoints[0].Set(rawendpoint.AnswerNotRun)
 	assert.Equal(t, b.call(t, "GET", "/read", "k", "", bearer("key-m")).status, http.StatusOK)
-	assert.Equal(t, len(quotas.repeated), 1, "what did not run does not count")
+	assert.Equal(t, len(quotas.repeated), 1, "an attempt that did not run is not charged")
 }
 
-// TestQuotaIsPutBack where no endpoint ran the request, and only there.
-func TestQuotaIsPutBack(t *testing.T) {
-	b, _, quotas := teamBench(t, 1)
+// TestQuotaIsRefunded: a request is refunded only if no endpoint ran it or may have run it.
+func TestQuotaIsRefunded(t *testing.T) {
+	b, _, quotas := newTeamHarness(t, 1)
 	b.endpoints[0].Set(rawendpoint.AnswerNotRun)
 	assert.Equal(t, b.call(t, "POST", "/once", "k", "x", bearer("key-m")).status, http.StatusServiceUnavailable)
 	assert.Equal(t, quotas.returned(), 1)
--- a/balancer/pipelined_test.go
+++ b/balancer/pipelined_test.go
@@ -25,7 +25,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// lockedBuffer takes lines of several requests at once.
+// lockedBuffer is a buffer for concurrent writers.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -38,16 +38,16 @@
 	return b.text.Write(p)
 }
 
-// String returns what was written.
+// String returns the contents.
 func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
 }
 
-// pipelinedBench is a balancer that reads ahead, in front of an endpoint that works on
-// a path until it is told to answer.
-type pipelinedBench struct {
+// pipelinedHarness is a balancer that serves pipelined requests concurrently, in front of an
+// endpoint that holds some paths until it is released.
+type pipelinedHarness struct {
 	balancer *balancer.Balancer
 	server   *pipeline.Server
 	log      lockedBuffer
@@ -57,13 +57,14 @@
 	in       *bufio.Reader
 }
 
-func newPipelinedBench(t *testing.T, held ...string) *pipelinedBench {
+// newPipelinedHarness starts the harness. The endpoint holds the given paths.
+func newPipelinedHarness(t *testing.T, held ...string) *pipelinedHarness {
 	t.Helper()
-	b := &pipelinedBench{reached: make(chan string, 10), release: map[string]chan struct{}{}}
+	b := &pipelinedHarness{reached: make(chan string, 10), release: map[string]chan struct{}{}}
 	for _, p := range held {
 		b.release[p] = make(chan struct{})
 	}
-	endpoint := httptest.NewServer(http.HandlerFunc(b.work))
+	endpoint := httptest.NewServer(http.HandlerFunc(b.serveEndpoint))
 	t.Cleanup(endpoint.Close)
 	chooser := newPrefixChooser()
 	chooser.endpoints = []placement.Endpoint{{VM: "e0", Addr: endpoint.Listener.Addr().String()}}
@@ -86,7 +87,8 @@
 	return b
 }
 
-func (b *pipelinedBench) work(w http.ResponseWriter, r *http.Request) {
+// serveEndpoint is the endpoint's handler. It blocks on held paths until they are released.
+func (b *pipelinedHarness) serveEndpoint(w http.ResponseWriter, r *http.Request) {
 	b.reached <- r.URL.Path
 	if held, ok := b.release[r.URL.Path]; ok {
 		select {
@@ -96,10 +98,11 @@
 	}
 	w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
 	w.Header().Set("Response-Signature", "s")
-	_, _ = io.WriteString(w, r.URL.Path) // the balancer reads it
+	_, _ = io.WriteString(w, r.URL.Path) // the client is the balancer, which reads it
 }
 
-func (b *pipelinedBench) get(t *testing.T, paths ...string) {
+// sendGets writes one pipelined GET request per path.
+func (b *pipelinedHarness) sendGets(t *testing.T, paths ...string) {
 	t.Helper()
 	var all strings.Builder
 	for _, p := range paths {
@@ -109,7 +112,8 @@
 	assert.NilError(t, err)
 }
 
-func (b *pipelinedBench) answer(t *testing.T) (body string, closes bool) {
+// readResponse reads the next response and reports whether it closes the connection.
+func (b *pipelinedHarness) readResponse(t *testing.T) (body string, closes bool) {
 	t.Helper()
 	r, err := http.ReadResponse(b.in, nil)
 	assert.NilError(t, err)
@@ -118,16 +122,16 @@
 	return string(raw), r.Close
 }
 
-// TestRequestsBehindOthersReachEndpoints at once; the log tells how long their
-// responses waited.
-func TestRequestsBehindOthersReachEndpoints(t *testing.T) {
-	b := newPipelinedBench(t, "/safe/1")
-	b.get(t, "/safe/1", "/safe/2")
+// TestPipelinedRequestsRunConcurrently: pipelined requests reach endpoints before the earlier ones
+// have responses. The log records how long a response waited for its turn.
+func TestPipelinedRequestsRunConcurrently(t *testing.T) {
+	b := newPipelinedHarness(t, "/safe/1")
+	b.sendGets(t, "/safe/1", "/safe/2")
 	<-b.reached
 	<-b.reached // net/http alone would wait for the first response
 	close(b.release["/safe/1"])
 	for _, want := range []string{"/safe/1", "/safe/2"} {
-		body, closes := b.answer(t)
+		body, closes := b.readResponse(t)
 		assert.Equal(t, body, want)
 		assert.Assert(t, !closes)
 	}
@@ -135,12 +139,13 @@
 	assert.Assert(t, strings.Contains(b.log.String(), "behind_ms="))
 }
 
-// TestFilingBehindOthersWaits until they are answered, before anything of it is sent.
-// There are several, so that one that does not wait is among the first to be seen.
-func TestFilingBehindOthersWaits(t *testing.T) {
+// TestPipelinedNonRepeatableWaitsForTurn: no part of a non-repeatable request is sent before the
+// earlier requests have their responses. The test sends several, so that one that does not wait
+// would be among the first to reach the endpoint.
+func TestPipelinedNonRepeatableWaitsForTurn(t *testing.T) {
 	filings := []string{"/unsafe/1", "/unsafe/2", "/unsafe/3", "/unsafe/4", "/unsafe/5", "/unsafe/6", "/unsafe/7", "/unsafe/8"}
-	b := newPipelinedBench(t, "/safe/1", "/safe/2")
-	b.get(t, slices.Concat([]string{"/safe/1"}, filings, []string{"/safe/2"})...)
+	b := newPipelinedHarness(t, "/safe/1", "/safe/2")
+	b.sendGets(t, slices.Concat([]string{"/safe/1"}, filings, []string{"/safe/2"})...)
 	first := map[string]bool{<-b.reached: true, <-b.reached: true}
 	assert.DeepEqual(t, first, map[string]bool{"/safe/1": true, "/safe/2": true})
 	close(b.release["/safe/1"])
@@ -149,26 +154,26 @@
 	}
 	close(b.release["/safe/2"])
 	for _, want := range slices.Concat([]string{"/safe/1"}, filings, []string{"/safe/2"}) {
-		body, _ := b.answer(t)
+		body, _ := b.readResponse(t)
 		assert.Equal(t, body, want)
 	}
 }
 
-// TestPlannedStopCutsNothingThatWasSent: the last response closes the connection, not
-// one with others behind it that endpoints work on.
-func TestPlannedStopCutsNothingThatWasSent(t *testing.T) {
-	b := newPipelinedBench(t, "/safe/1", "/safe/2")
-	b.get(t, "/safe/1", "/safe/2")
+// TestPlannedStopFinishesPipelinedRequests: in a planned stop the last response closes the
+// connection, not one that has requests behind it at endpoints.
+func TestPlannedStopFinishesPipelinedRequests(t *testing.T) {
+	b := newPipelinedHarness(t, "/safe/1", "/safe/2")
+	b.sendGets(t, "/safe/1", "/safe/2")
 	<-b.reached
 	<-b.reached
 	b.server.StopAhead()
 	b.balancer.Stop()
 	close(b.release["/safe/1"])
-	body, closes := b.answer(t)
+	body, closes := b.readResponse(t)
 	assert.Equal(t, body, "/safe/1")
 	assert.Assert(t, !closes)
 	close(b.release["/safe/2"])
-	body, closes = b.answer(t)
+	body, closes = b.readResponse(t)
 	assert.Equal(t, body, "/safe/2")
 	assert.Assert(t, closes)
 }
--- a/balancer/policy.go
+++ b/balancer/policy.go
@@ -7,45 +7,44 @@
 	"github.com/lotuswing/lotuswing/upstream"
 )
 
-// Policy is how a handler treats callers and endpoints beyond what the routes say.
-// There are two: the zero value, which is the product's own, and that of the
-// operators' platform (platform.Policy).
+// Policy controls how a Balancer treats callers and endpoints beyond what the routes configure.
+// Two are in use: the zero value, which is the product's default, and the one for the operators'
+// platform (platform.Policy).
 type Policy struct {
-	Dialect upstream.Dialect // the zero value stands for the product's own
+	Dialect upstream.Dialect // the zero value stands for upstream.Native
 
 	// How requests are sent.
 
-	// FreshConnections: a request that is not repeatable never goes out on a
-	// connection that was used before, whose end could leave it in doubt.
+	// FreshConnections sends each non-repeatable request on a new connection. If a reused
+	// connection closes, it may be unknown whether the request ran.
 	FreshConnections bool
-	// ProvedAlive: for so long after the endpoint's last sign of life on it a connection
-	// counts as unused in this; 0 for never.
+	// ProvedAlive is how long after the endpoint's last response on a connection FreshConnections
+	// still permits reusing it; 0 for never.
 	ProvedAlive time.Duration
-	// HideCaller: endpoints are not told the caller's address in headers.
+	// HideCaller keeps the caller's address out of the headers that endpoints get.
 	HideCaller bool
-	// AnyPath: paths with dot segments go through as they are.
+	// AnyPath accepts paths with dot segments and forwards them unchanged.
 	AnyPath bool
-	// Client sends repeatable requests of all services; nil for a client for each
+	// Client sends the repeatable requests of all services; nil for a separate client for each
 	// service.
 	Client *upstream.Client
-	// DialTimeout and IdleTimeout are those of connections to endpoints; 0 for the
-	// defaults of package upstream.
+	// DialTimeout and IdleTimeout apply to connections to endpoints; 0 for the defaults of package
+	// upstream.
 	DialTimeout time.Duration
 	IdleTimeout time.Duration
 
-	// How responses are judged.
+	// How responses are evaluated.
 
-	// BufferBytes is the size up to which a response is read whole before the
-	// caller sees any of it, so that one that is cut short can be retried; 0 for
-	// none.
+	// BufferBytes is the size up to which a response is read whole before it is forwarded, so that
+	// a truncated response can be retried; 0 for no buffering.
 	BufferBytes int
-	// RetryServerErrors: a repeatable request is sent again after any response of
-	// status 500 and above, not only after 502, 503 and 504.
+	// RetryServerErrors retries a repeatable request after any response with status 500 or above,
+	// not only after 502, 503 and 504.
 	RetryServerErrors bool
-	// OwnRefusals: an endpoint's refusal is never passed on; the balancer answers in
-	// its own name, with when to come back.
+	// OwnRefusals replaces an endpoint's refusal by the balancer's own response, which carries
+	// Retry-After.
 	OwnRefusals bool
-	// Retries bounds retries in a sliding window; nil for a token bucket.
+	// Retries limits retries in a sliding window; nil for a token bucket.
 	Retries *retry.WindowLimit
 }
 
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -24,14 +24,13 @@
 )
 
 const (
-	signed   = "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\nContent-Length: 5\r\n\r\nwhole"
-	failed   = "HTTP/1.1 500 Error\r\nRequest-Id: {id}\r\nResponse-Signature: f\r\nContent-Length: 0\r\n\r\n"
-	declined = "HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
-	bare     = "HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"
+	signed200   = "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\nContent-Length: 5\r\n\r\nwhole"
+	failed500   = "HTTP/1.1 500 Error\r\nRequest-Id: {id}\r\nResponse-Signature: f\r\nContent-Length: 0\r\n\r\n"
+	declined503 = "HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
+	bare503     = "HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"
 )
 
-// prefixChooser routes /safe/ and /unsafe/ with two attempts each, and grants
-// endpoints in turn.
+// prefixChooser routes /safe/ (repeatable) and /unsafe/ (non-repeatable) with two attempts each.
 type prefixChooser struct {
 	*fakeChooser
 	table *tenant.PrefixTable
@@ -56,31 +55,30 @@
 	}
 }
 
-// answer is what a caller got on the platform's terms.
-type answer struct {
-	status    int
-	body      string
-	signature string
-	retry     string
+// platformResponse is the response that a caller got under the platform's policy.
+type platformResponse struct {
+	status     int
+	body       string
+	signature  string
+	retryAfter string
 }
 
-// platformBench is a balancer with the platform's policy in front of two
-// endpoints that answer as told.
-type platformBench struct {
+// platformHarness is a balancer with the platform's policy in front of two scripted endpoints.
+type platformHarness struct {
 	endpoints [2]*rawendpoint.Scripted
 	server    *httptest.Server
 	log       bytes.Buffer
 }
 
-func newPlatformBench(t *testing.T, first, second rawendpoint.Step, retries *retry.WindowLimit) *platformBench {
+func newPlatformHarness(t *testing.T, first, second rawendpoint.Step, retries *retry.WindowLimit) *platformHarness {
 	t.Helper()
-	return newLoggedBench(t, first, second, retries, 1000)
+	return newPlatformHarnessWithLogRate(t, first, second, retries, 1000)
 }
 
-// newLoggedBench writes at most rate lines a second.
-func newLoggedBench(t *testing.T, first, second rawendpoint.Step, retries *retry.WindowLimit, rate int) *platformBench {
+// newPlatformHarnessWithLogRate logs at most rate lines per second.
+func newPlatformHarnessWithLogRate(t *testing.T, first, second rawendpoint.Step, retries *retry.WindowLimit, rate int) *platformHarness {
 	t.Helper()
-	b := &platformBench{}
+	b := &platformHarness{}
 	chooser := newPrefixChooser()
 	for i, step := range []rawendpoint.Step{first, second} {
 		e, err := rawendpoint.NewScripted(platform.Dialect().RequestID, step)
@@ -103,7 +101,7 @@
 	return b
 }
 
-func (b *platformBench) call(t *testing.T, method, path, body string) answer {
+func (b *platformHarness) call(t *testing.T, method, path, body string) platformResponse {
 	t.Helper()
 	req, err := http.NewRequest(method, b.server.URL+path, strings.NewReader(body))
 	assert.NilError(t, err)
@@ -116,17 +114,18 @@
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
-	return answer{resp.StatusCode, string(raw), resp.Header.Get("Response-Signature"), resp.Header.Get("Retry-After")}
+	return platformResponse{resp.StatusCode, string(raw), resp.Header.Get("Response-Signature"), resp.Header.Get("Retry-After")}
 }
 
-func (b *platformBench) runs() [2]int {
+// requestCounts returns the number of requests that each endpoint got.
+func (b *platformHarness) requestCounts() [2]int {
 	return [2]int{len(b.endpoints[0].Requests()), len(b.endpoints[1].Requests())}
 }
 
-// TestAnswersOnThePlatform: what a caller is told, and where its request went,
-// for each pair of answers of the endpoints.
-func TestAnswersOnThePlatform(t *testing.T) {
-	cutShort := rawendpoint.Cut(signed[:len(signed)-2])
+// TestPlatformResponses checks the caller's response, and how many requests each endpoint got, for
+// pairs of responses of the endpoints.
+func TestPlatformResponses(t *testing.T) {
+	cutShort := rawendpoint.Cut(signed200[:len(signed200)-2])
 	cases := []struct {
 		name          string
 		path          string
@@ -135,28 +134,28 @@
 		signature     string
 		runs          [2]int
 	}{
-		{"passed on", "/safe/x", rawendpoint.Answer(signed), rawendpoint.Answer(signed), 200, "s", [2]int{1, 0}},
-		{"cut, then whole", "/safe/x", cutShort, rawendpoint.Answer(signed), 200, "s", [2]int{1, 1}},
-		{"cut, never repeated", "/unsafe/x", cutShort, rawendpoint.Answer(signed), 502, "", [2]int{1, 0}},
-		{"reset, then whole", "/safe/x", rawendpoint.Reset(), rawendpoint.Answer(signed), 200, "s", [2]int{1, 1}},
-		{"reset, never repeated", "/unsafe/x", rawendpoint.Reset(), rawendpoint.Answer(signed), 502, "", [2]int{1, 0}},
-		{"declined, then whole", "/unsafe/x", rawendpoint.Answer(declined), rawendpoint.Answer(signed), 200, "s", [2]int{1, 1}},
-		{"declined twice", "/unsafe/x", rawendpoint.Answer(declined), rawendpoint.Answer(declined), 503, "", [2]int{1, 1}},
-		{"a bare 503 is not passed on as a promise", "/unsafe/x", rawendpoint.Answer(bare), rawendpoint.Answer(signed), 502, "", [2]int{1, 0}},
-		{"a failure, then whole", "/safe/x", rawendpoint.Answer(failed), rawendpoint.Answer(signed), 200, "s", [2]int{1, 1}},
-		{"a failure is passed on with its status", "/unsafe/x", rawendpoint.Answer(failed), rawendpoint.Answer(signed), 500, "f", [2]int{1, 0}},
-		{"two failures", "/safe/x", rawendpoint.Answer(failed), rawendpoint.Answer(failed), 500, "f", [2]int{1, 1}},
-		{"may have run, then declined", "/safe/x", rawendpoint.Reset(), rawendpoint.Answer(declined), 502, "", [2]int{1, 1}},
-		{"dot segments go through", "/safe/%2e/../x", rawendpoint.Answer(signed), rawendpoint.Answer(signed), 200, "s", [2]int{1, 0}},
+		{"forwarded", "/safe/x", rawendpoint.Answer(signed200), rawendpoint.Answer(signed200), 200, "s", [2]int{1, 0}},
+		{"truncated, then complete", "/safe/x", cutShort, rawendpoint.Answer(signed200), 200, "s", [2]int{1, 1}},
+		{"truncated, non-repeatable", "/unsafe/x", cutShort, rawendpoint.Answer(signed200), 502, "", [2]int{1, 0}},
+		{"reset, then complete", "/safe/x", rawendpoint.Reset(), rawendpoint.Answer(signed200), 200, "s", [2]int{1, 1}},
+		{"reset, non-repeatable", "/unsafe/x", rawendpoint.Reset(), rawendpoint.Answer(signed200), 502, "", [2]int{1, 0}},
+		{"declined, then complete", "/unsafe/x", rawendpoint.Answer(declined503), rawendpoint.Answer(signed200), 200, "s", [2]int{1, 1}},
+		{"declined twice", "/unsafe/x", rawendpoint.Answer(declined503), rawendpoint.Answer(declined503), 503, "", [2]int{1, 1}},
+		{"503 without Not-Executed becomes 502", "/unsafe/x", rawendpoint.Answer(bare503), rawendpoint.Answer(signed200), 502, "", [2]int{1, 0}},
+		{"500, then complete", "/safe/x", rawendpoint.Answer(failed500), rawendpoint.Answer(signed200), 200, "s", [2]int{1, 1}},
+		{"500 of a non-repeatable request is forwarded", "/unsafe/x", rawendpoint.Answer(failed500), rawendpoint.Answer(signed200), 500, "f", [2]int{1, 0}},
+		{"500 twice", "/safe/x", rawendpoint.Answer(failed500), rawendpoint.Answer(failed500), 500, "f", [2]int{1, 1}},
+		{"may have run, then declined", "/safe/x", rawendpoint.Reset(), rawendpoint.Answer(declined503), 502, "", [2]int{1, 1}},
+		{"dot segments are forwarded", "/safe/%2e/../x", rawendpoint.Answer(signed200), rawendpoint.Answer(signed200), 200, "s", [2]int{1, 0}},
 	}
 	for _, c := range cases {
-		b := newPlatformBench(t, c.first, c.second, nil)
+		b := newPlatformHarness(t, c.first, c.second, nil)
 		got := b.call(t, http.MethodPost, c.path, "body")
 		assert.Equal(t, got.status, c.status, c.name)
 		assert.Equal(t, got.signature, c.signature, c.name)
-		assert.Equal(t, b.runs(), c.runs, c.name)
+		assert.Equal(t, b.requestCounts(), c.runs, c.name)
 		if got.status == http.StatusServiceUnavailable {
-			assert.Equal(t, got.retry, "0.050", "%s: an eighth of the target", c.name)
+			assert.Equal(t, got.retryAfter, "0.050", "%s: an eighth of the target", c.name)
 		}
 		if got.status == http.StatusOK {
 			assert.Equal(t, got.body, "whole", c.name)
@@ -164,18 +163,19 @@
 	}
 }
 
-// TestRepeatsKeepTheWindow of the fleet's budget.
-func TestRepeatsKeepTheWindow(t *testing.T) {
-	b := newPlatformBench(t, rawendpoint.Reset(), rawendpoint.Answer(signed), &retry.WindowLimit{Span: time.Hour, Allowance: 1})
+// TestRetriesStayWithinWindow: a second request is not retried once the window's only retry is
+// used.
+func TestRetriesStayWithinWindow(t *testing.T) {
+	b := newPlatformHarness(t, rawendpoint.Reset(), rawendpoint.Answer(signed200), &retry.WindowLimit{Span: time.Hour, Allowance: 1})
 	assert.Equal(t, b.call(t, http.MethodGet, "/safe/x", "").status, 200)
 	assert.Equal(t, b.call(t, http.MethodGet, "/safe/x", "").status, 502)
-	assert.Equal(t, b.runs(), [2]int{2, 1})
+	assert.Equal(t, b.requestCounts(), [2]int{2, 1})
 }
 
-// TestStoryOfARequest: each decision has its line, and a request that must not
-// run twice is written before it is sent.
-func TestStoryOfARequest(t *testing.T) {
-	b := newPlatformBench(t, rawendpoint.Answer(declined), rawendpoint.Answer(signed), nil)
+// TestRequestLogEvents: the log has one line for each decision on a request, each with its request
+// ID.
+func TestRequestLogEvents(t *testing.T) {
+	b := newPlatformHarness(t, rawendpoint.Answer(declined503), rawendpoint.Answer(signed200), nil)
 	b.call(t, http.MethodPost, "/unsafe/x", "body")
 	b.server.Close()
 	var events []string
@@ -191,9 +191,9 @@
 	})
 }
 
-// TestStoriesHaveDocumentedFields: no line has a field that the table lacks.
-func TestStoriesHaveDocumentedFields(t *testing.T) {
-	b := newPlatformBench(t, rawendpoint.Reset(), rawendpoint.Answer(declined), nil)
+// TestRequestLogFieldsAreDocumented: each field of a line is listed in telemetry.Events.
+func TestRequestLogFieldsAreDocumented(t *testing.T) {
+	b := newPlatformHarness(t, rawendpoint.Reset(), rawendpoint.Answer(declined503), nil)
 	b.call(t, http.MethodGet, "/safe/x", "")
 	b.call(t, http.MethodGet, "/nowhere", "")
 	b.server.Close()
@@ -220,11 +220,11 @@
 	}
 }
 
-// TestFilingIsWrittenBeforeItIsSent: where a request went that must not run
-// twice is in the log before it is on its way, above any rate; the rest of its
-// lines is not.
-func TestFilingIsWrittenBeforeItIsSent(t *testing.T) {
-	b := newLoggedBench(t, rawendpoint.Answer(signed), rawendpoint.Answer(signed), nil, 1)
+// TestNonRepeatableIsLoggedBeforeSending: the endpoint chosen for a non-repeatable request is
+// logged before the request is sent, even above the log's rate limit. Its other lines are subject
+// to the limit.
+func TestNonRepeatableIsLoggedBeforeSending(t *testing.T) {
+	b := newPlatformHarnessWithLogRate(t, rawendpoint.Answer(signed200), rawendpoint.Answer(signed200), nil, 1)
 	b.call(t, http.MethodPost, "/unsafe/x", "body")
 	b.call(t, http.MethodGet, "/safe/x", "")
 	b.server.Close()
@@ -232,9 +232,9 @@
 	assert.Equal(t, strings.Count(b.log.String(), "ended: request=r1"), 0, b.log.String())
 }
 
-// TestCallerIsHidden: no header but the platform's is added.
-func TestCallerIsHidden(t *testing.T) {
-	b := newPlatformBench(t, rawendpoint.Answer(signed), rawendpoint.Answer(signed), nil)
+// TestCallerAddressIsNotForwarded: only the platform's own headers are added.
+func TestCallerAddressIsNotForwarded(t *testing.T) {
+	b := newPlatformHarness(t, rawendpoint.Answer(signed200), rawendpoint.Answer(signed200), nil)
 	b.call(t, http.MethodGet, "/safe/x", "")
 	for name := range b.endpoints[0].Requests()[0].Header {
 		switch name {
@@ -245,11 +245,12 @@
 	}
 }
 
-// TestBodyAboveTheLimit is refused before anything is sent.
-func TestBodyAboveTheLimit(t *testing.T) {
-	b := newPlatformBench(t, rawendpoint.Answer(signed), rawendpoint.Answer(signed), nil)
+// TestBodyAboveKindLimitIsRefused: a body above the limit of its kind is refused before anything
+// is sent.
+func TestBodyAboveKindLimitIsRefused(t *testing.T) {
+	b := newPlatformHarness(t, rawendpoint.Answer(signed200), rawendpoint.Answer(signed200), nil)
 	assert.Equal(t, b.call(t, http.MethodPost, "/unsafe/x", strings.Repeat("x", 1000)).status, http.StatusOK)
 	got := b.call(t, http.MethodPost, "/unsafe/x", strings.Repeat("x", 1001))
 	assert.Equal(t, got.status, http.StatusRequestEntityTooLarge)
-	assert.Equal(t, b.runs(), [2]int{1, 0})
+	assert.Equal(t, b.requestCounts(), [2]int{1, 0})
 }
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -7,35 +7,36 @@
 	"github.com/lotuswing/lotuswing/coord/retry"
 )
 
-// retryBudgets are the retry budgets of the services, made on first use. A service
-// has a sliding window where the settings bound the retries of the fleet, and a
-// token bucket otherwise.
+// retryBudgets holds the retry budget of each service, created on first use. A service has a
+// sliding window if the settings limit the retries of the fleet, otherwise a token bucket.
 type retryBudgets struct {
 	mu        sync.Mutex
 	window    *retry.WindowLimit // nil for token buckets
 	byService map[string]retryBudget
 }
 
-// retryBudget is a service's budget. It is an immutable value.
+// retryBudget is the budget of one service. It is an immutable value.
 type retryBudget interface {
 	retry.Budget
 	withRequest(now time.Time) retryBudget
 	withRetry(now time.Time) retryBudget
 }
 
+// bucketBudget adapts retry.Bucket to retryBudget.
 type bucketBudget struct{ retry.Bucket }
 
 func (b bucketBudget) withRequest(now time.Time) retryBudget { return bucketBudget{b.WithRequest(now)} }
 
 func (b bucketBudget) withRetry(now time.Time) retryBudget { return bucketBudget{b.WithRetry(now)} }
 
+// windowBudget adapts retry.Window to retryBudget.
 type windowBudget struct{ retry.Window }
 
 func (w windowBudget) withRequest(now time.Time) retryBudget { return windowBudget{w.WithRequest(now)} }
 
 func (w windowBudget) withRetry(now time.Time) retryBudget { return windowBudget{w.WithRetry(now)} }
 
-// get returns a service's budget; r.mu is held.
+// get returns the budget of a service. r.mu must be held.
 func (r *retryBudgets) get(service string) retryBudget {
 	budget, ok := r.byService[service]
 	switch {
@@ -54,8 +55,8 @@
 	r.byService[service] = r.get(service).withRequest(now)
 }
 
-// decide decides about another attempt and takes it from the budget.
-func (r *retryBudgets) decide(service string, request retry.Request, a retry.Attempt, now time.Time) retry.Decision {
+// claim decides whether to retry and, if so, charges the retry to the budget of the service.
+func (r *retryBudgets) claim(service string, request retry.Request, a retry.Attempt, now time.Time) retry.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	budget := r.get(service)
@@ -66,7 +67,7 @@
 	return d
 }
 
-// setLimit changes the bound of windows. Token buckets stay as they are.
+// setLimit changes the limit of windows. Existing token buckets are unchanged.
 func (r *retryBudgets) setLimit(limit retry.WindowLimit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/balancer/route.go
+++ b/balancer/route.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// maxTimeout bounds what a caller may ask for; reason.BadTimeout names it.
+	// maxTimeout is the longest timeout that a caller may request; the text of reason.BadTimeout
+	// states it.
 	maxTimeout = 24 * time.Hour
-	// notReadyRetry is when a caller of a balancer that is not ready yet may come back.
-	notReadyRetry = time.Second
+	// notReadyRetryAfter is the Retry-After of a balancer that is not ready yet.
+	notReadyRetryAfter = time.Second
 )
 
-// route finds the team and kind.
+// route finds the team and kind of the request.
 func (b *Balancer) route(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		x := request.(*exchange)
 		if ok, why := b.cfg.Chooser.Ready(); !ok {
-			return nil, refusal{reason: reason.NotReady, message: why, retryAfter: notReadyRetry}
+			return nil, refusal{reason: reason.NotReady, message: why, retryAfter: notReadyRetryAfter}
 		}
-		if err := wellFormed(x.r, b.cfg.Policy.AnyPath); err != nil {
+		if err := validateRequest(x.r, b.cfg.Policy.AnyPath); err != nil {
 			return nil, refusal{reason: reason.BadRequest, message: err.Error()}
 		}
 		host := x.r.Host
@@ -42,9 +43,9 @@
 	}
 }
 
-// wellFormed refuses requests that an endpoint may read in another way than this
-// balancer does. anyPath lets dot segments through.
-func wellFormed(r *http.Request, anyPath bool) error {
+// validateRequest rejects requests that an endpoint may parse differently from this balancer.
+// anyPath permits dot segments.
+func validateRequest(r *http.Request, anyPath bool) error {
 	path := r.URL.EscapedPath()
 	switch {
 	case !anyPath && hasDotSegment(path):
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// hasDotSegment reports whether a segment of an escaped path is "." or "..",
-// escaped or not.
+// hasDotSegment reports whether a segment of an escaped path is "." or "..", percent-encoded or
+// not.
 func hasDotSegment(path string) bool {
 	for segment := range strings.SplitSeq(path, "/") {
 		plain := strings.ReplaceAll(strings.ToLower(segment), "%2e", ".")
@@ -71,7 +72,7 @@
 	return false
 }
 
-// deadline sets the time by which a response must have begun.
+// deadline sets the time by which the response must have begun.
 func (b *Balancer) deadline(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		x := request.(*exchange)
@@ -85,7 +86,7 @@
 	}
 }
 
-// timeout returns the shorter one of the kind's timeout and the caller's.
+// timeout returns the kind's timeout or the caller's, whichever is shorter.
 func (b *Balancer) timeout(x *exchange) (time.Duration, error) {
 	dialect := &b.cfg.Policy.Dialect
 	text := x.r.Header.Get(dialect.Timeout)
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -12,24 +12,22 @@
 	"github.com/lotuswing/lotuswing/upstream"
 )
 
-// The rules of the request path that no other package decides. They are functions
-// of their arguments alone; serve.go calls them. docs/DECISIONS.md lists them with
-// those of other packages.
+// This file has the rules of the request path that no other package decides. They are
+// pure functions. docs/DECISIONS.md lists them with those of other packages.
 
-// delivers reports whether an attempt's response is the one that the caller gets.
-// Another endpoint is tried instead for a request that is repeatable and was
-// rejected: a rejection proves nothing about what ran, but another endpoint may do
-// better.
-func delivers(res *upstream.Result, repeatable, retryServerErrors bool) bool {
+// isFinalResponse reports whether an attempt's response is forwarded to the caller. For a
+// repeatable request, a response with a retryable status is not final: such a status does not
+// prove whether the request ran, but another endpoint may succeed.
+func isFinalResponse(res *upstream.Result, repeatable, retryServerErrors bool) bool {
 	if res.Verdict != verdict.Ran {
 		return false
 	}
-	return !repeatable || !isRejection(res.Response.StatusCode, retryServerErrors)
+	return !repeatable || !isRetryableStatus(res.Response.StatusCode, retryServerErrors)
 }
 
-// isRejection reports whether a status says that something on the way to the work
-// went wrong or, where retryServerErrors is set, that anything did.
-func isRejection(status int, retryServerErrors bool) bool {
+// isRetryableStatus reports whether a status indicates a failure at a gateway or a lack of
+// capacity or, if retryServerErrors is set, any server error.
+func isRetryableStatus(status int, retryServerErrors bool) bool {
 	switch status {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return true
@@ -37,9 +35,9 @@
 	return retryServerErrors && status >= http.StatusInternalServerError
 }
 
-// forRetry returns what coord/retry needs to know of a failed attempt. A rejection
-// counts as one that may have run.
-func (a *attempt) forRetry(body *upstream.Body) retry.Attempt {
+// retryAttempt returns the properties of a failed attempt that coord/retry decides by. A response
+// with a retryable status counts as MayHaveRun.
+func (a *attempt) retryAttempt(body *upstream.Body) retry.Attempt {
 	v := a.result.Verdict
 	if v == verdict.Ran {
 		v = verdict.MayHaveRun
@@ -47,28 +45,28 @@
 	return retry.Attempt{Number: a.number, Verdict: v, Replayable: body.Replayable(), Broken: a.result.Broken}
 }
 
-// outcomeOf returns what a response that was passed on shows about its endpoint.
-// err is why it was not passed on whole.
-func outcomeOf(status int, callerLeft bool, err error) placement.Outcome {
+// forwardedOutcome returns what a forwarded response shows about its endpoint. err is why
+// forwarding failed, nil if it succeeded.
+func forwardedOutcome(status int, callerLeft bool, err error) placement.Outcome {
 	switch {
 	case callerLeft || errors.Is(err, errCallerGone):
 		return placement.Unused
-	case errors.Is(err, errCutShort):
+	case errors.Is(err, errTruncated):
 		return placement.Failed
 	case status >= http.StatusInternalServerError:
-		return placement.Failed // failing fast must not look like being fast
+		return placement.Failed // otherwise an endpoint that fails quickly would look fast
 	}
 	return placement.Completed
 }
 
-// failedResult returns what an attempt shows about its endpoint whose response is
-// not passed on. A request on whose behalf nothing was written, or whose caller
-// left, shows nothing, nor does one that a suspension of the VM fell into.
-func failedResult(a *attempt, callerLeft bool, took time.Duration) placement.Result {
+// failedAttemptResult returns what an attempt whose response is not forwarded shows about its
+// endpoint. It shows nothing if nothing was written, the caller disconnected, or the VM was
+// suspended during the attempt.
+func failedAttemptResult(a *attempt, callerLeft bool, took time.Duration) placement.Result {
 	result := placement.Result{Outcome: placement.Failed, Took: took, Backoff: a.report().Word.Backoff}
 	res := &a.result
 	switch {
-	case a.stale:
+	case a.suspended:
 		result.Outcome = placement.Unused
 	case res.Reason == reason.EndpointReplaced:
 		result.Replaced = true
@@ -81,37 +79,37 @@
 	return result
 }
 
-// report returns what the answer says of its endpoint. Nobody knows how old one is that came while
-// the VM was suspended.
+// report returns what the response reports about its endpoint. If the VM was suspended during the
+// attempt, the age of the response is unknown and the report is undated.
 func (a *attempt) report() upstream.Report {
-	if a.stale {
+	if a.suspended {
 		return a.result.Report.Undated()
 	}
 	return a.result.Report
 }
 
-// overall returns the verdict of all attempts together: what an earlier one left
-// open stays open.
-func overall(last verdict.Verdict, mayHaveRun bool) verdict.Verdict {
+// combineVerdicts returns the verdict for all attempts together: if an earlier attempt may have
+// run, a last one that did not run leaves the verdict at MayHaveRun.
+func combineVerdicts(last verdict.Verdict, mayHaveRun bool) verdict.Verdict {
 	if mayHaveRun && last == verdict.NotRun {
 		return verdict.MayHaveRun
 	}
 	return last
 }
 
-// patience returns how long the request may wait for a slot.
-func patience(x *exchange, now time.Time) time.Duration {
+// remainingPatience returns how long the request may still wait for a slot.
+func remainingPatience(x *exchange, now time.Time) time.Duration {
 	return min(x.accepted.Add(x.route.Kind.Patience).Sub(now), x.deadline.Sub(now))
 }
 
-// waitingReason tells a request whose time has run out from one whose patience
-// ended before.
-func waitingReason(code reason.Code, deadline, now time.Time) reason.Code {
+// expiryReason replaces Expired by DeadlineWaiting if the deadline of the request has passed, not
+// only its patience. Other codes are returned unchanged.
+func expiryReason(code reason.Code, deadline, now time.Time) reason.Code {
 	if code == reason.Expired && !now.Before(deadline) {
 		return reason.DeadlineWaiting
 	}
 	return code
 }
 
-// retryAfterFailure returns when the caller should come back after failed attempts.
+// retryAfterFailure returns the Retry-After for a request whose attempts failed.
 func retryAfterFailure(x *exchange) time.Duration { return retry.AfterFailure(x.route.Kind.Target) }
--- a/balancer/screen.go
+++ b/balancer/screen.go
@@ -13,51 +13,51 @@
 )
 
 const (
-	// trialPatience is the part of the target, one in so many, that a request waits while another
-	// balancer tries the same one, and trialWait the same where there is no target: a trial takes
-	// as long as the request itself, so that this is the wait of one more.
-	trialPatience = 2
-	trialWait     = 200 * time.Millisecond
-	// shownWithin is how long the next attempt of a suspected request waits to know whether
-	// the endpoint of the last one has ended: a round trip to another zone and some more.
-	shownWithin = 40 * time.Millisecond
+	// A request waits for 1/trialPatienceDivisor of its latency target while another balancer runs
+	// the same request on trial, or for defaultTrialPatience if it has no target. A trial takes as
+	// long as the request itself, so this allows for about one more run.
+	trialPatienceDivisor = 2
+	defaultTrialPatience = 200 * time.Millisecond
+	// crashCheckWait limits how long the next attempt of a suspected request waits to learn
+	// whether the endpoint of the last one crashed: a round trip to another zone and a margin.
+	crashCheckWait = 40 * time.Millisecond
 )
 
-// screen asks whether the request may be sent on, where any request is suspected.
-func (b *Balancer) screen(ctx context.Context, x *exchange) error {
+// checkQuarantine asks the quarantine, if any request is suspected, whether this one may be sent.
+func (b *Balancer) checkQuarantine(ctx context.Context, x *exchange) error {
 	if b.cfg.Quarantine == nil || b.cfg.Quarantine.Quiet() || x.pass.Trial {
 		return nil
 	}
-	pass, refused := b.cfg.Quarantine.Admit(ctx, x.suspected())
+	pass, refused := b.cfg.Quarantine.Admit(ctx, x.quarantineRequest())
 	if refused != nil {
 		return refusal{reason: reason.Quarantined, message: refused.Evidence, retryAfter: refused.RetryAfter}
 	}
-	x.pass, x.shown = pass, false
+	x.pass, x.quarantineNotified = pass, false
 	return nil
 }
 
-// endTrial ends a trial that showed nothing: an attempt that broke off ends it once it is
-// known what became of the endpoint, one that ran at once.
+// endTrial ends a trial whose result was not reported to the quarantine. A reported one ends by
+// itself: a completed run at once, a broken attempt when it is known whether the endpoint crashed.
 func (b *Balancer) endTrial(x *exchange) {
-	if x.pass.Trial && !x.shown {
-		b.cfg.Quarantine.Over(x.suspected())
+	if x.pass.Trial && !x.quarantineNotified {
+		b.cfg.Quarantine.Over(x.quarantineRequest())
 	}
 	x.pass = quarantine.Pass{}
 }
 
-// suspected returns the request as the quarantine knows it.
-func (x *exchange) suspected() quarantine.Request {
-	if x.suspect.Prints.Exact == "" {
-		x.suspect = quarantine.Request{
-			ID: x.id, Prints: x.prints(), Service: x.route.Kind.Service, Kind: x.route.Kind.Name, Patience: patienceInTrial(x.route.Kind.Target), Target: x.route.Kind.Target,
+// quarantineRequest returns the request in the form that the quarantine uses.
+func (x *exchange) quarantineRequest() quarantine.Request {
+	if x.quarantineReq.Prints.Exact == "" {
+		x.quarantineReq = quarantine.Request{
+			ID: x.id, Prints: x.fingerprints(), Service: x.route.Kind.Service, Kind: x.route.Kind.Name, Patience: trialPatience(x.route.Kind.Target), Target: x.route.Kind.Target,
 		}
 	}
-	return x.suspect
+	return x.quarantineReq
 }
 
-// prints returns what tells the request from others. A body that is too long to be kept, or
-// of unknown length, counts by its announced length alone.
-func (x *exchange) prints() crash.Prints {
+// fingerprints returns the fingerprints that identify equal requests. A body that is too long to
+// be kept, or has no known length, is represented by its Content-Length only.
+func (x *exchange) fingerprints() crash.Prints {
 	s := crash.Subject{Team: x.team, Method: x.r.Method, Host: x.r.Host, Path: x.r.URL.EscapedPath(), Query: x.r.URL.RawQuery, Length: x.r.ContentLength}
 	if x.bodyRead {
 		s.Body, _ = x.body.Whole()
@@ -65,55 +65,58 @@
 	return s.Prints()
 }
 
-// patienceInTrial returns how long a request waits while another balancer tries the same one.
-func patienceInTrial(target time.Duration) time.Duration {
+// trialPatience returns how long a request waits while another balancer runs the same request on
+// trial.
+func trialPatience(target time.Duration) time.Duration {
 	if target <= 0 {
-		return trialWait
+		return defaultTrialPatience
 	}
-	return target / trialPatience
+	return target / trialPatienceDivisor
 }
 
-// noteEnd tells the quarantine what an attempt showed. After one that broke off, a request
-// that was suspected before waits to know whether the endpoint has ended.
-func (b *Balancer) noteEnd(ctx context.Context, x *exchange, a *attempt) {
+// reportToQuarantine reports the result of an attempt to the quarantine. After a broken attempt, a
+// request that was already suspected waits up to crashCheckWait to learn whether the endpoint
+// crashed.
+func (b *Balancer) reportToQuarantine(ctx context.Context, x *exchange, a *attempt) {
 	switch {
-	case b.cfg.Quarantine == nil, a.stale && a.result.Broken:
+	case b.cfg.Quarantine == nil, a.suspended && a.result.Broken:
 	case a.result.Broken && !x.callerLeft():
-		x.shown = true
-		shown := b.cfg.Quarantine.Broke(x.broken(a))
+		x.quarantineNotified = true
+		checked := b.cfg.Quarantine.Broke(x.brokenAttempt(a))
 		if x.pass.Suspected {
-			pause.Until(ctx, shown, shownWithin)
+			pause.Until(ctx, checked, crashCheckWait)
 		}
 	case a.result.Reason == "" && a.result.Buffered && !b.cfg.Quarantine.Quiet():
-		x.shown = true
-		b.cfg.Quarantine.Ran(x.suspected())
+		x.quarantineNotified = true
+		b.cfg.Quarantine.Ran(x.quarantineRequest())
 	}
 }
 
-// notePassedOn tells the quarantine how a response ended that was passed on as it came.
-func (b *Balancer) notePassedOn(x *exchange, a *attempt, err error) {
+// reportForwardedToQuarantine reports to the quarantine how an unbuffered response ended after it
+// was forwarded.
+func (b *Balancer) reportForwardedToQuarantine(x *exchange, a *attempt, err error) {
 	switch {
 	case b.cfg.Quarantine == nil || a.result.Buffered:
 	case err == nil && !b.cfg.Quarantine.Quiet():
-		x.shown = true
-		b.cfg.Quarantine.Ran(x.suspected())
-	case errors.Is(err, errCutShort) && !x.callerLeft():
-		x.shown = true
-		b.cfg.Quarantine.Broke(x.broken(a))
+		x.quarantineNotified = true
+		b.cfg.Quarantine.Ran(x.quarantineRequest())
+	case errors.Is(err, errTruncated) && !x.callerLeft():
+		x.quarantineNotified = true
+		b.cfg.Quarantine.Broke(x.brokenAttempt(a))
 	}
 }
 
-// broken returns an attempt that broke off as the quarantine knows it.
-func (x *exchange) broken(a *attempt) quarantine.Attempt {
+// brokenAttempt returns an attempt whose connection broke in the form that the quarantine uses.
+func (x *exchange) brokenAttempt(a *attempt) quarantine.Attempt {
 	e := a.grant.Endpoint
 	return quarantine.Attempt{
-		Request: x.suspected(), Endpoint: e.VM, Start: a.grant.Choice.Start, Addr: e.Addr, Trial: x.pass.Trial, Alone: alone(a.grant.Choice),
+		Request: x.quarantineRequest(), Endpoint: e.VM, Start: a.grant.Choice.Start, Addr: e.Addr, Trial: x.pass.Trial, Alone: ranAlone(a.grant.Choice),
 	}
 }
 
-// freshFor is the age up to which a report shows what an endpoint holds.
-const freshFor = 10 * time.Millisecond
+// maxLoadReportAge is the age up to which a load report shows what an endpoint is running.
+const maxLoadReportAge = 10 * time.Millisecond
 
-// alone reports whether an endpoint held nothing but the request when it was chosen, by its
-// own word.
-func alone(c placement.Choice) bool { return c.Busy == 1 && c.Age >= 0 && c.Age <= freshFor }
+// ranAlone reports whether, by its own recent load report, an endpoint held no other request when
+// it was chosen.
+func ranAlone(c placement.Choice) bool { return c.Busy == 1 && c.Age >= 0 && c.Age <= maxLoadReportAge }
--- a/balancer/screen_test.go
+++ b/balancer/screen_test.go
@@ -14,10 +14,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// fakeQuarantine says what is to be done with a request and notes what it is told.
+// fakeQuarantine returns preset passes and records the calls.
 type fakeQuarantine struct {
 	mu     sync.Mutex
-	passes []quarantine.Pass // one after the other; a refusal after the last one
+	passes []quarantine.Pass // returned in order; a refusal after the last one
 	broken []quarantine.Attempt
 	ran    []quarantine.Request
 	asked  []quarantine.Request
@@ -41,9 +41,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.broken = append(f.broken, a)
-	shown := make(chan struct{})
-	close(shown)
-	return shown
+	checked := make(chan struct{})
+	close(checked)
+	return checked
 }
 
 func (f *fakeQuarantine) Ran(r quarantine.Request) {
@@ -54,33 +54,33 @@
 
 func (*fakeQuarantine) Over(quarantine.Request) {}
 
-// counts returns how often it was asked, told of an attempt that broke off, and of a run.
+// counts returns the numbers of calls of Admit, Broke and Ran.
 func (f *fakeQuarantine) counts() [3]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return [3]int{len(f.asked), len(f.broken), len(f.ran)}
 }
 
-// quarantined is a bench with a quarantine that gives passes.
-func quarantined(t *testing.T, passes ...quarantine.Pass) (*bench, *fakeQuarantine) {
+// newQuarantineHarness returns a harness with a quarantine that returns passes.
+func newQuarantineHarness(t *testing.T, passes ...quarantine.Pass) (*harness, *fakeQuarantine) {
 	t.Helper()
 	q := &fakeQuarantine{passes: passes}
-	return newBenchWith(t, 2, func(c *balancer.Config) { c.Quarantine = q }), q
+	return newHarnessWith(t, 2, func(c *balancer.Config) { c.Quarantine = q }), q
 }
 
-// TestQuarantinedRequest: it is refused at once, with the truth that it has not run, why, and
-// when it may come back; where it may have run before, no such thing is said.
+// TestQuarantinedRequest: it is refused at once with the verdict not-run, the reason and a
+// Retry-After. If it may have run before, the verdict is may-have-run.
 func TestQuarantinedRequest(t *testing.T) {
-	b, q := quarantined(t)
+	b, q := newQuarantineHarness(t)
 	got := b.call(t, "GET", "/once", "k", "", http.Header{})
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Equal(t, got.verdict, "not-run")
 	assert.Equal(t, got.reason, "LW2010")
-	assert.Equal(t, got.retry, "7")
+	assert.Equal(t, got.retryAfter, "7")
 	assert.Equal(t, b.ran("k"), 0)
 	assert.Equal(t, q.counts(), [3]int{1, 0, 0})
 
-	b, q = quarantined(t, quarantine.Pass{})
+	b, q = newQuarantineHarness(t, quarantine.Pass{})
 	b.endpoints[0].Set(rawendpoint.CloseAfterRead)
 	got = b.call(t, "GET", "/read", "k", "", http.Header{})
 	assert.Equal(t, got.status, http.StatusBadGateway)
@@ -88,9 +88,10 @@
 	assert.Equal(t, q.counts(), [3]int{2, 1, 0})
 }
 
-// TestRequestOnTrial is sent once, whatever its route allows, and what it shows is told.
+// TestRequestOnTrial: a request on trial is sent once, whatever its route allows, and its result
+// is reported to the quarantine.
 func TestRequestOnTrial(t *testing.T) {
-	b, q := quarantined(t, quarantine.Pass{Trial: true, Suspected: true})
+	b, q := newQuarantineHarness(t, quarantine.Pass{Trial: true, Suspected: true})
 	b.endpoints[0].Set(rawendpoint.CloseAfterRead)
 	got := b.call(t, "GET", "/read", "k", "", http.Header{})
 	assert.Equal(t, got.status, http.StatusBadGateway)
@@ -99,27 +100,27 @@
 	assert.Assert(t, q.broken[0].Trial)
 	assert.Equal(t, q.broken[0].Endpoint, "e0")
 
-	b, q = quarantined(t, quarantine.Pass{Trial: true, Suspected: true})
+	b, q = newQuarantineHarness(t, quarantine.Pass{Trial: true, Suspected: true})
 	got = b.call(t, "GET", "/read", "k", "", http.Header{})
 	assert.Equal(t, got.status, http.StatusOK)
-	for q.counts() != [3]int{1, 0, 1} { // it is told once the caller has its answer
+	for q.counts() != [3]int{1, 0, 1} { // reported after the caller has the response
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// TestSuspectedRequestIsKnownAgain by what it asks for and its body, whoever sends it and
-// whatever else stands in its headers.
-func TestSuspectedRequestIsKnownAgain(t *testing.T) {
+// TestQuarantineFingerprints: a request is identified by its method, path, query and body, not by
+// its sender or other headers.
+func TestQuarantineFingerprints(t *testing.T) {
 	prints := func(method, path, body string, header http.Header) crash.Prints {
-		b, q := quarantined(t, quarantine.Pass{})
+		b, q := newQuarantineHarness(t, quarantine.Pass{})
 		b.call(t, method, path, "k", body, header)
 		return q.asked[0].Prints
 	}
-	is := prints("POST", "/once?a=1", "body", http.Header{"Traceparent": {"1"}})
-	assert.Equal(t, prints("POST", "/once?a=1", "body", http.Header{"Traceparent": {"2"}, "X-Forwarded-For": {"10.0.0.1"}}), is)
-	assert.Equal(t, prints("POST", "/once?a=2", "body", http.Header{}).Wide, is.Wide)
-	assert.Assert(t, prints("POST", "/once?a=2", "body", http.Header{}).Exact != is.Exact)
-	assert.Assert(t, prints("POST", "/once?a=1", "another", http.Header{}).Wide != is.Wide)
-	assert.Assert(t, prints("PUT", "/once?a=1", "body", http.Header{}).Wide != is.Wide)
-	assert.Assert(t, prints("POST", "/read?a=1", "body", http.Header{}).Wide != is.Wide)
+	original := prints("POST", "/once?a=1", "body", http.Header{"Traceparent": {"1"}})
+	assert.Equal(t, prints("POST", "/once?a=1", "body", http.Header{"Traceparent": {"2"}, "X-Forwarded-For": {"10.0.0.1"}}), original)
+	assert.Equal(t, prints("POST", "/once?a=2", "body", http.Header{}).Wide, original.Wide)
+	assert.Assert(t, prints("POST", "/once?a=2", "body", http.Header{}).Exact != original.Exact)
+	assert.Assert(t, prints("POST", "/once?a=1", "another", http.Header{}).Wide != original.Wide)
+	assert.Assert(t, prints("PUT", "/once?a=1", "body", http.Header{}).Wide != original.Wide)
+	assert.Assert(t, prints("POST", "/read?a=1", "body", http.Header{}).Wide != original.Wide)
 }
--- a/balancer/serve.go
+++ b/balancer/serve.go
@@ -11,43 +11,44 @@
 	"go.opentelemetry.io/otel/propagation"
 )
 
-// serve gets a response for the request: it chooses an endpoint, sends the request
-// there and judges what came back, until a response is passed on or the rules
-// allow no other attempt.
+// serve gets a response for the request: it chooses an endpoint, sends the request there and
+// evaluates the result, until a response is forwarded or the rules allow no further attempt.
 func (b *Balancer) serve(ctx context.Context, request any) (any, error) {
 	x := request.(*exchange)
 	if !x.route.Kind.Repeatable {
-		// A response before it may yet close the connection; then it must not have begun.
-		if err := x.takeTurn(); err != nil {
+		// An earlier response may close the connection; a non-repeatable request must not have
+		// started by then.
+		if err := x.awaitTurn(); err != nil {
 			return nil, refusal{reason: reason.CallerLeft, message: err.Error()}
 		}
 	}
-	if err := b.receive(ctx, x); err != nil {
+	if err := b.prepareRequest(ctx, x); err != nil {
 		return nil, err
 	}
-	x.nameTeam(b.cfg.Policy.Dialect.Team)
+	x.setTeamHeader(b.cfg.Policy.Dialect.Team)
 	b.retries.addRequest(x.route.ServiceKey(), time.Now())
 	defer b.endTrial(x)
 	for number := 1; ; number++ {
-		a, err := b.try(ctx, x, number)
+		a, err := b.makeAttempt(ctx, x, number)
 		if err != nil {
 			return nil, err
 		}
-		b.noteEnd(ctx, x, &a)
-		if delivers(&a.result, x.route.Kind.Repeatable, b.cfg.Policy.RetryServerErrors) {
-			return nil, b.passOn(x, &a)
+		b.reportToQuarantine(ctx, x, &a)
+		if isFinalResponse(&a.result, x.route.Kind.Repeatable, b.cfg.Policy.RetryServerErrors) {
+			return nil, b.deliver(x, &a)
 		}
-		b.cfg.Chooser.Complete(a.grant, failedResult(&a, x.callerLeft(), time.Since(a.sent)))
-		x.noteFailed(&a)
-		if !b.mayRetry(x, &a, time.Now()) {
+		b.cfg.Chooser.Complete(a.grant, failedAttemptResult(&a, x.callerLeft(), time.Since(a.sentAt)))
+		x.recordFailure(&a)
+		if !b.claimRetry(x, &a, time.Now()) {
 			return nil, b.giveUp(ctx, x, &a)
 		}
 		a.result.Close()
 	}
 }
 
-// receive makes the caller's request fit to be sent on, as often as needed.
-func (b *Balancer) receive(ctx context.Context, x *exchange) error {
+// prepareRequest limits the body, adapts the headers and reads a small body, so that the request
+// can be sent, if necessary more than once.
+func (b *Balancer) prepareRequest(ctx context.Context, x *exchange) error {
 	if err := limitBody(x, b.cfg.Limits.BodyBytes); err != nil {
 		return err
 	}
@@ -57,30 +58,31 @@
 	return readSmallBody(x, b.cfg.Limits.ReplayBytes)
 }
 
-// mayRetry decides about another attempt, and spends a part of the budget on it.
-func (b *Balancer) mayRetry(x *exchange, a *attempt, now time.Time) bool {
+// claimRetry decides whether the request gets another attempt and, if so, charges the retry budget
+// of its service.
+func (b *Balancer) claimRetry(x *exchange, a *attempt, now time.Time) bool {
 	if x.callerLeft() {
 		return false
 	}
-	d := b.retries.decide(x.route.ServiceKey(), x.forRetry(), a.forRetry(x.body), now)
+	d := b.retries.claim(x.route.ServiceKey(), x.retryRequest(), a.retryAttempt(x.body), now)
 	x.logRetry(d, a.number)
 	return d.Again
 }
 
-// passOn passes an endpoint's response on and reports how the request ended.
-func (b *Balancer) passOn(x *exchange, a *attempt) error {
+// deliver forwards an endpoint's response and reports the result of the request.
+func (b *Balancer) deliver(x *exchange, a *attempt) error {
 	x.ran = true
 	status := a.result.Response.StatusCode
-	result := placement.Result{Outcome: outcomeOf(status, false, nil), Load: a.report().Load, Backoff: a.report().Word.Backoff}
-	if a.stale {
+	result := placement.Result{Outcome: forwardedOutcome(status, false, nil), Load: a.report().Load, Backoff: a.report().Word.Backoff}
+	if a.suspended {
 		result = placement.Result{Outcome: placement.Unused}
 	}
 	complete := func() {
-		result.Took = time.Since(a.sent)
-		go b.cfg.Chooser.Complete(a.grant, result) // the caller's bytes go first
+		result.Took = time.Since(a.sentAt)
+		go b.cfg.Chooser.Complete(a.grant, result) // must not delay the response to the caller
 	}
 	if a.result.Buffered {
-		complete() // its endpoint has done with it, even where it has to wait for its turn
+		complete() // the endpoint is done, even if the response waits for its turn
 	} else {
 		defer complete()
 	}
@@ -88,30 +90,31 @@
 		return b.upgrade(x, &a.result)
 	}
 	err := b.forward(x, &a.result)
-	if !a.stale {
-		result.Outcome = outcomeOf(status, x.callerLeft(), err)
+	if !a.suspended {
+		result.Outcome = forwardedOutcome(status, x.callerLeft(), err)
 	}
-	b.notePassedOn(x, a, err)
+	b.reportForwardedToQuarantine(x, a, err)
 	if err != nil {
-		// The caller must see a broken response, never a clean short one.
+		// The caller must see an aborted response, never a truncated one that looks complete.
 		panic(http.ErrAbortHandler)
 	}
 	return nil
 }
 
-// giveUp makes the last response of a request that no endpoint ran to its end. An
-// endpoint's own refusal is passed on, where the policy says so.
+// giveUp sends the final response of a request without a successful attempt. An endpoint's own
+// refusal is forwarded if the policy allows it.
 func (b *Balancer) giveUp(ctx context.Context, x *exchange, a *attempt) error {
 	res := &a.result
-	res.Verdict = overall(res.Verdict, x.mayHaveRun)
+	res.Verdict = combineVerdicts(res.Verdict, x.mayHaveRun)
 	retryAfter := retryAfterFailure(x)
 	if res.Response != nil && (res.Reason == "" || !b.cfg.Policy.OwnRefusals) {
 		if res.Reason != "" || res.Response.Header.Get("Retry-After") == "" {
-			// The refusal's own time is for this balancer, which may have other endpoints.
+			// The endpoint's Retry-After in a refusal applies to this balancer; the caller may be
+			// served by other endpoints sooner.
 			res.Response.Header.Set("Retry-After", b.cfg.Policy.Dialect.FormatRetryAfter(retryAfter))
 		}
 		if err := b.forward(x, res); err != nil {
-			panic(http.ErrAbortHandler) // as in passOn
+			panic(http.ErrAbortHandler) // as in deliver
 		}
 		return nil
 	}
--- a/balancer/suspended_test.go
+++ b/balancer/suspended_test.go
@@ -13,17 +13,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// sleeper is a VM that can be suspended.
-type sleeper struct{ slept atomic.Int64 }
+// fakeSuspension is the suspension time of a fake VM.
+type fakeSuspension struct{ slept atomic.Int64 }
 
-func (s *sleeper) read() time.Duration { return time.Duration(s.slept.Load()) }
+func (s *fakeSuspension) read() time.Duration { return time.Duration(s.slept.Load()) }
 
-// suspended is a bench whose VM is suspended once, during the first choice of an endpoint.
-func suspended(t *testing.T, d time.Duration) *bench {
+// newSuspendedHarness returns a harness whose VM is suspended for d during the first Acquire.
+func newSuspendedHarness(t *testing.T, d time.Duration) *harness {
 	t.Helper()
-	var s sleeper
-	b := newBenchWith(t, 1, func(c *balancer.Config) { c.Suspensions = suspend.New(s.read) })
-	b.chooser.during = func(before int) {
+	var s fakeSuspension
+	b := newHarnessWith(t, 1, func(c *balancer.Config) { c.Suspensions = suspend.New(s.read) })
+	b.chooser.onAcquire = func(before int) {
 		if before == 0 {
 			s.slept.Store(int64(d))
 		}
@@ -31,33 +31,35 @@
 	return b
 }
 
-// TestSuspensionTakesOfTheTime: the caller's time ran on while the VM was suspended. What was
-// chosen before is not used, and the endpoint is told what is left.
-func TestSuspensionTakesOfTheTime(t *testing.T) {
-	b := suspended(t, 6*time.Second)
+// TestSuspensionReducesRemainingTime: the caller's time runs on while the VM is suspended. An
+// endpoint chosen before is not used, and the next one gets the remaining time.
+func TestSuspensionReducesRemainingTime(t *testing.T) {
+	b := newSuspendedHarness(t, 6*time.Second)
 	got := b.call(t, "GET", "/once", "k", "", http.Header{"Lotuswing-Timeout": {"10s"}})
 	assert.Equal(t, got.status, http.StatusOK)
-	assert.Equal(t, b.chooser.ending(0).Outcome, placement.Unused)
+	assert.Equal(t, b.chooser.awaitResult(0).Outcome, placement.Unused)
 	left, err := time.ParseDuration(b.endpoints[0].Header("k").Get("Lotuswing-Timeout"))
 	assert.NilError(t, err)
 	assert.Assert(t, left > 0 && left <= 4*time.Second, "%v", left)
 }
 
-// TestSuspensionBeyondTheDeadline: a request whose time is over is not sent any more.
+// TestSuspensionBeyondTheDeadline: a request whose deadline passed during a suspension is not
+// sent.
 func TestSuspensionBeyondTheDeadline(t *testing.T) {
-	b := suspended(t, 20*time.Second)
+	b := newSuspendedHarness(t, 20*time.Second)
 	got := b.call(t, "GET", "/once", "k", "", http.Header{"Lotuswing-Timeout": {"10s"}})
 	assert.Equal(t, got.status, http.StatusGatewayTimeout)
 	assert.Equal(t, got.verdict, "not-run")
 	assert.Equal(t, b.ran("k"), 0)
 }
 
-// TestSuspensionEndsATrial: after one nobody knows who tries the request now.
-func TestSuspensionEndsATrial(t *testing.T) {
-	var s sleeper
+// TestSuspensionEndsTrial: after a suspension another balancer may be running the trial, so the
+// quarantine is asked again.
+func TestSuspensionEndsTrial(t *testing.T) {
+	var s fakeSuspension
 	q := &fakeQuarantine{passes: []quarantine.Pass{{Trial: true}}}
-	b := newBenchWith(t, 1, func(c *balancer.Config) { c.Quarantine, c.Suspensions = q, suspend.New(s.read) })
-	b.chooser.during = func(int) { s.slept.Add(int64(5 * time.Second)) }
+	b := newHarnessWith(t, 1, func(c *balancer.Config) { c.Quarantine, c.Suspensions = q, suspend.New(s.read) })
+	b.chooser.onAcquire = func(int) { s.slept.Add(int64(5 * time.Second)) }
 	got := b.call(t, "GET", "/once", "k", "", http.Header{"Lotuswing-Timeout": {"60s"}})
 	assert.Equal(t, got.reason, "LW2010")
 	assert.Equal(t, b.ran("k"), 0)
