--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -237,9 +237,9 @@
 				e.Set(rapid.SampledFrom(rawendpoint.AllFaults).Draw(t, "fault"))
 			}
 			key := fmt.Sprintf("request-%d", i)
-			once := rapid.Bool().Draw(t, "once")
+			nonRepeatable := rapid.Bool().Draw(t, "once")
 			path := "/read"
-			if once {
+			if nonRepeatable {
 				path = "/once"
 			}
 			header := http.Header{"Lotuswing-Timeout": {"60ms"}}
@@ -249,7 +249,7 @@
 			body := rapid.SampledFrom([]string{"", "x", strings.Repeat("x", 3000)}).Draw(t, "body")
 			got := b.call(t, rapid.SampledFrom([]string{"GET", "POST", "PUT"}).Draw(t, "method"), path, key, body, header)
 			ran := b.ran(key)
-			assert.Assert(t, !once || ran <= 1, "%s ran %d times", key, ran)
+			assert.Assert(t, !nonRepeatable || ran <= 1, "%s ran %d times", key, ran)
 			switch got.verdict {
 			case "not-run":
 				assert.Equal(t, ran, 0, "verdict not-run with reason %s", got.reason)
@@ -414,18 +414,18 @@
 func TestMalformedRequestsReachNoEndpoint(t *testing.T) {
 	b := newHarness(t, 1)
 	cases := map[string]string{
-		"two lengths":        "POST /once HTTP/1.1\r\nHost: desk\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx",
-		"bad length":         "POST /once HTTP/1.1\r\nHost: desk\r\nContent-Length: -1\r\n\r\n",
-		"unknown coding":     "POST /once HTTP/1.1\r\nHost: desk\r\nTransfer-Encoding: xchunked\r\n\r\n",
-		"no host":            "GET /read HTTP/1.1\r\n\r\n",
-		"dot segment":        "GET /read/../once HTTP/1.1\r\nHost: desk\r\n\r\n",
-		"coded dot segment":  "GET /read/%2e%2E/once HTTP/1.1\r\nHost: desk\r\n\r\n",
-		"bad method":         "GE(T /read HTTP/1.1\r\nHost: desk\r\n\r\n",
-		"absurd timeout":     "GET /read HTTP/1.1\r\nHost: desk\r\nLotuswing-Timeout: 9999h\r\n\r\n",
-		"negative timeout":   "GET /read HTTP/1.1\r\nHost: desk\r\nLotuswing-Timeout: -1s\r\n\r\n",
-		"unknown team":       "GET /read HTTP/1.1\r\nHost: nobody\r\n\r\n",
-		"space in a header":  "GET /read HTTP/1.1\r\nHost: desk\r\nX y: 1\r\n\r\n",
-		"line ends in value": "GET /read HTTP/1.1\r\nHost: desk\r\nX: a\x00b\r\n\r\n",
+		"two lengths":             "POST /once HTTP/1.1\r\nHost: desk\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx",
+		"bad length":              "POST /once HTTP/1.1\r\nHost: desk\r\nContent-Length: -1\r\n\r\n",
+		"unknown transfer coding": "POST /once HTTP/1.1\r\nHost: desk\r\nTransfer-Encoding: xchunked\r\n\r\n",
+		"no host":                 "GET /read HTTP/1.1\r\n\r\n",
+		"dot segment":             "GET /read/../once HTTP/1.1\r\nHost: desk\r\n\r\n",
+		"encoded dot segment":     "GET /read/%2e%2E/once HTTP/1.1\r\nHost: desk\r\n\r\n",
+		"bad method":              "GE(T /read HTTP/1.1\r\nHost: desk\r\n\r\n",
+		"absurd timeout":          "GET /read HTTP/1.1\r\nHost: desk\r\nLotuswing-Timeout: 9999h\r\n\r\n",
+		"negative timeout":        "GET /read HTTP/1.1\r\nHost: desk\r\nLotuswing-Timeout: -1s\r\n\r\n",
+		"unknown team":            "GET /read HTTP/1.1\r\nHost: nobody\r\n\r\n",
+		"space in a header":       "GET /read HTTP/1.1\r\nHost: desk\r\nX y: 1\r\n\r\n",
+		"NUL in a header":         "GET /read HTTP/1.1\r\nHost: desk\r\nX: a\x00b\r\n\r\n",
 	}
 	for name, raw := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -436,7 +436,7 @@
 			assert.NilError(t, err)
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			assert.NilError(t, err)
-			// RFC 9112, section 6.1, wants 501 for an unknown coding.
+			// RFC 9112, section 6.1, asks for 501 on an unknown transfer coding.
 			wantStatus := resp.StatusCode >= 400 && resp.StatusCode < 500 || resp.StatusCode == http.StatusNotImplemented
 			assert.Assert(t, wantStatus, resp.Status)
 			assert.Equal(t, b.ran(""), 0)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -16,6 +16,7 @@
 // This file writes all log lines and metrics of requests. telemetry.Events documents
 // the fields.
 
+// logAdmitted logs a request that has a route, a team if it needs one, and a deadline.
 func (x *exchange) logAdmitted(timeout time.Duration) {
 	kind := x.route.Kind
 	x.log.Line(telemetry.EventAdmitted).Text("route", kind.Name).Text("service", kind.Service).
@@ -41,6 +42,7 @@
 	}
 }
 
+// logNoEndpoint logs that no endpoint was found, with what the search knew of the endpoints.
 func (x *exchange) logNoEndpoint(number int, r *placement.Refusal, now time.Time) {
 	x.log.Line(telemetry.EventNoEndpoint).Int("attempt", int64(number)).Text("reason", string(r.Reason)).
 		Int("known", int64(r.Search.Known)).Int("ejected", int64(r.Search.Ejected)).Int("full", int64(r.Search.Full)).Int("limited", int64(r.Search.Limited)).
@@ -65,6 +67,7 @@
 	x.searchStart = now
 }
 
+// logRetry logs the decision on another attempt; attempts is the number so far.
 func (x *exchange) logRetry(d retry.Decision, attempts int) {
 	x.log.Line(telemetry.EventRetry).Bool("again", d.Again).Text("why", string(d.Reason)).
 		Int("attempts", int64(attempts)).Int("most", int64(x.route.Kind.MaxAttempts)).Done()
--- a/balancer/forward_test.go
+++ b/balancer/forward_test.go
@@ -24,22 +24,22 @@
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(!http2)
 	protocols.SetUnencryptedHTTP2(http2)
-	end := httptest.NewUnstartedServer(h)
-	end.Config.Protocols = protocols
-	end.Start()
-	t.Cleanup(end.Close)
+	endpoint := httptest.NewUnstartedServer(h)
+	endpoint.Config.Protocols = protocols
+	endpoint.Start()
+	t.Cleanup(endpoint.Close)
 	b := newHarness(t, 0)
-	b.chooser.endpoints = []placement.Endpoint{{VM: "e0", Addr: end.Listener.Addr().String(), Slots: 3}}
+	b.chooser.endpoints = []placement.Endpoint{{VM: "e0", Addr: endpoint.Listener.Addr().String(), Slots: 3}}
 	if http2 {
 		service := b.chooser.cfg.Services["pool"]
 		service.Protocol = "h2c"
 		b.chooser.cfg.Services["pool"] = service
 	}
-	front := httptest.NewUnstartedServer(b.server.Config.Handler)
-	front.Config.Protocols = protocols
-	front.Start()
-	t.Cleanup(front.Close)
-	return &http.Client{Transport: &http.Transport{Protocols: protocols}}, front.URL
+	proxy := httptest.NewUnstartedServer(b.server.Config.Handler)
+	proxy.Config.Protocols = protocols
+	proxy.Start()
+	t.Cleanup(proxy.Close)
+	return &http.Client{Transport: &http.Transport{Protocols: protocols}}, proxy.URL
 }
 
 // forBothProtocols runs a subtest over HTTP/1.1 and one over HTTP/2.
@@ -73,16 +73,16 @@
 		go func() { _, _ = io.WriteString(pw, "one\n") }()
 		resp, err := client.Do(newRequest(t, "POST", url+"/once", pr))
 		assert.NilError(t, err)
-		answers := bufio.NewReader(resp.Body)
+		responses := bufio.NewReader(resp.Body)
 		for _, word := range []string{"one", "two", "three"} {
-			got, err := answers.ReadString('\n')
+			got, err := responses.ReadString('\n')
 			assert.NilError(t, err)
 			assert.Equal(t, got, "got "+word+"\n")
 			next := map[string]string{"one": "two\n", "two": "three\n"}[word]
 			_, _ = io.WriteString(pw, next)
 		}
 		assert.NilError(t, pw.Close())
-		rest, err := io.ReadAll(answers)
+		rest, err := io.ReadAll(responses)
 		assert.NilError(t, err)
 		assert.Equal(t, string(rest), "")
 	})
@@ -209,14 +209,14 @@
 // TestBodyLimit: a body above the balancer's limit is refused, and the endpoint never gets the
 // whole of it.
 func TestBodyLimit(t *testing.T) {
-	whole := make(chan bool, 1)
+	gotWholeBody := make(chan bool, 1)
 	client, url := startProxy(t, false, func(_ http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
-		whole <- err == nil
+		gotWholeBody <- err == nil
 	})
 	resp, err := client.Do(newRequest(t, "POST", url+"/once", io.MultiReader(strings.NewReader(strings.Repeat("x", 2<<20)))))
 	if err == nil {
 		assert.Assert(t, resp.StatusCode >= 400, resp.Status)
 	}
-	assert.Assert(t, !<-whole)
+	assert.Assert(t, !<-gotWholeBody)
 }
--- a/balancer/pipelined_test.go
+++ b/balancer/pipelined_test.go
@@ -46,7 +46,7 @@
 }
 
 // pipelinedHarness is a balancer that serves pipelined requests concurrently, in front of an
-// endpoint that holds some paths until it is released.
+// endpoint that blocks on some paths until the test releases them.
 type pipelinedHarness struct {
 	balancer *balancer.Balancer
 	server   *pipeline.Server
@@ -57,7 +57,7 @@
 	in       *bufio.Reader
 }
 
-// newPipelinedHarness starts the harness. The endpoint holds the given paths.
+// newPipelinedHarness starts the harness. The endpoint blocks on the held paths.
 func newPipelinedHarness(t *testing.T, held ...string) *pipelinedHarness {
 	t.Helper()
 	b := &pipelinedHarness{reached: make(chan string, 10), release: map[string]chan struct{}{}}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -90,8 +90,8 @@
 		age    time.Duration
 		want   bool
 	}{
-		{"has just answered", policy, nonRepeatable, 2 * time.Millisecond, true},
-		{"answered a while ago", policy, nonRepeatable, 50 * time.Millisecond, false},
+		{"recent report", policy, nonRepeatable, 2 * time.Millisecond, true},
+		{"old report", policy, nonRepeatable, 50 * time.Millisecond, false},
 		{"no report yet", policy, nonRepeatable, -1, false},
 		{"repeatable request", policy, repeatableRoute, 0, false},
 		{"reuse disabled", Policy{FreshConnections: true, Client: client}, nonRepeatable, 0, false},
--- a/coord/retry/retry.go
+++ b/coord/retry/retry.go
@@ -39,7 +39,7 @@
 	Repeatable  bool
 	MaxAttempts int  // of the route; 0 for MaxAttempts and MaxRefusals
 	MayHaveRun  bool // one of the attempts may have run, including the last
-	OnTrial     bool // suspected of crashing endpoints, so sent to one endpoint at a time
+	OnTrial     bool // suspected of crashing endpoints; not retried after a broken connection
 	Deadline    time.Time
 }
 
--- a/coord/verdict/verdict.go
+++ b/coord/verdict/verdict.go
@@ -26,7 +26,7 @@
 	MayHaveRun Verdict = iota
 	// NotRun claims that the request did not run and will not run later.
 	NotRun
-	// Ran claims that an endpoint answered the request.
+	// Ran claims that an endpoint responded to the request.
 	Ran
 )
 
