--- a/coord/selection/candidate.go
+++ b/coord/selection/candidate.go
@@ -9,136 +9,140 @@
 )
 
 const (
-	// zoneDelay is added to the estimate for an endpoint of another zone: zones are about 1.5 ms
-	// apart one way.
-	zoneDelay = 4 * time.Millisecond
-	// zoneCost is added when endpoints are compared, for what traffic between zones costs.
-	zoneCost = 60 * time.Millisecond
-	// connectionCost is added for an endpoint that has probably no open connection, for what a
-	// new one costs beside zoneCost.
-	connectionCost = 18 * time.Millisecond
-	// connectionLife is how long after a sign of the endpoint its connection is thought to be
-	// open: a second less than unused ones are kept.
-	connectionLife = 7 * time.Second
-	// unansweredCost is added for each probe in a row without a response.
-	unansweredCost = 150 * time.Millisecond
-	// besideCost is added for an endpoint that holds something, for a request that should be
-	// alone there: more than any estimate that is still worth a choice.
-	besideCost = time.Hour
-	// deferredCost is added for an endpoint that is likely to refuse the request.
-	deferredCost = 150 * time.Millisecond
-	// slownessGrace is how many times the usual time completions may take before the estimate
-	// grows with them.
-	slownessGrace = 2
-	// goodPace is the pace up to which an endpoint is taken at once.
-	goodPace = 1.6
+	// crossZoneDelay is added to the estimate of an endpoint in another zone. The one-way latency
+	// between zones is about 1.5 ms.
+	crossZoneDelay = 4 * time.Millisecond
+	// crossZonePenalty is added to the cost of an endpoint in another zone, to account for the cost of
+	// traffic between zones.
+	crossZonePenalty = 60 * time.Millisecond
+	// newConnectionPenalty is added to the cost of an endpoint to which probably no connection is
+	// open, for setting up a new one. It comes on top of crossZonePenalty.
+	newConnectionPenalty = 18 * time.Millisecond
+	// assumedConnectionLife is how long after the last response of an endpoint its connection is
+	// assumed to be open. Idle connections are kept one second longer than that.
+	assumedConnectionLife = 7 * time.Second
+	// unansweredProbePenalty is added to the estimate for each consecutive probe without a response.
+	unansweredProbePenalty = 150 * time.Millisecond
+	// sharedEndpointPenalty is added to the cost of an endpoint that holds requests, if the new request
+	// should be alone there. It exceeds every estimate at which an endpoint is still chosen.
+	sharedEndpointPenalty = time.Hour
+	// deferredPenalty is added to the cost of an endpoint that is likely to refuse the request.
+	deferredPenalty = 150 * time.Millisecond
+	// slownessTolerance is the factor over the usual service time that completions may take
+	// before the estimate grows with them.
+	slownessTolerance = 2
+	// maxGoodPace is the highest pace at which an endpoint is taken without a further search.
+	maxGoodPace = 1.6
 )
 
-// Listing is what is listed of an endpoint.
+// Listing is what the directory says of an endpoint, and whether the endpoint admits the request.
 type Listing struct {
-	Slots    int
-	SameZone bool // as the balancer
-	// Admission is whether and from when the request may go there; it is not Never.
+	Slots    int  // number of requests that it works on at once
+	SameZone bool // it is in the balancer's zone
+	// Admission is whether and from when the request may be sent there; its Access is not Never.
 	Admission admission.Decision
-	WarmAt    time.Time // until then it warms up
-	WarmTold  time.Time // when that was told
+	WarmAt    time.Time // end of its warm-up
+	WarmTold  time.Time // when the directory received WarmAt
 }
 
-// Usual is what was learnt of a request's kind and service. It belongs to one ranking: it
-// remembers the room of endpoints, most of which have the same number of slots.
+// Usual is what candidates are rated by: what was learned of the request's kind and service, and
+// the request's own parameters. It belongs to one ranking, since it caches the concurrency limit
+// of the last number of slots; most endpoints of a service have the same number.
 type Usual struct {
 	Work     time.Duration // usual service time of the kind
 	Crowding Crowding      // of the service
 	Prospect Prospect      // of the service
-	Warming  Warming       // of the service's endpoints that warm up
+	Warming  Warming       // of the service
 
-	Fresh     time.Duration // so old a report is fresh
+	Fresh     time.Duration // maximum age of a fresh report
 	TellsLoad bool          // the service's endpoints can be probed
 
-	WarmupRate float64 // requests a second that one endpoint bears while it warms up; 0 where it is not known
-	Lot        uint32  // random, of the request; decides with which of them it may begin
-	Alone      bool    // an endpoint that holds nothing else is wanted
+	WarmupRate float64 // requests per second that one endpoint can take while it warms up; 0 if unknown
+	Lot        uint32  // random number of the request; selects the endpoints in warm-up that it may use
+	Alone      bool    // an endpoint that holds no other request is preferred
 
-	slots, room int // that was asked for last, and its room
+	slots, limitForSlots int // cached argument and result of concurrencyLimit
 }
 
-// roomOf returns how many requests an endpoint of so many slots should hold at most.
-func (u *Usual) roomOf(slots int) int {
+// concurrencyLimit returns the concurrency limit of an endpoint with the given number of slots.
+func (u *Usual) concurrencyLimit(slots int) int {
 	if u.slots != slots {
-		u.slots, u.room = slots, u.Crowding.Room(slots)
+		u.slots, u.limitForSlots = slots, u.Crowding.ConcurrencyLimit(slots)
 	}
-	return u.room
+	return u.limitForSlots
 }
 
-// Candidate is an endpoint that may get a request, as it is at one time.
+// Candidate is the rating of an endpoint for one request at one time.
 type Candidate struct {
-	Index     int           // in the list that the candidates were made of
-	Estimate  time.Duration // until its response
-	Age       time.Duration // of its last report; very old where there is none
-	Busy      int           // requests that it is thought to hold
-	Slots     int           // requests that it works on at once
-	Full      bool          // it should hold no more
-	Good      bool          // there is no need to look for a better one
-	Ejected   bool          // for failures
-	Cold      bool          // it warms up
-	Closed    bool          // it warms up, and may get nothing now
-	Admission admission.Decision
-
-	cost time.Duration // the estimate with zoneCost and connectionCost
-	tie  uint32        // random, decides between equals
+	Index       int           // in the list that the candidates were made from
+	Estimate    time.Duration // expected time until its response
+	Age         time.Duration // of its last report; math.MaxInt64 if there is none
+	Busy        int           // estimated number of requests that it holds
+	Slots       int           // number of requests that it works on at once
+	Full        bool          // it should get no further request now
+	Good        bool          // it can be taken without searching for a better one
+	Ejected     bool          // because of failures
+	Cold        bool          // it is warming up
+	ColdBlocked bool          // it is warming up and must not get the request now
+	Admission   admission.Decision
+
+	cost       time.Duration // the estimate and all penalties; the lowest cost ranks first
+	tieBreaker uint32        // random; orders candidates of equal cost
 }
 
-// NewCandidate makes a candidate of an endpoint, which it does not change.
-func NewCandidate(e *Endpoint, index int, l Listing, usual *Usual, tie uint32, now time.Time) Candidate {
-	cold := e.cold(l, now)
-	untried := !cold && e.untried(l)
+// NewCandidate rates an endpoint, which it does not change. index is the endpoint's place in the
+// caller's list, and tieBreaker a random number that orders candidates of equal cost.
+func NewCandidate(e *Endpoint, index int, l Listing, usual *Usual, tieBreaker uint32, now time.Time) Candidate {
+	isWarmingUp := e.isWarmingUp(l, now)
+	untried := !isWarmingUp && e.untried(l)
 	conditions := Conditions{
 		Slots:    l.Slots,
-		Warm:     !cold,
+		Warm:     !isWarmingUp,
 		Untried:  untried,
-		Slowness: max(1, e.health.Slowness()/slownessGrace),
+		Slowness: max(1, e.health.Slowness()/slownessTolerance),
 		Crowding: &usual.Crowding,
 	}
 	c := Candidate{
-		Index:     index,
-		Estimate:  e.load.Estimate(conditions, usual.Work, now) + time.Duration(e.unanswered)*unansweredCost,
-		Age:       e.load.Age(now),
-		Busy:      e.load.Busy(now),
-		Slots:     e.load.Slots(l.Slots),
-		Ejected:   e.health.Ejected(now),
-		Cold:      cold,
-		Admission: l.Admission,
-		tie:       tie,
+		Index:      index,
+		Estimate:   e.load.Estimate(conditions, usual.Work, now) + time.Duration(e.unansweredProbes)*unansweredProbePenalty,
+		Age:        e.load.Age(now),
+		Busy:       e.load.Busy(now),
+		Slots:      e.load.Slots(l.Slots),
+		Ejected:    e.health.Ejected(now),
+		Cold:       isWarmingUp,
+		Admission:  l.Admission,
+		tieBreaker: tieBreaker,
 	}
 	if !l.SameZone {
-		c.Estimate += zoneDelay
-		c.cost = zoneCost
+		c.Estimate += crossZoneDelay
+		c.cost = crossZonePenalty
 	}
 	if !untried && !e.InUse(now) {
-		c.cost += connectionCost
+		c.cost += newConnectionPenalty
 	}
 	if usual.Alone && c.Busy > 0 {
-		c.cost += besideCost
+		c.cost += sharedEndpointPenalty
 	}
 	if l.Admission.Deferred {
-		c.cost += deferredCost
+		c.cost += deferredPenalty
 	}
 	c.cost += c.Estimate
-	c.Closed = cold && e.closed(usual, index, c.Estimate, now)
-	c.Full = c.Closed || c.shut() || c.Busy >= usual.roomOf(c.Slots) || now.Before(e.pausedUntil)
-	c.Good = !c.Full && c.Admission.Admits() && e.unanswered == 0 && e.load.Pace(now) <= goodPace
+	c.ColdBlocked = isWarmingUp && e.blockedInWarmup(usual, index, c.Estimate, now)
+	c.Full = c.ColdBlocked || c.blocked() || c.Busy >= usual.concurrencyLimit(c.Slots) || now.Before(e.pausedUntil)
+	c.Good = !c.Full && c.Admission.Admits() && e.unansweredProbes == 0 && e.load.Pace(now) <= maxGoodPace
 	return c
 }
 
-// shut reports whether the request may not go there now, whatever room there is.
-func (c *Candidate) shut() bool { return c.Admission.Access == admission.Shut }
+// blocked reports whether the admission decision forbids sending the request there now.
+func (c *Candidate) blocked() bool { return c.Admission.Access == admission.Shut }
 
-// compare orders candidates: those that may get the request first, then those with room, then by cost.
+// compare orders candidates: first those that are not blocked, then those that are not full, then
+// by cost.
 func (c *Candidate) compare(o *Candidate) int {
 	switch {
-	case c.shut() != o.shut() && c.shut():
+	case c.blocked() != o.blocked() && c.blocked():
 		return 1
-	case c.shut() != o.shut():
+	case c.blocked() != o.blocked():
 		return -1
 	case c.Full != o.Full && c.Full:
 		return 1
@@ -147,17 +151,17 @@
 	case c.cost != o.cost:
 		return cmp.Compare(c.cost, o.cost)
 	}
-	return cmp.Compare(c.tie, o.tie)
+	return cmp.Compare(c.tieBreaker, o.tieBreaker)
 }
 
-// Ranking is a list of candidates that is put in order only as far as it is asked for: of
-// hundreds, a few are looked at. The zero value is empty.
+// Ranking is a list of candidates that is sorted only up to the highest place that was read: of
+// hundreds, only a few are read. The zero value is empty.
 type Ranking struct {
 	list   []Candidate
-	sorted int // so many stand in their places, the best first
+	sorted int // length of the sorted prefix of list, the best candidate first
 }
 
-// Reset empties the ranking and makes room for n candidates.
+// Reset empties the ranking and allocates space for n candidates.
 func (r *Ranking) Reset(n int) {
 	r.list, r.sorted = slices.Grow(r.list[:0], n), 0
 }
@@ -165,7 +169,7 @@
 // Add adds a candidate.
 func (r *Ranking) Add(c Candidate) { r.list = append(r.list, c) }
 
-// DropEjected leaves out the ejected candidates while there are others.
+// DropEjected removes the ejected candidates, unless all candidates are ejected.
 func (r *Ranking) DropEjected() {
 	ejected := 0
 	for i := range r.list {
@@ -178,8 +182,7 @@
 	}
 }
 
-// Find returns the candidate that was made of an endpoint, by its index in the list that
-// the candidates were made of.
+// Find returns the candidate with the given Index.
 func (r *Ranking) Find(index int) (*Candidate, bool) {
 	for i := range r.list {
 		if r.list[i].Index == index {
@@ -189,28 +192,28 @@
 	return nil, false
 }
 
-// Shut reports whether no candidate may get the request now, why the first one that opens may not,
-// and after which time it may; 0 where that is not known.
-func (r *Ranking) Shut() (first admission.Decision, all bool) {
+// Shut reports whether there are candidates and all of them are blocked. If so, earliest is the
+// admission decision of the candidate that opens earliest.
+func (r *Ranking) Shut() (earliest admission.Decision, all bool) {
 	for i := range r.list {
 		d := r.list[i].Admission
 		if d.Access != admission.Shut {
 			return admission.Decision{}, false
 		}
-		if i == 0 || d.OpensIn < first.OpensIn {
-			first = d
+		if i == 0 || d.OpensIn < earliest.OpensIn {
+			earliest = d
 		}
 	}
-	return first, len(r.list) > 0
+	return earliest, len(r.list) > 0
 }
 
 // Len returns the number of candidates.
 func (r *Ranking) Len() int { return len(r.list) }
 
-// Best returns the best candidate of a ranking that is not empty.
+// Best returns the best candidate. The ranking must not be empty.
 func (r *Ranking) Best() *Candidate { return r.At(0) }
 
-// At returns the candidate in place i, counted from the best.
+// At returns the candidate in place i, where 0 is the best. It sorts the list up to that place.
 func (r *Ranking) At(i int) *Candidate {
 	for ; r.sorted <= i; r.sorted++ {
 		next := r.sorted
--- a/coord/selection/decide.go
+++ b/coord/selection/decide.go
@@ -9,25 +9,25 @@
 	"github.com/lotuswing/lotuswing/coord/reason"
 )
 
-// refuseAfter is for requests without a target what RefuseShare is for others.
-const refuseAfter = 200 * time.Millisecond
+// untargetedSearchTime is how long the search for an endpoint lasts for requests without a latency target.
+const untargetedSearchTime = 200 * time.Millisecond
 
-// GiveUpAt returns when a request that has found no good endpoint takes the best
-// one that will do, or is refused. began is when it was first looked for one.
+// GiveUpAt returns when the search for a good endpoint ends. The request then takes the best
+// acceptable endpoint, or is refused. began is when the search started.
 func (o Options) GiveUpAt(r placement.Request, began time.Time) time.Time {
 	if r.Target <= 0 {
-		return began.Add(refuseAfter)
+		return began.Add(untargetedSearchTime)
 	}
 	return r.Accepted.Add(time.Duration(o.RefuseShare * float64(r.Target)))
 }
 
-// Situation is what Decide needs to know beside the candidates.
+// Situation is the state of a request's search beside its candidates.
 type Situation struct {
-	GiveUp     time.Time
-	Blind      bool // no endpoint could be probed, so waiting teaches nothing
-	CallerLeft bool
-	Evacuated  bool // the zones of all endpoints are being emptied
-	// OutOfRegion: the request may be served in no region that has endpoints.
+	GiveUp     time.Time // end of the search, from GiveUpAt
+	Blind      bool      // no endpoint could be probed, so waiting yields no new information
+	CallerLeft bool      // the caller no longer waits for the response
+	Evacuated  bool      // operators are evacuating the zones of all endpoints
+	// OutOfRegion: no region in which the request may be served has endpoints.
 	OutOfRegion bool
 }
 
@@ -36,25 +36,25 @@
 
 // The actions.
 const (
-	Wait   Action = iota // and look at the endpoints again
-	Take                 // the best candidate
-	Refuse               // the request
+	Wait   Action = iota // wait, then evaluate the endpoints again
+	Take                 // take the best candidate
+	Refuse               // refuse the request
 )
 
-// Decision says what to do.
+// Decision is the result of Decide.
 type Decision struct {
 	Do     Action
-	Reason reason.Code   // where it is Refuse
-	Pause  time.Duration // where it is Wait
-	After  time.Duration // where it is Refuse: when there may be room; 0 where that is not known
+	Reason reason.Code   // of Refuse
+	Pause  time.Duration // of Wait: until the next evaluation
+	After  time.Duration // of Refuse: time until an endpoint may accept requests; 0 if unknown
 }
 
-// Decide is the rule for a request and its candidates. A good candidate is taken at
-// once. While there is none the request looks again, until its time to give up has
-// passed; then it takes the best one if that is acceptable.
+// Decide returns what to do with a request, given its candidates. It takes a good candidate at
+// once. While there is none, it waits for the next evaluation until the time to give up; then it
+// takes the best candidate if that is acceptable, and refuses the request otherwise.
 func (o Options) Decide(list *Ranking, r placement.Request, s Situation, now time.Time) Decision {
 	giveUp := !now.Before(s.GiveUp)
-	first, shut := list.Shut()
+	earliest, allBlocked := list.Shut()
 	switch {
 	case list.Len() == 0 && s.OutOfRegion:
 		return Decision{Do: Refuse, Reason: reason.OutOfRegion}
@@ -64,10 +64,10 @@
 		return Decision{Do: Refuse, Reason: reason.NoEndpoint}
 	case s.CallerLeft:
 		return Decision{Do: Refuse, Reason: reason.CallerLeft}
-	case shut && (giveUp || now.Add(first.OpensIn).After(s.GiveUp)):
-		return Decision{Do: Refuse, Reason: whyShut(first.Cause), After: first.OpensIn}
-	case shut:
-		return Decision{Do: Wait, Pause: cmp.Or(min(first.OpensIn, s.GiveUp.Sub(now)), o.LookAgain)}
+	case allBlocked && (giveUp || now.Add(earliest.OpensIn).After(s.GiveUp)):
+		return Decision{Do: Refuse, Reason: blockedReason(earliest.Cause), After: earliest.OpensIn}
+	case allBlocked:
+		return Decision{Do: Wait, Pause: cmp.Or(min(earliest.OpensIn, s.GiveUp.Sub(now)), o.LookAgain)}
 	case list.Best().Good, (s.Blind || giveUp) && list.Best().acceptable(r, now):
 		return Decision{Do: Take}
 	case !now.Before(r.Deadline):
@@ -78,26 +78,28 @@
 	return Decision{Do: Wait, Pause: min(o.LookAgain, s.GiveUp.Sub(now))}
 }
 
-// whyShut returns why a request is refused that no endpoint may get.
-func whyShut(c admission.Cause) reason.Code {
+// blockedReason returns the reason code for refusing a request because all candidates are blocked. c is
+// the cause at the candidate that opens earliest.
+func blockedReason(c admission.Cause) reason.Code {
 	if c == admission.Limited {
 		return reason.EndpointsLimited
 	}
 	return reason.EndpointsBackingOff
 }
 
-// acceptable reports whether a candidate has a free slot and is thought to respond
-// within the target. A request never waits at an endpoint: it would start there at
-// whatever pace the endpoint has when a slot becomes free, and an endpoint whose
-// slots are all taken is slower for everybody.
+// acceptable reports whether a candidate has a free slot and is expected to respond
+// within the latency target. A request is never queued at an endpoint: the endpoint's pace
+// at the time a slot becomes free cannot be predicted, and an endpoint whose slots are all
+// taken is slower for all its requests.
 func (c *Candidate) acceptable(r placement.Request, now time.Time) bool {
-	if c.Closed || !c.Admission.Admits() || c.Busy >= c.Slots {
+	if c.ColdBlocked || !c.Admission.Admits() || c.Busy >= c.Slots {
 		return false
 	}
 	return r.Target <= 0 || !now.Add(c.Estimate).After(r.Accepted.Add(r.Target))
 }
 
-// Search counts what was known of the candidates, for the log.
+// Search returns the counts of candidates by state, for the log. probes is the number of probes
+// that the request has sent.
 func (r *Ranking) Search(probes int) placement.Search {
 	s := placement.Search{Known: len(r.list), Probes: probes}
 	for i := range r.list {
--- a/coord/selection/endpoint.go
+++ b/coord/selection/endpoint.go
@@ -7,28 +7,28 @@
 	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
-// shedPause is how long an endpoint that refused a request counts as full.
+// shedPause is how long an endpoint counts as full after it refused a request.
 const shedPause = 25 * time.Millisecond
 
-// Endpoint is what a balancer remembers of one endpoint. It is an immutable value.
+// Endpoint is the state that a balancer keeps of one endpoint. It is an immutable value.
 type Endpoint struct {
-	load        Load
-	health      health.State
-	pausedUntil time.Time // it refused a request and counts as full until then
-	heardAt     time.Time // last response or probe that told its load
-	unanswered  int       // probes in a row without a response
-	warmAt      time.Time // until then it warms up by its own word; zero where it told nothing
-	warmTold    time.Time // when it told that
-	joined      bool      // it joined a service that was known already
+	load             Load
+	health           health.State
+	pausedUntil      time.Time // it counts as full until then, because it refused a request
+	lastResponse     time.Time // last response to a probe, or response with a load report
+	unansweredProbes int       // consecutive probes without a response
+	warmUntil        time.Time // end of its warm-up, as it reported; zero if it has reported none
+	warmupReportedAt time.Time // when it reported warmUntil
+	joined           bool      // it joined a service whose other endpoints were known already
 }
 
-// NewEndpoint returns what is known of an endpoint at first: nothing.
+// NewEndpoint returns the state of an endpoint of which nothing is known.
 func NewEndpoint() Endpoint { return Endpoint{health: health.New(health.Options{})} }
 
-// NewJoined returns what is known of an endpoint that joined a service whose others
-// are known already. It is tried once it has warmed up: as long as nothing has been
-// heard of it, it counts as idle at its usual pace with a connection open. Otherwise
-// those that are known would be chosen before it for as long as they are well.
+// NewJoined returns the state of an endpoint that joined a service whose other endpoints are
+// known already. Once it has warmed up, and until its first response, it counts as idle, at
+// its usual pace and with an open connection. Otherwise it would get no request as long as
+// the known endpoints are healthy.
 func NewJoined() Endpoint {
 	e := NewEndpoint()
 	e.joined = true
@@ -36,18 +36,18 @@
 }
 
 // InUse reports whether a connection to the endpoint is probably open.
-func (e *Endpoint) InUse(now time.Time) bool { return now.Sub(e.heardAt) <= connectionLife }
+func (e *Endpoint) InUse(now time.Time) bool { return now.Sub(e.lastResponse) <= assumedConnectionLife }
 
-// untried reports whether a request or a probe should find out how the endpoint is, if it
-// is warm.
+// untried reports whether the endpoint joined and nothing has been sent to it yet, so that it
+// should get a request or a probe once it is warm. Only balancers of its zone do that.
 func (e *Endpoint) untried(l Listing) bool {
-	return e.joined && e.heardAt.IsZero() && e.unanswered == 0 && e.load.inFlight == 0 && l.SameZone
+	return e.joined && e.lastResponse.IsZero() && e.unansweredProbes == 0 && e.load.inFlight == 0 && l.SameZone
 }
 
-// Load returns what is known of the endpoint's load.
+// Load returns the endpoint's load.
 func (e Endpoint) Load() Load { return e.load }
 
-// Health returns what its own requests have shown.
+// Health returns the endpoint's health, as judged by this balancer's own requests.
 func (e Endpoint) Health() health.State { return e.health }
 
 // WithSent returns the endpoint after a request was sent to it.
@@ -56,13 +56,13 @@
 	return e
 }
 
-// WithSuspension returns the endpoint after the balancer's VM was suspended for a while, in
-// which its clock stood still: what it knew is so much older, and what it waited for so much
-// nearer.
-func (e Endpoint) WithSuspension(slept time.Duration) Endpoint {
-	for _, at := range []*time.Time{&e.load.at, &e.heardAt, &e.pausedUntil, &e.warmAt, &e.warmTold} {
-		if !at.IsZero() {
-			*at = at.Add(-slept)
+// WithSuspension returns the endpoint after the balancer's VM was suspended for the given time.
+// The balancer's clock stood still meanwhile, so all recorded times move back by that duration:
+// reports become older and pauses end earlier.
+func (e Endpoint) WithSuspension(suspended time.Duration) Endpoint {
+	for _, timestamp := range []*time.Time{&e.load.timestamp, &e.lastResponse, &e.pausedUntil, &e.warmUntil, &e.warmupReportedAt} {
+		if !timestamp.IsZero() {
+			*timestamp = timestamp.Add(-suspended)
 		}
 	}
 	return e
@@ -70,31 +70,31 @@
 
 // WithProbe returns the endpoint after the response to a probe.
 func (e Endpoint) WithProbe(r placement.LoadReport, now time.Time) Endpoint {
-	e.heardAt, e.unanswered = now, 0
+	e.lastResponse, e.unansweredProbes = now, 0
 	e.load = e.load.WithReport(r, now)
 	return e
 }
 
-// WithoutProbe returns the endpoint after a probe that got no response.
+// WithoutProbe returns the endpoint after a probe without a response.
 func (e Endpoint) WithoutProbe() Endpoint {
-	e.unanswered++
+	e.unansweredProbes++
 	return e
 }
 
-// WithEnded returns the endpoint after a request ended there, with the load that
-// its response told, if any.
+// WithEnded returns the endpoint after a request ended there. r is the load report of its
+// response, if there was one.
 func (e Endpoint) WithEnded(r placement.LoadReport, now time.Time) Endpoint {
 	e.load = e.load.WithEnded()
 	if r.Known {
-		e.heardAt, e.unanswered = now, 0
+		e.lastResponse, e.unansweredProbes = now, 0
 	}
 	e.load = e.load.WithReport(r, now)
 	return e
 }
 
-// WithOutcome returns the endpoint after what a request showed of it. ratio is how
-// long a completed one took against the usual time. A refusal is no failure: it
-// says that the endpoint is full.
+// WithOutcome returns the endpoint after the outcome of a request. ratio is the time of a
+// completed request relative to the usual one. A refusal (Shed) is no failure: it means that
+// the endpoint is full.
 func (e Endpoint) WithOutcome(o placement.Outcome, ratio float64, now time.Time) Endpoint {
 	switch o {
 	case placement.Completed:
--- a/coord/selection/estimate.go
+++ b/coord/selection/estimate.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// coldPace is the slowdown factor of an endpoint that still warms up.
-const coldPace = 2
+// warmupPace is the slowdown factor of an endpoint that is warming up.
+const warmupPace = 2
 
-// Conditions are what an estimate needs to know beside the load.
+// Conditions are the inputs of an estimate beside the load.
 type Conditions struct {
-	Slots    int       // as listed
-	Warm     bool      // no longer warming up
-	Untried  bool      // thought to be at its usual pace
-	Slowness float64   // of the endpoint's completions against the usual time, 1 as usual
+	Slots    int       // as listed; used until the endpoint reports its own
+	Warm     bool      // the endpoint is not warming up
+	Untried  bool      // the endpoint is assumed to have a pace of 1
+	Slowness float64   // time of the endpoint's completions relative to the usual one
 	Crowding *Crowding // of the service
 }
 
-// Estimate returns how long a request would take if it were sent now, given how
-// long its work usually takes. The pace and the crowding at the start decide the whole
-// work: see "What decides the time of work" in docs/MEASUREMENTS.md.
+// Estimate returns the expected time of a request that is sent now. work is its usual
+// service time. The pace and the occupancy when the request starts determine its whole service
+// time: see "What decides the time of work" in docs/MEASUREMENTS.md.
 func (l Load) Estimate(c Conditions, work time.Duration, now time.Time) time.Duration {
 	slots := l.Slots(c.Slots)
 	pace := l.Pace(now) * max(1, c.Slowness)
@@ -24,13 +24,13 @@
 		pace = 1
 	}
 	if !c.Warm {
-		pace *= coldPace
+		pace *= warmupPace
 	}
 	busy := l.Busy(now)
 	pace *= c.Crowding.Factor(busy+1, slots)
-	served := float64(work) * pace
+	total := float64(work) * pace
 	if waiting := busy - slots + 1; waiting > 0 {
-		served += float64(work) * pace * float64(waiting) / float64(slots)
+		total += float64(work) * pace * float64(waiting) / float64(slots)
 	}
-	return time.Duration(served)
+	return time.Duration(total)
 }
--- a/coord/selection/learn.go
+++ b/coord/selection/learn.go
@@ -7,74 +7,77 @@
 	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
-// targetShare is the part of its latency objective that a kind's work is thought to take before
-// one has completed: operators set objectives to a multiple of the work.
-const targetShare = 1.0 / 3
+// targetWorkShare is the assumed service time of a request kind without completions, as a share of its
+// latency objective: operators set objectives to a multiple of the service time.
+const targetWorkShare = 1.0 / 3
 
 const (
-	firstWork    = 100 * time.Millisecond // of a kind without a target that has not completed yet
-	sampleWeight = 0.05                   // of a new sample in an average
-	sureSamples  = 20                     // from which an average is relied on
+	defaultWork     = 100 * time.Millisecond // assumed for a kind without a target and without completions
+	minSampleWeight = 0.05                   // lowest weight of a new sample in an average
+	minSamples      = 20                     // number of samples from which an average is relied on
 )
 
-// Workload is the usual service time of a request kind: the average of its
-// completions, each divided by the endpoint's pace when it was chosen, which
-// decides the whole work. It is an immutable value; the zero value has seen
-// nothing.
+// Workload is the usual service time of a request kind: the moving average over its
+// completions. Each sample is divided by the endpoint's pace when it was chosen, because
+// that pace determines the whole service time, and by the crowding factor. It is an
+// immutable value; the zero value has no samples.
 type Workload struct {
-	usual   float64 // nanoseconds
-	samples int
-	refused int // requests for which no endpoint was found before one completed
+	mean     float64 // nanoseconds
+	samples  int
+	refusals int // requests refused before the first completion
 }
 
-// Usual returns the usual service time of a kind with a latency objective, 0 for none.
+// Usual returns the usual service time of the kind. Without completions it is derived from
+// target, the latency objective of the request; 0 means that there is none.
 func (w Workload) Usual(target time.Duration) time.Duration {
 	switch {
 	case w.samples > 0:
-		return time.Duration(w.usual)
+		return time.Duration(w.mean)
 	case target > 0:
-		return time.Duration(targetShare * float64(target) * math.Pow(0.5, float64(w.refused)))
+		return time.Duration(targetWorkShare * float64(target) * math.Pow(0.5, float64(w.refusals)))
 	}
-	return firstWork
+	return defaultWork
 }
 
-// WithRefusal returns the workload after a request was refused. While nothing is known
-// of the kind, its usual time is a guess that halves with each refusal, so that a
-// wrong one does not keep all requests from being sent.
+// WithRefusal returns the workload after a request was refused. Until the first completion
+// the usual service time is a guess, which halves with each refusal. Otherwise a guess that
+// is too high would keep all requests of the kind from being sent.
 func (w Workload) WithRefusal() Workload {
 	if w.samples == 0 {
-		w.refused++
+		w.refusals++
 	}
 	return w
 }
 
-// Ratio compares the time of a completion with the usual one; 1 while that is not
-// sure.
+// Ratio returns the time of a completion relative to the usual service time; 1 with fewer
+// than minSamples samples.
 func (w Workload) Ratio(took time.Duration) float64 {
-	if w.samples < sureSamples || w.usual <= 0 {
+	if w.samples < minSamples || w.mean <= 0 {
 		return 1
 	}
-	return float64(took) / w.usual
+	return float64(took) / w.mean
 }
 
-func (w Workload) with(sample float64) Workload {
+// withSample returns the workload after a sample, in nanoseconds.
+func (w Workload) withSample(sample float64) Workload {
 	w.samples++
-	w.usual += max(sampleWeight, 1/float64(w.samples)) * (sample - w.usual)
+	w.mean += max(minSampleWeight, 1/float64(w.samples)) * (sample - w.mean)
 	return w
 }
 
-// Learn returns what a completion teaches of its kind and of the crowding at its
-// service. Its time is divided by the pace and by what the crowding is thought to have
-// made of it, both as at the choice, which decide the whole work. The crowding learns
-// once the kind is known well. Without a report when it was chosen, a completion says
-// nothing, nor does one that had to wait for a slot, nor one of an endpoint that warmed up.
+// Learn returns the workload of a request kind and the crowding of its service after a
+// completion. took is the request's time and slots the number of the endpoint's slots. The
+// workload's sample is that time divided by the pace and by the crowding factor at the time of
+// the choice, since these determine the whole service time. The crowding is updated only once
+// the workload has minSamples samples. A completion is ignored if the endpoint was chosen
+// without a load report, was warming up, or had no free slot.
 func Learn(w Workload, c Crowding, choice placement.Choice, took time.Duration, slots int) (Workload, Crowding) {
 	if choice.Cold || choice.Pace <= 0 || choice.Busy > slots {
 		return w, c
 	}
 	sample := float64(took) / choice.Pace
-	if w.samples >= sureSamples {
-		c = c.with(choice.Busy, slots, sample/w.usual)
+	if w.samples >= minSamples {
+		c = c.withSample(choice.Busy, slots, sample/w.mean)
 	}
-	return w.with(sample / c.Factor(choice.Busy, slots)), c
+	return w.withSample(sample / c.Factor(choice.Busy, slots)), c
 }
--- a/coord/selection/load.go
+++ b/coord/selection/load.go
@@ -8,84 +8,87 @@
 )
 
 const (
-	// paceMemory is the time constant with which a reported pace drifts back to meanPace.
-	paceMemory = 150 * time.Millisecond
-	// meanPace is the pace expected of an endpoint of which nothing fresh is known.
-	meanPace = 1.8
-	// busyMemory is the age from which a report says nothing of other balancers' requests: an
-	// endpoint that was full then is as good as one that was never heard of.
-	busyMemory = 400 * time.Millisecond
+	// paceDecayTime is the time constant of the exponential decay of a reported pace to defaultPace.
+	paceDecayTime = 150 * time.Millisecond
+	// defaultPace is the expected pace of an endpoint without a recent report.
+	defaultPace = 1.8
+	// maxBusyAge is the age beyond which a report no longer counts for the requests of other
+	// balancers: an endpoint that was full then is rated like one that has never reported.
+	maxBusyAge = 400 * time.Millisecond
 )
 
-// Load is what is known of the load of one endpoint. It is an immutable value; the
-// zero value knows nothing.
+// Load is the load of one endpoint: its last report, and this balancer's own requests there.
+// It is an immutable value; the zero value has no report.
 type Load struct {
-	report   placement.LoadReport
-	at       time.Time // when the report came; zero for never
-	inFlight int       // own requests
-	sent     int       // own requests sent since the report
-	ended    int       // own requests ended since the report
+	report           placement.LoadReport
+	timestamp        time.Time // when the report was received; zero without one
+	inFlight         int       // this balancer's requests there
+	sentSinceReport  int       // this balancer's requests sent since the report
+	endedSinceReport int       // this balancer's requests that ended since the report
 }
 
-// WithReport returns the load after a report that came at a time. One that is not
-// known, or older than the last one, changes nothing.
-func (l Load) WithReport(r placement.LoadReport, at time.Time) Load {
-	if !r.Known || at.Before(l.at) {
+// WithReport returns the load after a report that was received at a time. A report that
+// is not Known, or is older than the last one, is ignored.
+func (l Load) WithReport(r placement.LoadReport, timestamp time.Time) Load {
+	if !r.Known || timestamp.Before(l.timestamp) {
 		return l
 	}
-	l.report, l.at = r, at
-	l.sent, l.ended = 0, 0
+	l.report, l.timestamp = r, timestamp
+	l.sentSinceReport, l.endedSinceReport = 0, 0
 	return l
 }
 
 // WithSent returns the load after a request was sent.
 func (l Load) WithSent() Load {
 	l.inFlight++
-	l.sent++
+	l.sentSinceReport++
 	return l
 }
 
 // WithEnded returns the load after a request ended.
 func (l Load) WithEnded() Load {
 	l.inFlight = max(0, l.inFlight-1)
-	l.ended++
+	l.endedSinceReport++
 	return l
 }
 
-// InFlight returns the number of own requests.
+// InFlight returns the number of this balancer's requests at the endpoint.
 func (l Load) InFlight() int { return l.inFlight }
 
-// Report returns the last report.
+// Report returns the last report; its Known is false if there was none.
 func (l Load) Report() placement.LoadReport { return l.report }
 
-// Age returns how old the last report is; very old where there is none.
+// Age returns the age of the last report; math.MaxInt64 without one.
 func (l Load) Age(now time.Time) time.Duration {
-	if l.at.IsZero() {
+	if l.timestamp.IsZero() {
 		return math.MaxInt64
 	}
-	return now.Sub(l.at)
+	return now.Sub(l.timestamp)
 }
 
-// Busy returns how many requests the endpoint is thought to hold: its report with
-// own requests that came and went since, and at least the own ones.
+// Busy returns the estimated number of requests that the endpoint holds: those of its last
+// report, corrected by this balancer's requests sent and ended since then. It is at least the
+// number of this balancer's requests there, and exactly that if the report is older than
+// maxBusyAge.
 func (l Load) Busy(now time.Time) int {
-	if l.Age(now) > busyMemory {
+	if l.Age(now) > maxBusyAge {
 		return l.inFlight
 	}
-	return max(l.inFlight, l.report.InFlight+l.report.Waiting+l.sent-l.ended)
+	return max(l.inFlight, l.report.InFlight+l.report.Waiting+l.sentSinceReport-l.endedSinceReport)
 }
 
-// Pace returns the slowdown factor expected now.
+// Pace returns the expected slowdown factor of the endpoint: 1 at its usual speed, 5 if work
+// takes five times as long. It decays from the reported value to defaultPace.
 func (l Load) Pace(now time.Time) float64 {
-	if l.at.IsZero() || l.report.Pace <= 0 {
-		return meanPace
+	if l.timestamp.IsZero() || l.report.Pace <= 0 {
+		return defaultPace
 	}
-	weight := math.Exp(-float64(now.Sub(l.at)) / float64(paceMemory))
-	return meanPace + (l.report.Pace-meanPace)*weight
+	decay := math.Exp(-float64(now.Sub(l.timestamp)) / float64(paceDecayTime))
+	return defaultPace + (l.report.Pace-defaultPace)*decay
 }
 
-// Slots returns how many requests the endpoint works on at once: as it reports, or
-// as listed where it has not reported.
+// Slots returns how many requests the endpoint works on at once: the reported number, or
+// the listed one if it has reported none.
 func (l Load) Slots(listed int) int {
 	if l.report.Slots > 0 {
 		return l.report.Slots
--- a/coord/selection/probe.go
+++ b/coord/selection/probe.go
@@ -7,37 +7,36 @@
 )
 
 const (
-	// probeRounds is how often in one look other endpoints are probed when those probed before
-	// will not do.
-	probeRounds = 12
-	// fewestRounds is the same for a request that has sent mostProbes.
-	fewestRounds = 2
-	mostProbes   = 24
+	// maxProbeRounds is the maximum number of probes in one search round.
+	maxProbeRounds = 12
+	// minProbeRounds is the lower bound of that maximum, which shrinks as the probes of a request
+	// approach probesForMinRounds.
+	minProbeRounds     = 2
+	probesForMinRounds = 24
 )
 
-// ProbeRounds returns how often in one look endpoints may be probed, after so many probes
-// of the request in earlier ones.
+// ProbeRounds returns the maximum number of probes in one search round. before is the number of
+// probes that the request has sent in earlier rounds.
 func ProbeRounds(before int) int {
-	return max(fewestRounds, min(probeRounds, mostProbes-before))
+	return max(minProbeRounds, min(maxProbeRounds, probesForMinRounds-before))
 }
 
-// NeedsProbe reports whether an endpoint should be probed before a decision: the
-// best candidate is not good, its report is no longer fresh, or another one is likely to
-// be better by more than the probe costs.
+// NeedsProbe reports whether an endpoint should be probed before a decision. That is the case if
+// the best candidate is not good, if its report is no longer fresh, or if the expected gain from
+// probing another endpoint exceeds the cost of the probe.
 func (o Options) NeedsProbe(list *Ranking, usual *Usual) bool {
 	if list.Len() == 0 {
 		return false
 	}
 	best := list.Best()
 	if best.Admission.Access == admission.Askable {
-		return false // there may be no room for the request
+		return false // the limit's owner has to be asked first; it may have no room for the request
 	}
-	return !best.Good || best.Age > o.ProbeFresh || usual.looksFurther(best)
+	return !best.Good || best.Age > o.ProbeFresh || usual.worthFurtherProbe(best)
 }
 
-// NextProbe returns the best candidate whose report is not fresh and that mayProbe allows, by
-// its index in the list that the candidates were made of. An endpoint that wants no requests is
-// spared probes as well.
+// NextProbe returns the Index of the best candidate whose report is not fresh and that mayProbe
+// allows. Endpoints that do not admit the request are not probed either.
 func (o Options) NextProbe(list *Ranking, mayProbe func(index int) bool) (index int, ok bool) {
 	for i := range list.Len() {
 		c := list.At(i)
@@ -48,17 +47,17 @@
 	return 0, false
 }
 
-// ProbeBudget is a token bucket that bounds the probes of one endpoint. It is an
+// ProbeBudget is a token bucket that limits the probes of one endpoint. It is an
 // immutable value.
 type ProbeBudget struct {
 	tokens  float64
-	updated time.Time // when they were last counted; zero for never
+	updated time.Time // when tokens was last updated; zero before the first probe
 }
 
 // NewProbeBudget returns a full budget.
 func (o Options) NewProbeBudget() ProbeBudget { return ProbeBudget{tokens: o.ProbeBurst} }
 
-// WithProbe returns the budget after a probe, and whether it covers that.
+// WithProbe takes a token for a probe, and reports whether there was one.
 func (b ProbeBudget) WithProbe(o Options, now time.Time) (ProbeBudget, bool) {
 	if !b.updated.IsZero() {
 		b.tokens = min(o.ProbeBurst, b.tokens+o.ProbeRate*now.Sub(b.updated).Seconds())
--- a/coord/selection/prospect.go
+++ b/coord/selection/prospect.go
@@ -3,43 +3,42 @@
 import "time"
 
 const (
-	// prospects is how many of the last probes are remembered: few enough that a burst shows
-	// within a second at a request every 100 ms.
-	prospects = 16
-	// fewestProspects is from how many on they are relied on.
-	fewestProspects = 3
-	// furtherCost is what another probe is thought to cost a request: the time for which
-	// it may wait for the response.
-	furtherCost = 12 * time.Millisecond
+	// prospectSize is the number of latest probes that are kept. It is small enough for a load
+	// burst to show within a second at one request every 100 ms.
+	prospectSize = 16
+	// minProspects is the lowest number of probes from which a gain is computed.
+	minProspects = 3
+	// furtherProbeCost is the assumed cost of a further probe to a request: the time that the
+	// request may wait for the response.
+	furtherProbeCost = 12 * time.Millisecond
 )
 
-// Prospect is what the endpoints of a service that were probed lately looked like: how
-// long a request would have taken there, against the usual time of its work. It tells
-// what may be expected of the next one that is probed. It is an immutable value; the
-// zero value has seen nothing.
+// Prospect is the history of the latest probes of a service's endpoints: the estimate for a
+// request at each, relative to its usual service time. It serves as the distribution of
+// what the next probe will find. It is an immutable value; the zero value is empty.
 type Prospect struct {
-	factors [prospects]float64
-	seen    int // so many in all; the last ones are kept
+	factors [prospectSize]float64
+	total   int // number of probes in all; factors holds the latest
 }
 
-// With returns the prospect after a probed endpoint's estimate for a kind whose work
-// usually takes so long.
+// With returns the prospect after a probe. estimate is the expected time of a request at the
+// probed endpoint and work the usual service time of the request; without it the probe is ignored.
 func (p Prospect) With(estimate, work time.Duration) Prospect {
 	if work <= 0 {
 		return p
 	}
-	p.factors[p.seen%prospects] = float64(estimate) / float64(work)
-	p.seen++
+	p.factors[p.total%prospectSize] = float64(estimate) / float64(work)
+	p.total++
 	return p
 }
 
-// Gain returns how much sooner a request is expected to end for one more probe: the mean
-// over the endpoints seen lately of how much better than the best one each is, where it
-// is. Looking further pays as long as that is more than a probe costs (optimal stopping
-// with recall).
+// Gain returns how much sooner a request is expected to end after one more probe: the mean
+// over the latest probes of the time that each would have saved against best, the estimate at
+// the best candidate, or 0 where it would have saved none. A further probe pays while the gain
+// exceeds its cost (optimal stopping with recall).
 func (p Prospect) Gain(best, work time.Duration) time.Duration {
-	n := min(p.seen, prospects)
-	if n < fewestProspects {
+	n := min(p.total, prospectSize)
+	if n < minProspects {
 		return 0
 	}
 	sum := 0.0
@@ -49,8 +48,8 @@
 	return time.Duration(sum / float64(n))
 }
 
-// looksFurther reports whether another probe is worth its time though the best
-// candidate will do.
-func (u *Usual) looksFurther(best *Candidate) bool {
-	return u.Prospect.Gain(best.Estimate, u.Work) > furtherCost
+// worthFurtherProbe reports whether the expected gain of a further probe exceeds its cost. It is
+// used when the best candidate is good already.
+func (u *Usual) worthFurtherProbe(best *Candidate) bool {
+	return u.Prospect.Gain(best.Estimate, u.Work) > furtherProbeCost
 }
--- a/coord/selection/selection.go
+++ b/coord/selection/selection.go
@@ -1,23 +1,23 @@
-// Package selection is the rule by which a balancer that decides on its own
-// chooses an endpoint: from load reports, from what its own requests showed, and
-// from what is listed of the endpoints.
+// Package selection chooses an endpoint for a request in a balancer that decides on its
+// own. The choice is based on load reports, on the results of the balancer's own requests, and
+// on the directory's entries for the endpoints.
 //
-// A load report says how many requests an endpoint holds and how long work takes
-// there (its pace: 1 as usual, 5 for five times as long). Both change within
-// milliseconds, so the best endpoints are asked for a fresh report, a probe, just
-// before the choice, and an old report loses its weight.
+// A load report says how many requests an endpoint holds and how slow it is. Its pace is the
+// slowdown factor: 1 at the usual speed, 5 if work takes five times as long. Both change
+// within milliseconds, so the best endpoints are probed for a fresh report just before the
+// choice, and the weight of a report decays with its age.
 //
-// One choice goes like this. Rank makes a Candidate of each endpoint and orders
-// them by cost (candidate.go). Whether the best one should be probed first is told
-// by NeedsProbe and NextProbe (probe.go), and whether to probe another one though it will
-// do by what those probed lately were like (prospect.go). Decide then says whether to take the best
-// one, to wait and look again, or to refuse (decide.go). What an endpoint's report
-// and its results change is in endpoint.go and load.go, what they teach about the
-// usual time of work in learn.go.
+// A search runs in rounds. In each round NewCandidate rates every endpoint, and a Ranking orders
+// the candidates by cost (candidate.go). NeedsProbe and NextProbe select the endpoint to probe
+// before a decision (probe.go); if the best candidate is good already, the latest probes tell
+// whether a further one pays (prospect.go). Decide then takes the best candidate, waits for the
+// next round, or refuses the request (decide.go). The state of an endpoint is in endpoint.go
+// and load.go, and the learning of usual service times in learn.go. Rules for endpoints that are
+// warming up are in warmup.go.
 //
-// The package decides and owns no state: Endpoint, ProbeBudget, Workload, Crowding and
-// Prospect are immutable values that the caller keeps. It has no clock, does no input or output
-// and starts no goroutine; times are arguments, and so are random numbers.
+// The package keeps no state: Endpoint, ProbeBudget, Workload, Crowding, Prospect and Warming
+// are immutable values that the caller keeps. It has no clock, does no input or output
+// and starts no goroutine; times and random numbers are arguments.
 //
 // # Usage
 //
@@ -26,7 +26,7 @@
 //		ranking.Add(selection.NewCandidate(known[e.ID], i, e.Listing, usual, random, now))
 //	}
 //	ranking.DropEjected()
-//	switch d := selection.Decide(&ranking, request, situation, now); d.Do { ... }
+//	switch d := options.Decide(&ranking, request, situation, now); d.Do { ... }
 package selection
 
 import (
@@ -34,31 +34,31 @@
 	"time"
 )
 
-// Options of the choice. Zero fields take the defaults, which are in force
-// everywhere but in tests.
+// Options of the choice. WithDefaults replaces zero fields by the defaults, which are used
+// everywhere except in tests.
 type Options struct {
-	ProbeFresh  time.Duration // an endpoint with so young a report is not probed; default 4 ms
-	ProbeRate   float64       // probes a second of this process for one endpoint; default 3
-	ProbeBurst  float64       // probes beyond the rate; default 6
-	RefuseShare float64       // part of the target after which a request without an endpoint is refused; default 0.2
-	LookAgain   time.Duration // pause before the endpoints are looked at again; default 40 ms
+	ProbeFresh  time.Duration // an endpoint whose report is at most so old is not probed; default 4 ms
+	ProbeRate   float64       // probes per second of this process to one endpoint; default 3
+	ProbeBurst  float64       // size of the token bucket for these probes; default 6
+	RefuseShare float64       // share of the latency target after which the search for an endpoint ends; default 0.2
+	LookAgain   time.Duration // usual pause between two search rounds; default 40 ms
 }
 
 // Defaults of Options.
 const (
-	probeFresh  = 4 * time.Millisecond
-	probeRate   = 3
-	probeBurst  = 6
-	refuseShare = 0.2
-	lookAgain   = 40 * time.Millisecond
+	defaultProbeFresh  = 4 * time.Millisecond
+	defaultProbeRate   = 3
+	defaultProbeBurst  = 6
+	defaultRefuseShare = 0.2
+	defaultLookAgain   = 40 * time.Millisecond
 )
 
 // WithDefaults returns the options with zero fields filled in.
 func (o Options) WithDefaults() Options {
-	o.ProbeFresh = cmp.Or(o.ProbeFresh, probeFresh)
-	o.ProbeRate = cmp.Or(o.ProbeRate, probeRate)
-	o.ProbeBurst = cmp.Or(o.ProbeBurst, probeBurst)
-	o.RefuseShare = cmp.Or(o.RefuseShare, refuseShare)
-	o.LookAgain = cmp.Or(o.LookAgain, lookAgain)
+	o.ProbeFresh = cmp.Or(o.ProbeFresh, defaultProbeFresh)
+	o.ProbeRate = cmp.Or(o.ProbeRate, defaultProbeRate)
+	o.ProbeBurst = cmp.Or(o.ProbeBurst, defaultProbeBurst)
+	o.RefuseShare = cmp.Or(o.RefuseShare, defaultRefuseShare)
+	o.LookAgain = cmp.Or(o.LookAgain, defaultLookAgain)
 	return o
 }
--- a/coord/selection/selection_test.go
+++ b/coord/selection/selection_test.go
@@ -14,12 +14,12 @@
 
 var (
 	start = time.Unix(1000, 0)
-	warm  = selection.Conditions{Slots: 3, Warm: true, Slowness: 1, Crowding: learnt(3, 1, 1, 1)}
+	warm  = selection.Conditions{Slots: 3, Warm: true, Slowness: 1, Crowding: learnedCrowding(3, 1, 1, 1)}
 )
 
-// learnt returns what many completions taught of a service's endpoints, given the
-// factors for 1, 2, ... requests held.
-func learnt(slots int, factors ...float64) *selection.Crowding {
+// learnedCrowding returns the crowding after many completions at endpoints with the given factors
+// for 1, 2, ... requests in flight.
+func learnedCrowding(slots int, factors ...float64) *selection.Crowding {
 	var w selection.Workload
 	var c selection.Crowding
 	for range 400 {
@@ -30,14 +30,15 @@
 	return &c
 }
 
+// reported returns the load after a report received at start.
 func reported(running, waiting int, pace float64) selection.Load {
 	return selection.Load{}.WithReport(placement.LoadReport{Known: true, InFlight: running, Waiting: waiting, Slots: 3, Pace: pace}, start)
 }
 
-// TestEstimate: what makes an answer come later raises the estimate.
+// TestEstimate checks how pace, occupancy, warm-up and slow completions raise the estimate.
 func TestEstimate(t *testing.T) {
 	lastSlot, cold, slow := warm, warm, warm
-	lastSlot.Crowding = learnt(3, 1, 1, 1.7)
+	lastSlot.Crowding = learnedCrowding(3, 1, 1, 1.7)
 	cold.Warm = false
 	slow.Slowness = 3
 	cases := []struct {
@@ -47,14 +48,14 @@
 		after    time.Duration
 		want     time.Duration
 	}{
-		{"idle at its usual pace", reported(0, 0, 1), warm, 0, work},
-		{"five times as slow", reported(0, 0, 5), warm, 0, 5 * work},
-		{"a slow report long ago counts as the mean", reported(0, 0, 5), warm, time.Minute, 180 * time.Millisecond},
-		{"nothing known counts as the mean", selection.Load{}, warm, 0, 180 * time.Millisecond},
-		{"last slot where it costs nothing", reported(2, 0, 1), warm, 0, work},
-		{"last slot where it slows work", reported(2, 0, 1), lastSlot, 0, 170 * time.Millisecond},
-		{"one request waits ahead of none", reported(3, 0, 1), warm, 0, 133333333 * time.Nanosecond},
-		{"starting", reported(0, 0, 1), cold, 0, 2 * work},
+		{"idle at a pace of 1", reported(0, 0, 1), warm, 0, work},
+		{"idle at a pace of 5", reported(0, 0, 5), warm, 0, 5 * work},
+		{"an old report counts as the default pace", reported(0, 0, 5), warm, time.Minute, 180 * time.Millisecond},
+		{"no report counts as the default pace", selection.Load{}, warm, 0, 180 * time.Millisecond},
+		{"last slot, without slowdown", reported(2, 0, 1), warm, 0, work},
+		{"last slot, with slowdown", reported(2, 0, 1), lastSlot, 0, 170 * time.Millisecond},
+		{"no free slot", reported(3, 0, 1), warm, 0, 133333333 * time.Nanosecond},
+		{"warming up", reported(0, 0, 1), cold, 0, 2 * work},
 		{"slow by its completions", reported(0, 0, 1), slow, 0, 3 * work},
 	}
 	for _, c := range cases {
@@ -63,8 +64,9 @@
 	}
 }
 
-// TestRoom: slots stay free where they cost more than they add, and only there.
-func TestRoom(t *testing.T) {
+// TestConcurrencyLimit checks that the concurrency limit is below the number of slots exactly if the last
+// slots lower the throughput.
+func TestConcurrencyLimit(t *testing.T) {
 	for _, c := range []struct {
 		slots   int
 		factors []float64
@@ -79,38 +81,39 @@
 		{8, []float64{1, 1, 1, 1, 1, 1, 1.7, 1.7}, 6},
 		{1, []float64{9}, 1},
 	} {
-		assert.Equal(t, learnt(c.slots, c.factors...).Room(c.slots), c.want, "%d slots, %v", c.slots, c.factors)
+		assert.Equal(t, learnedCrowding(c.slots, c.factors...).ConcurrencyLimit(c.slots), c.want, "%d slots, %v", c.slots, c.factors)
 	}
 }
 
-// TestCrowdingIsLearnt for each occupancy on its own; what was not seen counts as the
-// one below, and the last slot as somewhat slower.
-func TestCrowdingIsLearnt(t *testing.T) {
+// TestCrowdingIsLearned checks that the factor of each occupancy is learned on its own. Without
+// samples it is that of the occupancy below, and somewhat higher for the last slot.
+func TestCrowdingIsLearned(t *testing.T) {
 	var nothing selection.Crowding
 	assert.Equal(t, nothing.Factor(4, 6), 1.0)
 	assert.Equal(t, nothing.Factor(5, 6), 1.0)
 	assert.Equal(t, nothing.Factor(6, 6), 1.2)
-	c := learnt(6, 1, 1, 1, 1, 1.65)
+	c := learnedCrowding(6, 1, 1, 1, 1, 1.65)
 	for busy, want := range []float64{1, 1, 1, 1, 1, 1.65, 1.65} {
 		got := c.Factor(busy, 6)
 		assert.Assert(t, got > want-0.02 && got < want+0.02, "%d of 6: %v", busy, got)
 	}
 }
 
-// TestOwnRequestsCountFromTheReport: requests sent since a report are added to
-// it until the next report, which knows them.
-func TestOwnRequestsCountFromTheReport(t *testing.T) {
+// TestOwnRequestsAreAddedToReport checks that requests sent since a report are added to
+// it, until the next report, which includes them.
+func TestOwnRequestsAreAddedToReport(t *testing.T) {
 	now := start.Add(time.Millisecond)
 	s := reported(1, 0, 1).WithSent().WithSent()
 	assert.Equal(t, s.Busy(now), 3)
 	s = s.WithReport(placement.LoadReport{Known: true, InFlight: 2, Slots: 3, Pace: 1}, start.Add(time.Millisecond))
 	assert.Equal(t, s.Busy(now), 2)
 	s = s.WithReport(placement.LoadReport{Known: true, InFlight: 0, Slots: 3, Pace: 1}, start)
-	assert.Equal(t, s.Busy(now), 2, "an older report changes nothing")
+	assert.Equal(t, s.Busy(now), 2, "an older report is ignored")
 	assert.Equal(t, s.WithEnded().WithEnded().InFlight(), 0)
 }
 
-// TestBusyIsNeverBelowOwnRequests, whatever order reports come in.
+// TestBusyIsNeverBelowOwnRequests checks that in random sequences of requests and reports, Busy is at
+// least the number of the balancer's own requests.
 func TestBusyIsNeverBelowOwnRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s selection.Load
@@ -131,14 +134,14 @@
 	})
 }
 
-// TestOldReportSaysNothingOfOthers: an endpoint that was full a while ago is
-// thought free again, but for this process's own requests.
-func TestOldReportSaysNothingOfOthers(t *testing.T) {
+// TestOldReportIsIgnoredInBusy checks that an endpoint with an old report counts as free, except
+// for this balancer's own requests, even if it was full then.
+func TestOldReportIsIgnoredInBusy(t *testing.T) {
 	s := reported(3, 2, 1).WithSent()
 	soon, later := start.Add(400*time.Millisecond), start.Add(401*time.Millisecond)
 	assert.Equal(t, s.Busy(soon), 6)
 	assert.Equal(t, s.Busy(later), 1)
 	e := warm
-	e.Crowding = learnt(3, 1, 1, 2)
+	e.Crowding = learnedCrowding(3, 1, 1, 2)
 	assert.Assert(t, s.Estimate(e, work, later) < s.Estimate(e, work, soon))
 }
--- a/coord/selection/warmup.go
+++ b/coord/selection/warmup.go
@@ -7,91 +7,97 @@
 	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
-// An endpoint that warms up bears few requests, from all balancers together, and these
-// know neither how many they are nor what the others send. Three rules bound what it gets:
+// An endpoint that is warming up can take only a few requests, from all balancers together.
+// The balancers know neither their own number nor what the others send. Three rules limit the
+// requests to such an endpoint:
 //
-//   - It is sent a request only while its own report, just asked for, shows that it holds
-//     none. The report is the one account that all balancers share, so a new request
-//     follows the end of the last one, whoever sent that.
-//   - Where work is short, that alone would be too many: of the requests that find it idle
-//     only so many are sent that it is busy for the part of the time that it bears.
-//   - One that refuses or fails shows nothing running though it has just been sent
-//     something. The balancer then leaves all endpoints of the service that warm up alone
-//     for as long as one of them needs for a request, twice as long each time.
+//   - A balancer sends a request only if a fresh report of the endpoint shows that it holds
+//     none. All balancers see the same reports, so a new request follows the end of the
+//     previous one, whichever balancer sent that.
+//   - If the service time is short, that alone would allow too many requests. Of the requests
+//     that find the endpoint idle, only a random share is sent there, which keeps it busy for
+//     no larger part of the time than it can take.
+//   - After it refuses or fails a request, an endpoint reports no request in flight although it
+//     was just sent one. The balancer therefore sends nothing to any endpoint in warm-up of the
+//     service for a pause: the interval of the requests that one endpoint can take, doubled with
+//     each refusal or failure in a row.
 
 const (
-	// warmupPause is the first pause where it is not known how many requests a second an endpoint
-	// that warms up bears.
-	warmupPause = 400 * time.Millisecond
-	// warmupDoublings bounds the pause: 2^3 times the first one is about as long as endpoints
-	// warm up.
-	warmupDoublings = 3
+	// defaultWarmupPause is the first pause if the request rate that an endpoint in warm-up can take is
+	// not known.
+	defaultWarmupPause = 400 * time.Millisecond
+	// maxWarmupDoublings limits the pause: 2^3 times the first one is about the length of a
+	// warm-up.
+	maxWarmupDoublings = 3
 )
 
-// Warming is what the refusals and failures of a service's endpoints that warm up have
-// shown. It is an immutable value; the zero value has seen nothing.
+// Warming is the backoff from the endpoints of a service that are warming up, after refusals
+// and failures. It is an immutable value; the zero value is no backoff.
 type Warming struct {
-	until    time.Time // no request goes to them before
-	failures int       // in a row
+	pausedUntil time.Time // end of the pause
+	failures    int       // consecutive refusals and failures
 }
 
-// Paused reports whether endpoints of the service that warm up get nothing at now.
-func (w Warming) Paused(now time.Time) bool { return now.Before(w.until) }
+// Paused reports whether endpoints of the service that are warming up get no requests at now.
+func (w Warming) Paused(now time.Time) bool { return now.Before(w.pausedUntil) }
 
-// WithOutcome returns the state after a request to one of them ended. rate is how many
-// requests a second it bears; 0 where that is not known.
+// WithOutcome returns the backoff after a request to an endpoint in warm-up ended. rate is the
+// number of requests per second that one such endpoint can take; 0 if unknown.
 func (w Warming) WithOutcome(o placement.Outcome, rate float64, now time.Time) Warming {
 	switch o {
 	case placement.Completed:
 		return Warming{}
 	case placement.Failed, placement.Shed:
-		pause := warmupPause
+		pause := defaultWarmupPause
 		if rate > 0 {
 			pause = time.Duration(float64(time.Second) / rate)
 		}
-		w.until = now.Add(pause << min(w.failures, warmupDoublings))
+		w.pausedUntil = now.Add(pause << min(w.failures, maxWarmupDoublings))
 		w.failures++
 	case placement.Unused:
 	}
 	return w
 }
 
-// WithWarmup returns the endpoint after it told in response to a probe how much longer it
-// warms up.
+// WithWarmup returns the endpoint after its response to a probe reported the time left of its
+// warm-up.
 func (e Endpoint) WithWarmup(left time.Duration, now time.Time) Endpoint {
-	e.warmAt, e.warmTold = now.Add(left), now
+	e.warmUntil, e.warmupReportedAt = now.Add(left), now
 	return e
 }
 
-// cold reports whether the endpoint warms up: by its own last word or by what is listed,
-// of which the word that came last counts. What is listed may be older than when it came,
-// so that it never takes back that an endpoint has said it is cold.
-func (e *Endpoint) cold(l Listing, now time.Time) bool {
-	if now.Before(e.warmAt) {
+// isWarmingUp reports whether the endpoint is warming up, as it reported itself or as listed. Of
+// these two, the later one counts, with one exception: the content of a listing may be older than
+// the time it was received, so a listing never overrides the endpoint's own report of a warm-up.
+func (e *Endpoint) isWarmingUp(l Listing, now time.Time) bool {
+	if now.Before(e.warmUntil) {
 		return true
 	}
-	return now.Before(l.WarmAt) && !e.warmTold.After(l.WarmTold)
+	return now.Before(l.WarmAt) && !e.warmupReportedAt.After(l.WarmTold)
 }
 
-// closed reports whether an endpoint that warms up may get nothing of a request now, which
-// would take it so long. One whose report is not fresh may first be probed.
-func (e *Endpoint) closed(usual *Usual, index int, takes time.Duration, now time.Time) bool {
-	if usual.Warming.Paused(now) || e.load.Busy(now) > 0 || !usual.drawn(index, takes) {
+// blockedInWarmup reports whether a request must not be sent to the endpoint, which is warming up,
+// now. requestTime is the expected time of the request there. The endpoint is also blocked while
+// its report is not fresh; a probe can change that.
+func (e *Endpoint) blockedInWarmup(usual *Usual, index int, requestTime time.Duration, now time.Time) bool {
+	if usual.Warming.Paused(now) || e.load.Busy(now) > 0 || !usual.mayUseInWarmup(index, requestTime) {
 		return true
 	}
-	return usual.TellsLoad && now.Sub(e.heardAt) > usual.Fresh
+	return usual.TellsLoad && now.Sub(e.lastResponse) > usual.Fresh
 }
 
-// lotShare is for a request's looking at several endpoints before one is free for it.
-const lotShare = 0.25
+// drawFactor lowers the probability that mayUseInWarmup selects an endpoint, because a request
+// evaluates several endpoints before it finds one that is free for it.
+const drawFactor = 0.25
 
-// drawn reports whether a request that would take so long may go to the endpoint in a place
-// of the list, if that one warms up. The draw is the same however often the request looks.
-func (u *Usual) drawn(index int, takes time.Duration) bool {
+// mayUseInWarmup reports whether the request's random number (Lot) selects the endpoint at index,
+// which is warming up. The probability is proportional to requestTime, the expected time of the
+// request there. The result is the same in all search rounds of a request.
+func (u *Usual) mayUseInWarmup(index int, requestTime time.Duration) bool {
 	if u.WarmupRate <= 0 {
 		return true
 	}
-	const goldenRatio = 0x9e3779b9 // spreads neighbouring places
-	lot := (u.Lot ^ uint32(index+1)*goldenRatio) * goldenRatio
-	return float64(lot)/math.MaxUint32 < lotShare*u.WarmupRate*takes.Seconds()
+	const goldenRatioHash = 0x9e3779b9 // multiplicative hash; spreads adjacent indices
+	draw := (u.Lot ^ uint32(index+1)*goldenRatioHash) * goldenRatioHash
+	return float64(draw)/math.MaxUint32 < drawFactor*u.WarmupRate*requestTime.Seconds()
 }
--- a/coord/selection/warmup_test.go
+++ b/coord/selection/warmup_test.go
@@ -12,19 +12,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// cooled is what is listed of an endpoint of the own zone that still warms up.
-var cooled = selection.Listing{Slots: 2, SameZone: true, WarmAt: start.Add(time.Hour), WarmTold: start.Add(-time.Second)}
+// coldListing is the listing of an endpoint of the same zone that is warming up.
+var coldListing = selection.Listing{Slots: 2, SameZone: true, WarmAt: start.Add(time.Hour), WarmTold: start.Add(-time.Second)}
 
-// warmupUsual is what is usual where endpoints tell their load when they are probed.
-func warmupUsual() selection.Usual {
+// probeableUsual returns usual with endpoints that can be probed for their load.
+func probeableUsual() selection.Usual {
 	u := usual
 	u.Fresh, u.TellsLoad = options.ProbeFresh, true
 	return u
 }
 
-// TestWhoIsCold: by its own word or by what is listed, whichever came last; what is listed
-// may have been written long before, so it never takes an endpoint's own word back.
-func TestWhoIsCold(t *testing.T) {
+// TestWarmupState checks that the later one of an endpoint's own report and its listing decides
+// whether it is warming up. A listing may have been written long before it was received, so it
+// never overrides the endpoint's own report of a warm-up.
+func TestWarmupState(t *testing.T) {
 	listedWarm := selection.Listing{Slots: 2, SameZone: true, WarmTold: start.Add(time.Second)}
 	cases := []struct {
 		name    string
@@ -33,21 +34,22 @@
 		after   time.Duration
 		cold    bool
 	}{
-		{"listed as cold", probed(0, 1), cooled, 0, true},
-		{"listed as cold until now", probed(0, 1), cooled, time.Hour, false},
-		{"listed as cold, and says later that it is warm", probed(0, 1).WithWarmup(0, start), cooled, 0, false},
-		{"says that it has turned cold", probed(0, 1).WithWarmup(3*time.Second, start), near, 0, true},
-		{"said so, and has warmed up", probed(0, 1).WithWarmup(3*time.Second, start), near, 3 * time.Second, false},
-		{"said so, and an entry that came later says it is warm", probed(0, 1).WithWarmup(3*time.Second, start), listedWarm, 2 * time.Second, true},
+		{"listed as cold", probed(0, 1), coldListing, 0, true},
+		{"listed as cold until now", probed(0, 1), coldListing, time.Hour, false},
+		{"listed as cold, later reported as warm", probed(0, 1).WithWarmup(0, start), coldListing, 0, false},
+		{"reported as cold", probed(0, 1).WithWarmup(3*time.Second, start), sameZone, 0, true},
+		{"reported as cold, and warmed up since", probed(0, 1).WithWarmup(3*time.Second, start), sameZone, 3 * time.Second, false},
+		{"reported as cold, later listed as warm", probed(0, 1).WithWarmup(3*time.Second, start), listedWarm, 2 * time.Second, true},
 	}
 	for _, c := range cases {
-		u := warmupUsual()
+		u := probeableUsual()
 		got := selection.NewCandidate(&c.state, 0, c.listing, &u, 0, start.Add(c.after))
 		assert.Equal(t, got.Cold, c.cold, c.name)
 	}
 }
 
-// TestColdEndpointGetsOneRequestAtATime, and only on a fresh report.
+// TestColdEndpointGetsOneRequestAtATime checks that an endpoint in warm-up gets a request only if a
+// fresh report shows it idle.
 func TestColdEndpointGetsOneRequestAtATime(t *testing.T) {
 	request := placement.Request{Accepted: start, Target: time.Second, Deadline: start.Add(2 * time.Second)}
 	for _, c := range []struct {
@@ -58,23 +60,23 @@
 	}{
 		{"idle", probed(0, 1), 0, true},
 		{"working", probed(1, 1), 0, false},
-		{"idle by an old report", probed(0, 1), 10 * time.Millisecond, false},
-		{"has just been sent one", probed(0, 1).WithSent(), 0, false},
-		{"never heard of", selection.NewEndpoint(), 0, false},
+		{"idle in an old report", probed(0, 1), 10 * time.Millisecond, false},
+		{"was just sent a request", probed(0, 1).WithSent(), 0, false},
+		{"without a report", selection.NewEndpoint(), 0, false},
 	} {
-		u := warmupUsual()
+		u := probeableUsual()
 		now := start.Add(c.after)
 		var list selection.Ranking
-		list.Add(selection.NewCandidate(&c.state, 0, cooled, &u, 0, now))
-		// Nothing can be learnt and the time is up: whatever will do is taken.
+		list.Add(selection.NewCandidate(&c.state, 0, coldListing, &u, 0, now))
+		// The search has ended, so any acceptable endpoint is taken.
 		d := options.Decide(&list, request, selection.Situation{GiveUp: now, Blind: true}, now)
 		assert.Equal(t, d.Do == selection.Take, c.takes, c.name)
 	}
 }
 
-// TestColdEndpointsAreLeftAloneAfterRefusals, the longer the more of them, until one of
-// them serves a request.
-func TestColdEndpointsAreLeftAloneAfterRefusals(t *testing.T) {
+// TestPauseForColdEndpointsAfterRefusals checks that each refusal in a row doubles the pause for
+// all endpoints in warm-up, up to a limit, and that a completion ends it.
+func TestPauseForColdEndpointsAfterRefusals(t *testing.T) {
 	const rate = 2.5
 	var w selection.Warming
 	for _, pause := range []time.Duration{400, 800, 1600, 3200, 3200} {
@@ -82,35 +84,35 @@
 		assert.Assert(t, w.Paused(start.Add(pause*time.Millisecond-1)))
 		assert.Assert(t, !w.Paused(start.Add(pause*time.Millisecond)))
 	}
-	assert.Assert(t, w.WithOutcome(placement.Unused, rate, start).Paused(start), "it shows nothing")
+	assert.Assert(t, w.WithOutcome(placement.Unused, rate, start).Paused(start), "an unused request does not end the pause")
 	assert.Assert(t, !w.WithOutcome(placement.Completed, rate, start).Paused(start))
-	assert.Assert(t, selection.Warming{}.WithOutcome(placement.Failed, 0, start).Paused(start.Add(399*time.Millisecond)), "rate not known")
+	assert.Assert(t, selection.Warming{}.WithOutcome(placement.Failed, 0, start).Paused(start.Add(399*time.Millisecond)), "default pause without a known rate")
 
-	u := warmupUsual()
+	u := probeableUsual()
 	u.Warming = w
 	idle := probed(0, 1)
-	assert.Assert(t, selection.NewCandidate(&idle, 0, cooled, &u, 0, start).Closed)
-	assert.Assert(t, !selection.NewCandidate(&idle, 0, near, &u, 0, start).Full, "a warm one is not concerned")
+	assert.Assert(t, selection.NewCandidate(&idle, 0, coldListing, &u, 0, start).ColdBlocked)
+	assert.Assert(t, !selection.NewCandidate(&idle, 0, sameZone, &u, 0, start).Full, "warm endpoints are not affected")
 }
 
-// coldFleet plays a service whose endpoints all warm up, under more load than they bear,
-// with balancers that know nothing of one another.
+// coldFleet simulates a service whose endpoints are all warming up, under more load than they can
+// take, with balancers that do not communicate.
 type coldFleet struct {
 	rng       *rand.Rand
 	warming   []selection.Warming // by balancer
 	endpoints []coldEndpoint
-	usual     time.Duration // of the requests' work at warm endpoints
+	usual     time.Duration // service time at warm endpoints
 	refusing  bool
 }
 
-// coldEndpoint holds its arrivals, in order, and how long each request takes.
+// coldEndpoint is a simulated endpoint that is warming up.
 type coldEndpoint struct {
-	arrivals []time.Time
-	work     time.Duration
+	arrivals []time.Time   // of requests, in order
+	work     time.Duration // service time of each request
 }
 
-// holds returns how many requests the endpoint works on at a time.
-func (e *coldEndpoint) holds(at time.Time) int {
+// inFlight returns the number of requests in flight at the endpoint at a time.
+func (e *coldEndpoint) inFlight(at time.Time) int {
 	n := 0
 	for i := len(e.arrivals) - 1; i >= 0 && at.Sub(e.arrivals[i]) < time.Second; i-- {
 		if !e.arrivals[i].After(at) && at.Sub(e.arrivals[i]) < e.work {
@@ -120,43 +122,44 @@
 	return n
 }
 
-// mostInASecond returns the highest number of arrivals in a second.
+// mostInASecond returns the highest number of arrivals within one second.
 func (e *coldEndpoint) mostInASecond() int {
 	return window.Most(e.arrivals, time.Second)
 }
 
 const (
-	probeTrip = time.Millisecond       // from the report to the choice
-	sendTrip  = 500 * time.Microsecond // from the choice to the arrival
+	probeLatency = time.Millisecond       // from the load report to the choice
+	sendLatency  = 500 * time.Microsecond // from the choice to the arrival at the endpoint
 )
 
-// request lets a balancer choose among some endpoints, as a look does.
+// request has a random balancer probe random endpoints, as in one search round, and send a request to
+// the first one that is not full.
 func (f *coldFleet) request(at time.Time) {
 	balancer, lot := f.rng.IntN(len(f.warming)), f.rng.Uint32()
 	for range selection.ProbeRounds(0) {
 		index := f.rng.IntN(len(f.endpoints))
 		e := &f.endpoints[index]
-		report := placement.LoadReport{Known: true, InFlight: e.holds(at), Slots: 2, Pace: 1}
-		state := selection.NewEndpoint().WithProbe(report, at.Add(probeTrip)).WithWarmup(time.Hour, at)
-		at = at.Add(probeTrip)
-		u := warmupUsual()
+		report := placement.LoadReport{Known: true, InFlight: e.inFlight(at), Slots: 2, Pace: 1}
+		state := selection.NewEndpoint().WithProbe(report, at.Add(probeLatency)).WithWarmup(time.Hour, at)
+		at = at.Add(probeLatency)
+		u := probeableUsual()
 		u.Work, u.Warming, u.WarmupRate, u.Lot = f.usual, f.warming[balancer], 2.5, lot
-		if selection.NewCandidate(&state, index, cooled, &u, 0, at).Full {
+		if selection.NewCandidate(&state, index, coldListing, &u, 0, at).Full {
 			continue
 		}
-		e.arrivals = append(e.arrivals, at.Add(sendTrip))
+		e.arrivals = append(e.arrivals, at.Add(sendLatency))
 		outcome := placement.Completed
 		if f.refusing {
 			outcome = placement.Shed
 		}
-		f.warming[balancer] = f.warming[balancer].WithOutcome(outcome, 2.5, at.Add(2*sendTrip))
+		f.warming[balancer] = f.warming[balancer].WithOutcome(outcome, 2.5, at.Add(2*sendLatency))
 		return
 	}
 }
 
-// play plays three seconds, in which so many requests a second come for each endpoint, and
-// returns the most that one endpoint got in a second.
-func (f *coldFleet) play(perEndpoint float64) int {
+// simulate simulates three seconds with perEndpoint requests per second and endpoint. It returns the
+// highest number of requests that one endpoint got within one second.
+func (f *coldFleet) simulate(perEndpoint float64) int {
 	gap := time.Duration(float64(time.Second) / perEndpoint / float64(len(f.endpoints)))
 	for at := start; at.Before(start.Add(3 * time.Second)); at = at.Add(time.Duration(f.rng.ExpFloat64() * float64(gap))) {
 		f.request(at)
@@ -168,10 +171,10 @@
 	return most
 }
 
-// TestColdEndpointsGetFewRequests from fleets of any size, though twenty requests a second
-// come for each endpoint and it should get no more than 2.5 x 1.5 + 8. Endpoints that
-// refuse show nothing running, so the number of balancers counts there: up to one and a
-// half for each endpoint were played.
+// TestColdEndpointsGetFewRequests checks that an endpoint in warm-up gets at most 2.5 x 1.5 + 8
+// requests within one second from fleets of different sizes, at a load of twenty requests per second
+// and endpoint. Endpoints that refuse requests report none in flight, so the number of balancers
+// matters there: the cases have up to one and a half balancers per endpoint.
 func TestColdEndpointsGetFewRequests(t *testing.T) {
 	const bound = 2.5*1.5 + 8
 	for _, c := range []struct {
@@ -202,7 +205,7 @@
 				f.endpoints[i].work = time.Millisecond
 			}
 		}
-		most := f.play(20)
+		most := f.simulate(20)
 		t.Logf("%s: at most %d in a second", name, most)
 		assert.Assert(t, float64(most) <= bound, "%s: %d", name, most)
 	}
--- a/direct/limits.go
+++ b/direct/limits.go
@@ -42,7 +42,7 @@
 		return false
 	}
 	best := s.ranking.Best()
-	if best.Admission.Access != admission.Askable || best.Closed {
+	if best.Admission.Access != admission.Askable || best.ColdBlocked {
 		return false
 	}
 	e := s.listed[best.Index]
