--- a/coord/placement/placement.go
+++ b/coord/placement/placement.go
@@ -1,11 +1,11 @@
-// Package placement has the types in which a balancer's request path asks for an
-// endpoint and later reports how the request went, whoever decides: the balancer
-// itself on fresh load reports (package direct) or the home of the service
-// (package node).
+// Package placement defines the types with which a balancer's request path asks for an
+// endpoint and later reports the result of the request. They are the same whether the
+// balancer chooses the endpoint itself from load reports (package direct), or the home of the
+// service, which is the balancer that grants the service's slots, does so (package node).
 //
-// It owns no state and decides nothing. Endpoint, Class, Outcome, LoadReport and
-// LoadState are also sent between balancers by package gob, so the names of their
-// fields are part of the wire; package compat pins them.
+// The package has no state and no rules. Endpoint, Class, Outcome, LoadReport and
+// LoadState are also sent between balancers in gob encoding, so the names of their
+// fields are part of the wire format; package compat checks them.
 //
 // # Usage
 //
@@ -23,63 +23,63 @@
 
 // Endpoint is one incarnation of a server of a service.
 type Endpoint struct {
-	VM    string // identity of the VM; another start may come under the same one
+	VM    string // identity of the VM; it does not change when the server restarts
 	Addr  string
 	Zone  string
-	Slots int // requests that it works on at once
+	Slots int // number of requests that it works on at once
 }
 
-// Class says how a request waits.
+// Class is how long a request may wait for an endpoint.
 type Class uint8
 
 // The classes.
 const (
 	Interactive Class = iota // a person waits for the response
-	Patient                  // may wait long but must be answered
-	// Classes is how many classes there are.
+	Patient                  // may wait long, but needs a response
+	// Classes is the number of classes.
 	Classes
 )
 
-// String returns the name used in configuration.
+// String returns the name of the class in settings.
 func (c Class) String() string {
 	return [...]string{"interactive", "patient"}[c]
 }
 
-// ParseClass returns the class with a name.
+// ParseClass returns the class with the given name. It fails if there is none.
 func ParseClass(s string) (Class, error) {
 	for c := range Classes {
 		if c.String() == s {
 			return c, nil
 		}
 	}
-	return 0, fmt.Errorf("placement: class %q is none of interactive, patient", s)
+	return 0, fmt.Errorf("placement: unknown class %q; want interactive or patient", s)
 }
 
-// Request asks for an endpoint.
+// Request is a request for an endpoint.
 type Request struct {
 	ID       string
 	Service  string    // tenant/service
-	Deadline time.Time // for the whole response
+	Deadline time.Time // end of the whole response
 	Avoid    []string  // VMs that were tried already
 
-	// Used where a home decides.
+	// Used if a home decides.
 	Class    Class
 	Patience time.Duration // longest wait for a slot
 
-	// Used where the balancer decides itself.
-	Kind     string        // request kind, whose usual service time is learnt
+	// Used if the balancer itself decides.
+	Kind     string        // request kind; usual service times are learned by kind
 	Accepted time.Time     // when the balancer accepted the request
 	Target   time.Duration // latency objective, counted from Accepted; 0 for none
-	Priority int           // 0 the most urgent
-	Alone    bool          // an endpoint that holds nothing else is wanted, if there is one
-	Ended    []Incarnation // that ended under it; they get it no more, however long they are listed
-	Regions  Regions       // in which it may be served
+	Priority int           // 0 is the most urgent
+	Alone    bool          // an endpoint that holds no other request is preferred
+	Ended    []Incarnation // endpoints that terminated while they ran the request; they do not get it again, even if listed
+	Regions  Regions       // where it may be served
 }
 
 // Incarnation is one start of an endpoint.
 type Incarnation struct {
 	VM    string
-	Start int64 // as it is listed
+	Start int64 // identifies the start, as listed in the directory
 }
 
 // Grant is the right to send one request to one endpoint.
@@ -88,70 +88,70 @@
 	Service  string // as in the Request
 	Endpoint Endpoint
 
-	// Set where a home decided.
+	// Set if a home decided.
 	Class  Class
-	Home   string // link address
+	Home   string // address of the home for calls between balancers
 	HomeID string
 
-	// Set where the balancer decided itself.
+	// Set if the balancer itself decided.
 	Kind   string // as in the Request
 	Choice Choice
 }
 
-// Side is which version of a service's software an endpoint runs, while a new one comes in.
+// Side is the version of a service's software that an endpoint runs during a rollout.
 type Side uint8
 
 // The sides.
 const (
-	AnySide  Side = iota // no version comes in, or it does not matter
-	OldSide              // the version that serves so far
-	NewSide              // the version that comes in, at one of the endpoints that take part
-	HeldSide             // gets nothing: a version that is rolled back, or one that does not take part yet
+	AnySide  Side = iota // there is no rollout, or the version does not matter
+	OldSide              // the version in service before the rollout
+	NewSide              // the new version, at an endpoint that takes part in the current stage
+	HeldSide             // gets no requests: it runs a version that was rolled back or replaced, or does not take part yet
 )
 
 // Choice is what was known of an endpoint when the balancer chose it. It is
-// logged, and what is learnt from the completion is judged by it.
+// logged, and the learning from the request's completion depends on it.
 type Choice struct {
-	Start    int64         // which start of the endpoint, as it is listed; 0 where it is not told
-	Pace     float64       // slowdown factor that the endpoint reported, 1 as usual; 0 without a report
-	Busy     int           // requests that it is thought to hold, this one included
-	Side     Side          // which version of the service the endpoint runs, while one comes in
-	Cold     bool          // it warms up
-	Trial    bool          // it had wanted no requests for a while, and has run none since
-	Limited  bool          // it names how many requests a second it takes, and has room for this one
-	Estimate time.Duration // until the response
+	Start    int64         // start of the endpoint, as listed; 0 if unknown
+	Pace     float64       // slowdown factor that the endpoint reported, 1 at its usual speed; 0 without a report
+	Busy     int           // estimated number of requests that it holds, including this one
+	Side     Side          // version that the endpoint runs during a rollout
+	Cold     bool          // it is warming up
+	Trial    bool          // it had asked for a backoff and has run no request since
+	Limited  bool          // it has a limit on requests per second, and the limit's owner has granted this request
+	Estimate time.Duration // expected time until the response
 	Age      time.Duration // of the report; below 0 without one
-	Probes   int           // load reports asked for before this choice
+	Probes   int           // load reports requested before this choice
 }
 
-// Search is what was known of a service's endpoints when none was chosen.
+// Search is the counts of a service's endpoints by state when none was chosen.
 type Search struct {
 	Known, Ejected, Full int           // numbers of endpoints
-	Limited              int           // of these, at the limits that they name
-	BackingOff           int           // of these, that want no requests for a while, or few after it
-	Best                 time.Duration // lowest estimate
-	Probes               int           // load reports asked for
+	Limited              int           // number of the Known endpoints at their limit on requests per second
+	BackingOff           int           // number of the Known endpoints in a backoff, or in the slow start after it
+	Best                 time.Duration // estimate at the best endpoint
+	Probes               int           // load reports requested
 }
 
-// Refusal says why there is no grant. The request was not sent.
+// Refusal is the reason why there is no grant. The request was not sent.
 type Refusal struct {
 	Reason     reason.Code
 	RetryAfter time.Duration
-	Search     Search // where the balancer decided itself
+	Search     Search // set if the balancer itself decided
 }
 
-// Outcome says what a granted request showed about its endpoint.
+// Outcome is what the end of a granted request shows about its endpoint.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Completed Outcome = iota // the endpoint responded
-	Shed                     // the endpoint said that it did not run the request
-	Failed                   // no connection, or a broken, late or failing response
-	Unused                   // nothing: the caller left, or nothing was sent
+	Shed                     // the endpoint responded that it did not run the request
+	Failed                   // no connection, or an incomplete, late or failing response
+	Unused                   // nothing is known: the caller left, or nothing was sent
 )
 
-// String returns the word used in traces.
+// String returns the name of the outcome in traces.
 func (o Outcome) String() string {
 	return [...]string{"completed", "shed", "failed", "unused"}[o]
 }
@@ -160,22 +160,22 @@
 type Result struct {
 	Outcome  Outcome
 	Took     time.Duration // from sending to the end of the response
-	Load     LoadReport    // that came with the response
-	Backoff  time.Duration // for which the endpoint wants no requests; 0 where it did not say
-	Replaced bool          // another incarnation answers at the endpoint's address
+	Load     LoadReport    // of the response
+	Backoff  time.Duration // time for which the endpoint asked for no requests; 0 if it did not
+	Replaced bool          // another incarnation responds at the endpoint's address
 }
 
-// LoadReport is what an endpoint says of its own load.
+// LoadReport is the load of an endpoint, as it reports it.
 type LoadReport struct {
-	Known    bool // there was a report that could be read
-	InFlight int  // requests that it works on
-	Waiting  int  // requests that wait for a slot
+	Known    bool // there was a valid report
+	InFlight int  // number of requests that it works on
+	Waiting  int  // number of requests that wait for a slot
 	Slots    int
-	Pace     float64 // slowdown factor of its work now, 1 as usual; 0 where it is not told
+	Pace     float64 // current slowdown factor of its work, 1 at its usual speed; 0 if not reported
 	State    LoadState
 }
 
-// LoadState of an endpoint, as it reports it.
+// LoadState is the state of an endpoint, as it reports it.
 type LoadState string
 
 // The states that endpoints report.
--- a/coord/placement/regions.go
+++ b/coord/placement/regions.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// Regions are those in which a request may be served. It is an immutable value; the zero value
-// allows all.
+// Regions is the set of regions in which a request may be served. It is an immutable value; the
+// zero value allows all regions.
 type Regions struct {
-	bound   bool
-	allowed []string
+	restricted bool
+	allowed    []string
 }
 
-// Within returns the regions with these names; all, where there are none.
+// Within returns the regions with the given names, or all regions if there are no names.
 func Within(names []string) Regions {
-	return Regions{bound: len(names) > 0, allowed: names}
+	return Regions{restricted: len(names) > 0, allowed: names}
 }
 
-// With returns the regions that others allow as well: a route and a team both bind.
+// With returns the regions that both r and o allow, such as those of a route and of its team.
 func (r Regions) With(o Regions) Regions {
 	switch {
-	case !r.bound:
+	case !r.restricted:
 		return o
-	case !o.bound:
+	case !o.restricted:
 		return r
 	}
 	both := slices.DeleteFunc(slices.Clone(r.allowed), func(name string) bool { return !slices.Contains(o.allowed, name) })
-	return Regions{bound: true, allowed: both}
+	return Regions{restricted: true, allowed: both}
 }
 
-// Allow reports whether a request may be served in a region. One that is not known is none of
-// those that are named.
-func (r Regions) Allow(name string) bool { return !r.bound || slices.Contains(r.allowed, name) }
+// Allow reports whether a request may be served in a region. The empty name, for an unknown region,
+// is allowed only if all regions are.
+func (r Regions) Allow(name string) bool { return !r.restricted || slices.Contains(r.allowed, name) }
--- a/coord/placement/regions_test.go
+++ b/coord/placement/regions_test.go
@@ -8,24 +8,25 @@
 	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
-// TestRegionsOfRouteAndTeam: both bind, and none binds nothing.
+// TestRegionsOfRouteAndTeam checks that the regions of a route and of a team both restrict a request,
+// and that without names all regions are allowed.
 func TestRegionsOfRouteAndTeam(t *testing.T) {
 	west, both, east := placement.Within([]string{"west"}), placement.Within([]string{"west", "east"}), placement.Within([]string{"east"})
 	for name, c := range map[string]struct {
-		regions    placement.Regions
-		west, none bool
+		regions       placement.Regions
+		west, unknown bool
 	}{
-		"none":            {placement.Regions{}, true, true},
-		"no names":        {placement.Within(nil), true, true},
-		"one":             {west, true, false},
-		"another":         {east, false, false},
-		"both":            {both.With(west), true, false},
-		"the other way":   {west.With(both), true, false},
-		"nothing in both": {west.With(east), false, false},
-		"only of one":     {placement.Regions{}.With(west), true, false},
-		"only of another": {west.With(placement.Regions{}), true, false},
+		"zero value":               {placement.Regions{}, true, true},
+		"no names":                 {placement.Within(nil), true, true},
+		"west":                     {west, true, false},
+		"east":                     {east, false, false},
+		"west and east, with west": {both.With(west), true, false},
+		"west, with west and east": {west.With(both), true, false},
+		"west, with east":          {west.With(east), false, false},
+		"all, with west":           {placement.Regions{}.With(west), true, false},
+		"west, with all":           {west.With(placement.Regions{}), true, false},
 	} {
 		assert.Equal(t, c.regions.Allow("west"), c.west, name)
-		assert.Equal(t, c.regions.Allow(""), c.none, name)
+		assert.Equal(t, c.regions.Allow(""), c.unknown, name)
 	}
 }
