--- a/coord/rollout/rollout.go
+++ b/coord/rollout/rollout.go
@@ -1,17 +1,18 @@
-// Package rollout decides how a new version of a service comes in: which part of the
-// requests goes to it, and whether it is good.
+// Package rollout decides on canary rollouts of new versions of a service: which share of the
+// requests a new version gets, and whether it is good.
 //
-// A roll-out goes through stages (Plan.Next). First a small part of the requests goes to the
-// new version, all of it to a few of its endpoints, so that these are as busy as any other:
-// what only shows under load shows there. All balancers count what became of requests at the
-// new and at the old version at the same time, and a sequential test compares them (Suspicion):
-// a fault that strikes both versions speaks against neither. A version that stays good until
-// two fifths of the time are over gets a larger part, then everything, and when nothing goes
-// to the old one any more the roll-out is completed. A version that is found bad at any time
-// is rolled back for good.
+// A rollout goes through stages (Plan.Next). First a small share of the requests goes to the
+// new version, and only to a few of its endpoints, so that each of these has as much load as any
+// other endpoint and faults that need load show. All balancers count the results of requests at
+// the new and at the old version over the same time, and a sequential test compares them
+// (SequentialTest), so that a fault of both versions does not count against the new one. A version
+// that is still good after two fifths of the planned duration gets a larger share, then all
+// requests. Once no requests go to the old version any more, the rollout is completed. A version
+// that is found bad at any time is rolled back for good.
 //
-// Everything here is a pure function of its arguments. Counting over the fleet is the matter
-// of coord/tally; who decides, and how all hear of it, of package rollout.
+// The package consists of pure functions. Package coord/tally adds up the counts of all
+// balancers; package rollout at the top of the module elects the balancer that decides, and
+// distributes the decisions.
 //
 // # Usage
 //
@@ -24,23 +25,23 @@
 	"time"
 )
 
-// State of a roll-out.
+// State is the state of a rollout.
 type State string
 
-// The states, with the names under which they are stored.
+// The states, by the names that are stored.
 const (
 	Running    State = "running"
 	Completed  State = "completed"
 	RolledBack State = "rolled_back"
 )
 
-// Status is how far a roll-out has come. It is an immutable value.
+// Status is the progress of a rollout. It is an immutable value.
 type Status struct {
 	State State
-	Stage int // of Running, an index of Stages
+	Stage int // index into Stages, if the State is Running
 }
 
-// Share returns the part of a service's requests that goes to the new version.
+// Share returns the share of a service's requests that goes to the new version, from 0 to 1.
 func (s Status) Share() float64 {
 	switch s.State {
 	case Completed:
@@ -52,39 +53,40 @@
 	return 0
 }
 
-// Stages are the parts of the requests that a new version gets one after the other. Of a
-// service that operators let a bad version have a tenth of, one that shows in the first stage
-// has had a twentieth when two fifths of the time are over; in the second one it has a
-// quarter for a tenth of the time, which is as much again.
+// Stages are the shares of the requests that a new version gets one after the other. They keep a
+// bad version below a tenth of the requests of a rollout, which is what operators allow. The first
+// stage gives it a twentieth of the requests for two fifths of the time; the second one gives it a
+// quarter for a tenth of the time, which is about as many requests again.
 var Stages = []float64{0.05, 0.25, 1}
 
 const (
-	provedAt  = 0.4  // until then the first stage lasts
-	secondFor = 0.1  // so long the second one
-	overAt    = 0.85 // by then it should be completed: news of four statuses take their time
-	// enoughPart is how many endpoints of the new version there are, against those of the old
-	// one, before it gets more: both together are about twice what the load needs.
-	enoughPart = 0.5
+	firstStageEnd     = 0.4  // end of the first stage, as a share of the duration
+	secondStageLength = 0.1  // length of the second stage, as a share of the duration
+	plannedCompletion = 0.85 // planned completion, as a share of the duration: four changes of status take time to spread
+	// neededEndpointShare is the number of endpoints that the new version needs to get all
+	// requests, as a share of those of the old one; a stage needs its share of that. It is below 1
+	// because both versions together have about twice the endpoints that the load needs.
+	neededEndpointShare = 0.5
 )
 
-// Facts are what a decision rests on.
+// Facts are the inputs of a decision.
 type Facts struct {
-	Since    time.Duration // the order was given
-	InStage  time.Duration // the status was reached
-	Bad      bool          // the new version has been found bad
-	Proved   bool          // enough requests have shown it to be good
-	New, Old int           // endpoints that can be used of either version
+	Since    time.Duration // time since the operator's order
+	InStage  time.Duration // time since the status was reached
+	Bad      bool          // the new version was found bad
+	Proved   bool          // enough requests have shown that the new version is good
+	New, Old int           // numbers of usable endpoints of each version
 }
 
-// Plan is what an operator asked for.
+// Plan is the schedule of a rollout.
 type Plan struct {
-	Duration time.Duration // in which the roll-out should be completed
-	// Settle is how long a status takes to be in force at all balancers, and what was sent
-	// before to be answered.
+	Duration time.Duration // time in which the operator wants the rollout completed
+	// Settle is how long it takes until all balancers apply a new status and the requests
+	// sent before that have ended.
 	Settle time.Duration
 }
 
-// Next returns the status that follows.
+// Next returns the status that follows s, which is s itself if nothing is to change.
 func (p Plan) Next(s Status, f Facts) Status {
 	switch {
 	case s.State != Running:
@@ -96,44 +98,49 @@
 			return Status{State: Completed}
 		}
 		return s
-	case p.stageOver(s.Stage, f) && p.mayGrow(s.Stage, f):
+	case p.stageOver(s.Stage, f) && p.mayIncreaseShare(s.Stage, f):
 		return Status{State: Running, Stage: s.Stage + 1}
 	}
 	return s
 }
 
-// stageOver reports whether a stage has lasted as long as it has to.
+// stageOver reports whether a stage has reached its planned length.
 func (p Plan) stageOver(stage int, f Facts) bool {
 	if stage == 0 {
-		return f.Since >= p.part(provedAt)
+		return f.Since >= p.ofDuration(firstStageEnd)
 	}
-	return f.InStage >= p.part(secondFor)
+	return f.InStage >= p.ofDuration(secondStageLength)
 }
 
-// mayGrow reports whether the new version may get more: it is proved, or there is no time
-// left to wait for more requests, and it has endpoints enough.
-func (p Plan) mayGrow(stage int, f Facts) bool {
-	if !f.Proved && f.Since < p.latest() {
+// mayIncreaseShare reports whether the new version may get a larger share: it must have enough endpoints,
+// and must be proved unless there is no time left to wait for more requests.
+func (p Plan) mayIncreaseShare(stage int, f Facts) bool {
+	if !f.Proved && f.Since < p.maxWaitForProof() {
 		return false
 	}
-	wanted := Stages[stage+1] * float64(f.Old) * enoughPart
+	wanted := Stages[stage+1] * float64(f.Old) * neededEndpointShare
 	return f.New > 0 && float64(f.New) >= wanted
 }
 
-// latest returns how long after the order the first stage may last at the most: too little
-// evidence holds nothing up any more then.
-func (p Plan) latest() time.Duration { return p.part(overAt) - p.part(secondFor) - p.Settle }
+// maxWaitForProof returns the time since the order after which the rollout goes on even if too few
+// requests have been counted to prove the new version.
+func (p Plan) maxWaitForProof() time.Duration {
+	return p.ofDuration(plannedCompletion) - p.ofDuration(secondStageLength) - p.Settle
+}
 
-func (p Plan) part(share float64) time.Duration { return time.Duration(share * float64(p.Duration)) }
+// ofDuration returns a share of the planned duration.
+func (p Plan) ofDuration(share float64) time.Duration {
+	return time.Duration(share * float64(p.Duration))
+}
 
-// Sample is what became of requests of one kind at one version.
+// Sample is the counts of requests of one kind at one version.
 type Sample struct {
-	Asked  int64 // that ran, or may have
-	Failed int64 // of these, that failed
-	Slow   int64 // of these, that took several times as long as expected
+	Asked  int64 // requests that ran, or may have
+	Failed int64 // those of Asked that failed
+	Slow   int64 // those of Asked that took several times as long as expected
 }
 
-// Minus returns what was added to an earlier sample.
+// Minus returns the counts that were added since an earlier sample.
 func (s Sample) Minus(earlier Sample) Sample {
 	return Sample{Asked: s.Asked - earlier.Asked, Failed: s.Failed - earlier.Failed, Slow: s.Slow - earlier.Slow}
 }
@@ -144,52 +151,57 @@
 }
 
 const (
-	// badAt is the logarithm of how much likelier a bad version is than a good one when it
-	// is rolled back: one good version in some thousand (TestErrorRates).
-	badAt = 9.2
-	// provedBy is the same the other way round: some 70 requests without a failure.
-	provedBy = 4.6
-	// leastShare is the part of failures, or of slow ones, that is nothing unusual, and
-	// leastMore by how much a bad version has more: half of what is usual is allowed on
-	// top of it, and as much again makes it bad.
-	leastShare = 0.02
-	leastMore  = 0.06
-	usualMore  = 1.5
+	// badThreshold is the log-likelihood ratio of a bad version against a good one at which a version
+	// is rolled back. Roughly one in a thousand good versions reaches it (TestErrorRates).
+	badThreshold = 9.2
+	// provedThreshold is the log-likelihood ratio of a good version against a bad one at which a
+	// version is proved: about 70 requests without a failure.
+	provedThreshold = 4.6
+	// normalShare is the share of failed, or of slow, requests that is always normal. A good
+	// version may have that share plus usualFactor times the share at the old version: half more
+	// than usual. A bad version has twice the highest share of a good one, and at least
+	// minExcess above it.
+	normalShare = 0.02
+	minExcess   = 0.06
+	usualFactor = 1.5
 )
 
-// Suspicion is what is held against a new version, for one kind of request. It is an
-// immutable value; its zero value is that of a version nobody has used.
+// SequentialTest is the evidence against a new version, for one kind of request. It is an
+// immutable value; its zero value is that of a version without requests.
 //
-// It is Page's cumulative sum of the log-likelihood ratio of a bad version against a good
-// one: what spoke for a version long ago does not outweigh what speaks against it now, so
-// that one which turns bad later is found as soon as one that was bad from the start.
-type Suspicion struct {
-	failed, slow float64 // sums, at least 0
-	cleared      float64 // sum without that bound, of failures: what speaks for it is below 0
-	old          Sample  // of the old version, so far
+// It is a CUSUM test (Page's cumulative sum) of the log-likelihood ratio of a bad version
+// against a good one. Old evidence for a version does not outweigh new evidence against it, so
+// a version that turns bad later is found as fast as one that was bad from the start.
+type SequentialTest struct {
+	failed, slow    float64 // cumulative sums, bounded below by 0
+	unboundedFailed float64 // sum over failures without that bound; negative if the version is likely good
+	old             Sample  // of the old version, so far
 }
 
-// With returns the suspicion after more requests at the new and at the old version.
-func (s Suspicion) With(newer, older Sample) Suspicion {
+// With returns the test after further requests: newer counts those at the new version, and
+// older those at the old one.
+func (s SequentialTest) With(newer, older Sample) SequentialTest {
 	s.old = s.old.Plus(older)
-	failed := weight(newer.Asked, newer.Failed, s.old.Asked, s.old.Failed)
+	failed := logLikelihoodRatio(newer.Asked, newer.Failed, s.old.Asked, s.old.Failed)
 	s.failed = max(0, s.failed+failed)
-	s.slow = max(0, s.slow+weight(newer.Asked, newer.Slow, s.old.Asked, s.old.Slow))
-	s.cleared += failed
+	s.slow = max(0, s.slow+logLikelihoodRatio(newer.Asked, newer.Slow, s.old.Asked, s.old.Slow))
+	s.unboundedFailed += failed
 	return s
 }
 
-// Bad reports whether the version is bad.
-func (s Suspicion) Bad() bool { return s.failed >= badAt || s.slow >= badAt }
+// Bad reports whether the evidence suffices to roll the version back.
+func (s SequentialTest) Bad() bool { return s.failed >= badThreshold || s.slow >= badThreshold }
 
-// Proved reports whether enough requests have shown that it does not fail more than it may.
-func (s Suspicion) Proved() bool { return s.cleared <= -provedBy }
+// Proved reports whether the evidence suffices that the version fails no more often than a good one
+// may. Slow requests do not count here.
+func (s SequentialTest) Proved() bool { return s.unboundedFailed <= -provedThreshold }
 
-// weight returns how much so many failures of so many requests speak for a bad version, as a
-// log-likelihood ratio, where the old version has had failures as well.
-func weight(asked, failed, oldAsked, oldFailed int64) float64 {
-	usual := (float64(oldFailed) + 1) / (float64(oldAsked) + 1/leastShare)
-	good := min(leastShare+usualMore*usual, 0.5)
-	bad := min(good+max(leastMore, good), 0.95)
+// logLikelihoodRatio returns the log-likelihood ratio of a bad version against a good one, given
+// that failed of asked requests failed at it. What counts as good depends on the failures at the
+// old version.
+func logLikelihoodRatio(asked, failed, oldAsked, oldFailed int64) float64 {
+	usual := (float64(oldFailed) + 1) / (float64(oldAsked) + 1/normalShare)
+	good := min(normalShare+usualFactor*usual, 0.5)
+	bad := min(good+max(minExcess, good), 0.95)
 	return float64(failed)*math.Log(bad/good) + float64(asked-failed)*math.Log((1-bad)/(1-good))
 }
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -102,9 +102,9 @@
 	}
 	t.with(allKinds, total)
 	for _, k := range t.kinds {
-		bad = bad || k.suspicion.Bad()
+		bad = bad || k.test.Bad()
 	}
-	return bad, t.kinds[allKinds].suspicion.Proved()
+	return bad, t.kinds[allKinds].test.Proved()
 }
 
 // allKinds stands for all request kinds together; no kind has an empty name.
@@ -118,6 +118,6 @@
 		t.kinds[name] = k
 	}
 	newer, older := s.newer.Minus(k.newer), s.older.Minus(k.older)
-	k.suspicion = k.suspicion.With(newer, older)
+	k.test = k.test.With(newer, older)
 	k.newer, k.older = s.newer, s.older
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -105,7 +105,7 @@
 // kind is what is held against the new version for one kind of request.
 type kind struct {
 	newer, older rollout.Sample // so far
-	suspicion    rollout.Suspicion
+	test         rollout.SequentialTest
 }
 
 // New returns a keeper; Run does its work.
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -297,7 +297,7 @@
 	sums := map[string]int64{"old/asked/many": 10000, "old/asked/few": 300, "new/asked/many": 2000, "new/asked/few": 40, "new/failed/few": 12, "nonsense": 3}
 	bad, _ := tr.judge(sums)
 	assert.Assert(t, bad)
-	assert.Assert(t, !tr.kinds[allKinds].suspicion.Bad())
+	assert.Assert(t, !tr.kinds[allKinds].test.Bad())
 }
 
 // FuzzRecord: whatever stands in the store, a roll-out is read or passed over.
--- a/rollout/run.go
+++ b/rollout/run.go
@@ -224,7 +224,7 @@
 	st.Since = k.cfg.Now().Sub(t.seen)
 	for name, kind := range t.kinds {
 		st.Kinds = append(st.Kinds, KindStatus{
-			Kind: name, Newer: kind.newer, Older: kind.older, Bad: kind.suspicion.Bad(), Proved: kind.suspicion.Proved(),
+			Kind: name, Newer: kind.newer, Older: kind.older, Bad: kind.test.Bad(), Proved: kind.test.Proved(),
 		})
 	}
 	slices.SortFunc(st.Kinds, func(a, b KindStatus) int { return strings.Compare(a.Kind, b.Kind) })
