--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -10,28 +10,28 @@
 	"github.com/lotuswing/lotuswing/directory"
 )
 
-// What is counted of a request, in the names of keys.
+// Names of the counters of a version, as parts of keys.
 const (
 	askedCount  = "asked"
 	failedCount = "failed"
 	slowCount   = "slow"
 )
 
-// Versions in the names of keys.
+// Names of the two versions, as parts of keys.
 const (
 	newerVersion = "new"
 	olderVersion = "old"
 )
 
-// prefixOf begins the keys of one order: the version, the count and the request kind follow,
-// the last one whatever it is.
-func prefixOf(service string, order uint64) string {
+// keyPrefix returns the prefix of the keys of one order. In a key it is followed by the version,
+// the counter and the request kind, separated by slashes. The request kind may contain slashes.
+func keyPrefix(service string, order uint64) string {
 	return fmt.Sprintf("rollout/%s/%d/", service, order)
 }
 
-// Note counts what became of a request at either version of a service.
+// Note counts the result of a request at the old or the new version of a service during its rollout.
 func (k *Keeper) Note(t direct.Trial, now time.Time) {
-	r, ok := find(k.cfg.Directory.Snapshot(), t.Service)
+	r, ok := findRollout(k.cfg.Directory.Snapshot(), t.Service)
 	if !ok || !r.Begun() {
 		return
 	}
@@ -40,7 +40,7 @@
 		version = newerVersion
 	}
 	key := func(count string) string {
-		return prefixOf(t.Service, r.Order.Revision) + version + "/" + count + "/" + t.Kind
+		return keyPrefix(t.Service, r.Order.Revision) + version + "/" + count + "/" + t.Kind
 	}
 	k.cfg.Counts.Add(key(askedCount), 1, now)
 	if t.Failed {
@@ -51,8 +51,8 @@
 	}
 }
 
-// find returns the roll-out of a service.
-func find(s *directory.Snapshot, service string) (directory.Rollout, bool) {
+// findRollout returns the rollout of a service, if there is one.
+func findRollout(s *directory.Snapshot, service string) (directory.Rollout, bool) {
 	for _, r := range s.Rollouts {
 		if r.Order.Service == service {
 			return r, true
@@ -61,16 +61,17 @@
 	return directory.Rollout{}, false
 }
 
-// samples are those of one request kind at both versions.
-type samples struct{ newer, older rollout.Sample }
+// versionSamples are the counts of one request kind at both versions.
+type versionSamples struct{ newer, older rollout.Sample }
 
-// readSums returns the samples of each request kind from the sums of an order's keys.
-func readSums(sums map[string]int64) map[string]samples {
-	all := map[string]samples{}
+// samplesByKind returns the samples by request kind. sums are the sums of an order's keys, by the
+// part of the key after the prefix. Malformed keys are skipped.
+func samplesByKind(sums map[string]int64) map[string]versionSamples {
+	all := map[string]versionSamples{}
 	for rest, n := range sums {
 		parts := strings.SplitN(rest, "/", 3)
 		if len(parts) != 3 {
-			continue // of another version of this program
+			continue // written by another version of this program
 		}
 		s := all[parts[2]]
 		sample := &s.older
@@ -90,31 +91,32 @@
 	return all
 }
 
-// judge brings what is held against a version up to date, and returns whether it is bad and
-// whether it is proved: by all kinds together, and bad for one kind alone as well.
-func (t *trial) judge(sums map[string]int64) (bad, proved bool) {
-	all := readSums(sums)
-	var total samples
+// evaluate updates the tests of the new version from the sums of its order's keys. It reports
+// whether the version is bad, for all request kinds together or for any one kind, and whether it is
+// proved for all kinds together.
+func (t *rolloutState) evaluate(sums map[string]int64) (bad, proved bool) {
+	all := samplesByKind(sums)
+	var total versionSamples
 	for name, s := range all {
-		t.with(name, s)
+		t.update(name, s)
 		total.newer = total.newer.Plus(s.newer)
 		total.older = total.older.Plus(s.older)
 	}
-	t.with(allKinds, total)
+	t.update(allKinds, total)
 	for _, k := range t.kinds {
 		bad = bad || k.test.Bad()
 	}
 	return bad, t.kinds[allKinds].test.Proved()
 }
 
-// allKinds stands for all request kinds together; no kind has an empty name.
+// allKinds is the key of the test over all request kinds together; no kind has an empty name.
 const allKinds = ""
 
-// with notes the samples of one kind so far.
-func (t *trial) with(name string, s samples) {
+// update updates the test of one kind. s are the total counts so far.
+func (t *rolloutState) update(name string, s versionSamples) {
 	k, ok := t.kinds[name]
 	if !ok {
-		k = &kind{}
+		k = &kindEvidence{}
 		t.kinds[name] = k
 	}
 	newer, older := s.newer.Minus(k.newer), s.older.Minus(k.older)
--- a/rollout/notes.go
+++ b/rollout/notes.go
@@ -9,22 +9,24 @@
 	"github.com/lotuswing/lotuswing/relay"
 )
 
-// Topic is that of the notes by which the balancer that leads a roll-out tells all others that the
-// version is bad. The store tells it later, and not at all while it is away.
+// Topic is the topic of the notes by which the leader of a rollout tells all other balancers that
+// the version is bad. The rollout's record in the store arrives later than a note, and cannot be
+// written while the store is unavailable.
 const Topic = "rollout/bad"
 
-// badNote is the data of one, as JSON.
+// badNote is the data of a note on a bad version, encoded as JSON.
 type badNote struct {
 	Service string
 	Order   uint64 // revision of the operator's order
 	Version string
 }
 
-// errNoVersion says that a note names no version.
-var errNoVersion = errors.New("rollout: note names no version")
+// errIncompleteNote is returned for a note without a service or an order.
+var errIncompleteNote = errors.New("rollout: note has no service or no order")
 
-// takeOut takes a bad version out at this balancer and tells all others, once for each order.
-func (k *Keeper) takeOut(r directory.Rollout) {
+// takeOutOfService takes a bad version out of service at this balancer, and sends a note to all others. It
+// does so once for each order.
+func (k *Keeper) takeOutOfService(r directory.Rollout) {
 	if !k.cfg.Directory.MarkBad(r.Order.Service, r.Order.Revision, k.cfg.Now()) || k.cfg.Tell == nil {
 		return
 	}
@@ -33,21 +35,22 @@
 		err = k.cfg.Tell(Topic, data)
 	}
 	if err != nil {
-		k.cfg.Log.Warn("bad version not told", "service", r.Order.Service, "version", r.Order.Version, "error", err)
+		k.cfg.Log.Warn("bad version not announced to other balancers", "service", r.Order.Service, "version", r.Order.Version, "error", err)
 	}
 }
 
-// Hear takes a note of Topic.
+// Hear handles a note of Topic: it takes the version out of service at this balancer. It returns an
+// error for a malformed note.
 func (k *Keeper) Hear(n relay.Note) error {
-	var said badNote
-	if err := json.Unmarshal(n.Data, &said); err != nil {
-		return fmt.Errorf("rollout: note: %w", err)
+	var bad badNote
+	if err := json.Unmarshal(n.Data, &bad); err != nil {
+		return fmt.Errorf("rollout: decoding note: %w", err)
 	}
-	if said.Service == "" || said.Order == 0 {
-		return errNoVersion
+	if bad.Service == "" || bad.Order == 0 {
+		return errIncompleteNote
 	}
-	if k.cfg.Directory.MarkBad(said.Service, said.Order, k.cfg.Now()) {
-		k.cfg.Log.Info("bad version taken out", "service", said.Service, "version", said.Version, "order", said.Order, "from", n.Origin)
+	if k.cfg.Directory.MarkBad(bad.Service, bad.Order, k.cfg.Now()) {
+		k.cfg.Log.Info("bad version taken out of service", "service", bad.Service, "version", bad.Version, "order", bad.Order, "from", n.Origin)
 	}
 	return nil
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,20 +1,21 @@
-// Package rollout brings new versions of services in, as operators order it, and takes bad
-// ones out.
+// Package rollout carries out canary rollouts of new versions of services, as operators order
+// them, and rolls bad versions back.
 //
-// All balancers count what became of their requests at the old and at the new version
-// (Note), and package fleet adds that up. One balancer leads a roll-out: of the zones that
-// have a relay a hash of the service names one, and its relay judges the sums and writes how
-// far the roll-out has come, for all balancers and for the operators, under the condition
-// that nobody else has written meanwhile. So a leader that is paused, cut off or replaced
-// writes nothing over what its successor wrote, and who leads need not be agreed. What the
-// store holds comes to every balancer like any other change (package directory), and decides
-// there which endpoints take part. While the store is away nothing grows and nothing is
-// completed. A version that turns out bad is told to all balancers by a note as well, which take
-// it out at once (notes.go); whoever leads then writes it.
+// All balancers count the results of their requests at the old and at the new version
+// (Note), and package fleet adds up these counts. One balancer is the leader of a rollout: a hash
+// of the service's name selects one of the zones that have a relay, and the relay of that zone
+// leads. The leader evaluates the sums and writes the rollout's record to the store, for all
+// balancers and for operators. The write is conditional on the record's revision, so a leader
+// that was paused, partitioned or replaced cannot overwrite the record of its successor, and
+// no agreement on the leader is needed. The record reaches every balancer like any other change of
+// the store (package directory), and determines there which endpoints take part. While the store
+// is unavailable, no rollout advances or is completed. A version that is found bad is also
+// announced to all balancers by a note, on which they take it out of service at once (notes.go);
+// the leader at that time then writes the record.
 //
-// A Keeper owns what was judged so far, which a successor learns anew, and the loop. It
+// A Keeper owns the state of the tests so far, which a new leader computes anew, and the loop. It
 // relies on a Directory for orders and records, on Counts, on a Registry for the store, and
-// on Zones for who leads. The rules are in coord/rollout.
+// on Zones to find the leader. The rules are in coord/rollout.
 //
 // # Usage
 //
@@ -33,96 +34,97 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Directory knows orders and records, and the endpoints of services.
+// Directory has the orders and records of rollouts, and the endpoints of services.
 type Directory interface {
 	Snapshot() *directory.Snapshot
-	// MarkBad notes that the version of an order was found bad, and reports whether that was news.
+	// MarkBad records that the version of an order was found bad, and reports whether that was
+	// unknown before.
 	MarkBad(service string, order uint64, now time.Time) bool
 }
 
-// Counts adds up over the fleet.
+// Counts is a set of counters that are summed over all balancers.
 type Counts interface {
-	// Add counts n more under a key.
+	// Add adds n to the counter of a key.
 	Add(key string, n int64, now time.Time)
-	// Sums returns what all balancers have counted under the keys that begin with a prefix,
-	// by what follows it; at a relay.
+	// Sums returns the sums over all balancers of the counters whose keys begin with a prefix, by
+	// the rest of the key. Only relays have them.
 	Sums(prefix string) map[string]int64
 }
 
-// Registry writes how far a roll-out has come. It returns relay.ErrTaken where the record
-// has another revision than the one given.
+// Registry writes the records of rollouts. WriteRollout returns relay.ErrTaken if the record
+// does not have the given revision.
 type Registry interface {
 	WriteRollout(ctx context.Context, name string, value []byte, revision uint64, order directory.RolloutOrder, state rollout.State) error
 }
 
-// Zones knows the zones that have a relay.
+// Zones is the list of zones that have a relay.
 type Zones interface {
 	// Serving reports whether this balancer is its zone's relay.
 	Serving() bool
-	// RelayZones returns the zones that have one, in order.
+	// RelayZones returns the zones that have a relay, in order.
 	RelayZones() []string
 }
 
-// Config of a Keeper.
+// Config is the configuration of a Keeper.
 type Config struct {
 	ID, Zone  string
 	Directory Directory
 	Counts    Counts
 	Registry  Registry
-	// Tell tells all other balancers something; nil where there are none.
+	// Tell sends a note to all other balancers; nil if there are none.
 	Tell  func(topic string, data []byte) error
-	Zones Zones // nil where this balancer is the only one
-	// Settle is how long a change takes to be in force at all balancers, and what was sent
-	// before to be answered.
+	Zones Zones // nil if this balancer is the only one
+	// Settle is how long it takes until all balancers apply a change and the requests sent before
+	// that have ended.
 	Settle  time.Duration
 	Log     hclog.Logger
 	Metrics metrics.Registry
-	// Now is the clock; nil for the machine's.
+	// Now is the clock; nil for time.Now.
 	Now func() time.Time
 }
 
-// Keeper carries roll-outs out. It is safe for concurrent use.
+// Keeper carries out rollouts. It is safe for concurrent use.
 type Keeper struct {
 	cfg  Config
-	wake chan struct{} // of one place: there is an order
+	wake chan struct{} // buffered with one element: signals Run that there is an order
 
 	mu     sync.Mutex
-	trials map[string]*trial // by service
+	states map[string]*rolloutState // by service
 }
 
-// trial is what this balancer knows of one roll-out beside the store's records.
-type trial struct {
-	order    uint64    // revision of the operator's order
-	seen     time.Time // when the order was first seen here
-	status   rollout.Status
-	revision uint64    // of the record
-	reached  time.Time // when the status was first seen here
-	tried    time.Time // when it was last tried to write a status
-	pause    time.Duration
-	kinds    map[string]*kind // by request kind
+// rolloutState is the state of one rollout at this balancer, beside the record in the store.
+type rolloutState struct {
+	order      uint64    // revision of the operator's order
+	orderSeen  time.Time // when the order was first seen here
+	status     rollout.Status
+	revision   uint64                   // of the record
+	statusSeen time.Time                // when the status was first seen here
+	lastWrite  time.Time                // when the last write of a status was tried
+	writePause time.Duration            // backoff after that
+	kinds      map[string]*kindEvidence // by request kind
 }
 
-// kind is what is held against the new version for one kind of request.
-type kind struct {
-	newer, older rollout.Sample // so far
+// kindEvidence is the evidence for one kind of request.
+type kindEvidence struct {
+	newer, older rollout.Sample // total counts so far
 	test         rollout.SequentialTest
 }
 
-// New returns a keeper; Run does its work.
+// New returns a keeper. Its Run has to be called for it to work.
 func New(cfg Config) *Keeper {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
-	return &Keeper{cfg: cfg, wake: make(chan struct{}, 1), trials: map[string]*trial{}}
+	return &Keeper{cfg: cfg, wake: make(chan struct{}, 1), states: map[string]*rolloutState{}}
 }
 
-// Observe looks at changes that are in force; give it to the follower.
+// Observe wakes Run if there are rollouts. It has to be called after changes of the directory.
 func (k *Keeper) Observe(directory.Changes) {
 	if len(k.cfg.Directory.Snapshot().Rollouts) == 0 {
 		return
 	}
 	select {
 	case k.wake <- struct{}{}:
-	default: // it is awake
+	default: // a signal is pending already
 	}
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -21,28 +21,28 @@
 
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// world is a store, a directory that follows it, and counts that all keepers share.
-type world struct {
-	now       time.Time
-	directory *directory.Directory
-	revision  uint64
-	record    uint64 // revision of the balancers' record
-	counts    map[string]int64
-	written   []rollout.State // as operators see them
-	lost      bool            // the store does not answer
-	late      bool            // it does what it does not answer
-	zones     []string
+// testFleet simulates a store, a directory that follows it, and counters that all keepers share.
+type testFleet struct {
+	now           time.Time
+	directory     *directory.Directory
+	revision      uint64
+	record        uint64 // revision of the rollout's record
+	counts        map[string]int64
+	written       []rollout.State // states written to the store, in order
+	storeDown     bool            // the store does not respond
+	appliesWrites bool            // while storeDown: it applies writes without a response
+	zones         []string
 }
 
-func (w *world) Snapshot() *directory.Snapshot { return w.directory.Snapshot() }
+func (w *testFleet) Snapshot() *directory.Snapshot { return w.directory.Snapshot() }
 
-func (w *world) MarkBad(service string, order uint64, now time.Time) bool {
+func (w *testFleet) MarkBad(service string, order uint64, now time.Time) bool {
 	return w.directory.MarkBad(service, order, now)
 }
 
-func (w *world) Add(key string, n int64, _ time.Time) { w.counts[key] += n }
+func (w *testFleet) Add(key string, n int64, _ time.Time) { w.counts[key] += n }
 
-func (w *world) Sums(prefix string) map[string]int64 {
+func (w *testFleet) Sums(prefix string) map[string]int64 {
 	sums := map[string]int64{}
 	for key, n := range w.counts {
 		if rest, ok := strings.CutPrefix(key, prefix); ok {
@@ -52,11 +52,11 @@
 	return sums
 }
 
-var errLost = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
-func (w *world) WriteRollout(_ context.Context, name string, value []byte, revision uint64, _ directory.RolloutOrder, state rollout.State) error {
-	if w.lost && !w.late {
-		return errLost
+func (w *testFleet) WriteRollout(_ context.Context, name string, value []byte, revision uint64, _ directory.RolloutOrder, state rollout.State) error {
+	if w.storeDown && !w.appliesWrites {
+		return errNoResponse
 	}
 	if revision != w.record {
 		return relay.ErrTaken
@@ -65,25 +65,25 @@
 	w.record = w.revision
 	w.written = append(w.written, state)
 	w.apply(directory.Changes{Registrations: []directory.Record{{Key: name, Value: value, Revision: w.revision}}})
-	if w.lost {
-		return errLost
+	if w.storeDown {
+		return errNoResponse
 	}
 	return nil
 }
 
-func (w *world) apply(c directory.Changes) {
+func (w *testFleet) apply(c directory.Changes) {
 	c.At = w.revision
 	w.directory.Apply(c, w.now)
 }
 
-// order has a version come in.
-func (w *world) order(version string) {
+// giveOrder gives the order to roll out a version.
+func (w *testFleet) giveOrder(version string) {
 	w.revision++
 	w.apply(directory.Changes{Rollouts: []directory.RolloutOrder{{Service: "s", Version: version, Duration: 12 * time.Second, Revision: w.revision}}})
 }
 
-// endpoints lists endpoints of a version.
-func (w *world) endpoints(version string, n int) {
+// addEndpoints adds n endpoints of a version to the directory.
+func (w *testFleet) addEndpoints(version string, n int) {
 	var entries []directory.Entry
 	for i := range n {
 		w.revision++
@@ -94,34 +94,35 @@
 	w.apply(directory.Changes{Entries: entries})
 }
 
-// zone is a balancer that may be its zone's relay.
-type zone struct {
-	world   *world
-	serving bool
+// testZone implements Zones for a balancer.
+type testZone struct {
+	testFleet *testFleet
+	serving   bool
 }
 
-func (z *zone) Serving() bool        { return z.serving }
-func (z *zone) RelayZones() []string { return z.world.zones }
+func (z *testZone) Serving() bool        { return z.serving }
+func (z *testZone) RelayZones() []string { return z.testFleet.zones }
 
-func newWorld() *world {
-	w := &world{now: begin, directory: directory.New(), counts: map[string]int64{}, zones: []string{"a"}}
-	w.endpoints("v1", 10)
+func newTestFleet() *testFleet {
+	w := &testFleet{now: begin, directory: directory.New(), counts: map[string]int64{}, zones: []string{"a"}}
+	w.addEndpoints("v1", 10)
 	return w
 }
 
-func (w *world) keeper(id, name string) *Keeper {
+func (w *testFleet) keeper(id, name string) *Keeper {
 	return New(Config{
-		ID: id, Zone: name, Directory: w, Counts: w, Registry: w, Zones: &zone{world: w, serving: true}, Settle: 2 * time.Second,
+		ID: id, Zone: name, Directory: w, Counts: w, Registry: w, Zones: &testZone{testFleet: w, serving: true}, Settle: 2 * time.Second,
 		Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Now: func() time.Time { return w.now },
 	})
 }
 
-// status returns how far the roll-out has come, for balancers.
-func (w *world) status() directory.Rollout { return w.directory.Snapshot().Rollouts[0] }
+// status returns the rollout as the directory has it.
+func (w *testFleet) status() directory.Rollout { return w.directory.Snapshot().Rollouts[0] }
 
-// play lets time pass, in which the service gets a hundred requests a second and its new
-// version fails a part of its own, until a condition holds. It returns how long that took.
-func (w *world) play(most time.Duration, fails func(at time.Duration) bool, keepers ...*Keeper) time.Duration {
+// simulate simulates a hundred requests per second, until the rollout has ended or the time most is
+// over. The new version fails half of its requests while fails returns true. It returns the simulated
+// time.
+func (w *testFleet) simulate(most time.Duration, fails func(at time.Duration) bool, keepers ...*Keeper) time.Duration {
 	from := w.now
 	for n := 0; w.now.Sub(from) < most; n++ {
 		if r := w.status(); r.Begun() && r.Status().State != rollout.Running {
@@ -135,7 +136,7 @@
 			keepers[0].Note(direct.Trial{Service: "s", Kind: "read", Newer: newer, Failed: failed}, w.now)
 		}
 		for _, k := range keepers {
-			k.look(context.Background())
+			k.evaluateAll(context.Background())
 		}
 	}
 	return w.now.Sub(from)
@@ -144,8 +145,8 @@
 func never(time.Duration) bool  { return false }
 func always(time.Duration) bool { return true }
 
-// sides counts the endpoints that may get requests by what they run.
-func (w *world) sides() map[string]int {
+// countBySide returns the number of usable endpoints by version and side.
+func (w *testFleet) countBySide() map[string]int {
 	n := map[string]int{}
 	for _, e := range w.directory.Snapshot().Endpoints["s"] {
 		if e.Usable(w.now) {
@@ -155,51 +156,52 @@
 	return n
 }
 
-// TestGoodVersionComesIn: a small part of it serves first, everything is completed in time,
-// and the old version gets nothing before it is said to be done with.
-func TestGoodVersionComesIn(t *testing.T) {
-	w := newWorld()
+// TestGoodVersionIsCompleted checks the rollout of a good version: one endpoint serves first, the rollout
+// is completed in time, and the old version gets no requests any more after that.
+func TestGoodVersionIsCompleted(t *testing.T) {
+	w := newTestFleet()
 	k := w.keeper("one", "a")
-	w.order("v2")
-	w.endpoints("v2", 10)
-	assert.DeepEqual(t, w.sides(), map[string]int{"v1/1": 10})
-	k.look(context.Background())
-	assert.DeepEqual(t, w.sides(), map[string]int{"v1/1": 10, "v2/2": 1})
-	took := w.play(12*time.Second, never, k)
+	w.giveOrder("v2")
+	w.addEndpoints("v2", 10)
+	assert.DeepEqual(t, w.countBySide(), map[string]int{"v1/1": 10})
+	k.evaluateAll(context.Background())
+	assert.DeepEqual(t, w.countBySide(), map[string]int{"v1/1": 10, "v2/2": 1})
+	took := w.simulate(12*time.Second, never, k)
 	assert.Assert(t, took < 11*time.Second, "%v", took)
 	assert.Equal(t, w.status().Status().State, rollout.Completed)
-	assert.DeepEqual(t, w.sides(), map[string]int{"v2/0": 10})
+	assert.DeepEqual(t, w.countBySide(), map[string]int{"v2/0": 10})
 	assert.Equal(t, w.written[0], rollout.Running)
 	assert.Equal(t, w.written[len(w.written)-1], rollout.Completed)
 	assert.Equal(t, len(w.written), 4, "%v", w.written)
 }
 
-// TestBadVersionIsRolledBack, from the start or later, and gets nothing more.
+// TestBadVersionIsRolledBack checks that a version that is bad from the start, or turns bad later, is
+// rolled back and gets no more requests.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	for name, fails := range map[string]func(time.Duration) bool{
 		"from the start": always,
 		"later":          func(at time.Duration) bool { return at > 6*time.Second },
 	} {
-		w := newWorld()
+		w := newTestFleet()
 		k := w.keeper("one", "a")
-		w.order("v2")
-		w.endpoints("v2", 10)
-		w.play(12*time.Second, fails, k)
+		w.giveOrder("v2")
+		w.addEndpoints("v2", 10)
+		w.simulate(12*time.Second, fails, k)
 		assert.Equal(t, w.status().Status().State, rollout.RolledBack, name)
-		assert.DeepEqual(t, w.sides(), map[string]int{"v1/1": 10})
+		assert.DeepEqual(t, w.countBySide(), map[string]int{"v1/1": 10})
 		assert.Equal(t, w.written[len(w.written)-1], rollout.RolledBack)
 	}
 }
 
-// TestOneLeads: of the relays of several zones one writes, and when its zone has none any
-// more, another one goes on where it stopped.
-func TestOneLeads(t *testing.T) {
-	w := newWorld()
+// TestOneLeader checks that only one relay of several zones writes records, and that another one
+// continues the rollout once the leader's zone has no relay any more.
+func TestOneLeader(t *testing.T) {
+	w := newTestFleet()
 	w.zones = []string{"a", "b", "c"}
 	keepers := []*Keeper{w.keeper("one", "a"), w.keeper("two", "b"), w.keeper("three", "c")}
-	w.order("v2")
-	w.endpoints("v2", 10)
-	w.play(6*time.Second, never, keepers...)
+	w.giveOrder("v2")
+	w.addEndpoints("v2", 10)
+	w.simulate(6*time.Second, never, keepers...)
 	first := w.status().Record.By
 	assert.Assert(t, first != "")
 	before := len(w.written)
@@ -209,20 +211,20 @@
 			w.zones = append(w.zones, k.cfg.Zone)
 		}
 	}
-	w.play(8*time.Second, never, keepers...)
+	w.simulate(8*time.Second, never, keepers...)
 	assert.Equal(t, w.status().Status().State, rollout.Completed)
 	assert.Assert(t, w.status().Record.By != first)
 	assert.Assert(t, len(w.written) > before && len(w.written) <= 4, "%v", w.written)
 }
 
-// TestTwoLeadersWriteOnce: a leader that was cut off while another took its place writes
-// nothing over what that one wrote.
+// TestTwoLeadersWriteOnce checks that of two balancers that both consider themselves the leader, as
+// after a network partition, neither overwrites a record of the other.
 func TestTwoLeadersWriteOnce(t *testing.T) {
-	w := newWorld()
+	w := newTestFleet()
 	one, two := w.keeper("one", "a"), w.keeper("two", "a")
-	w.order("v2")
-	w.endpoints("v2", 10)
-	w.play(12*time.Second, never, one, two)
+	w.giveOrder("v2")
+	w.addEndpoints("v2", 10)
+	w.simulate(12*time.Second, never, one, two)
 	assert.Equal(t, len(w.written), 4, "%v", w.written)
 	stale := w.status()
 	stale.Revision--
@@ -231,58 +233,59 @@
 	assert.Equal(t, w.status().Status().State, rollout.Completed)
 }
 
-// TestLostAnswersAreTriedAgain: whether the store did what it did not answer is seen from its
-// changes, and nothing is written twice.
-func TestLostAnswersAreTriedAgain(t *testing.T) {
-	for _, late := range []bool{false, true} {
-		w := newWorld()
+// TestLostResponsesAreRetried checks that a write without a response is retried if the store did not
+// apply it, and that nothing is written twice if it did.
+func TestLostResponsesAreRetried(t *testing.T) {
+	for _, appliesWrites := range []bool{false, true} {
+		w := newTestFleet()
 		k := w.keeper("one", "a")
-		w.order("v2")
-		w.endpoints("v2", 10)
-		w.lost, w.late = true, late
-		w.play(3*time.Second, never, k)
-		w.lost = false
-		w.play(12*time.Second, never, k)
+		w.giveOrder("v2")
+		w.addEndpoints("v2", 10)
+		w.storeDown, w.appliesWrites = true, appliesWrites
+		w.simulate(3*time.Second, never, k)
+		w.storeDown = false
+		w.simulate(12*time.Second, never, k)
 		assert.Equal(t, w.status().Status().State, rollout.Completed)
 		assert.Equal(t, len(w.written), 4, "%v", w.written)
 	}
 }
 
-// TestOrders: one that is replaced, taken back, or names a version that nobody runs.
-func TestOrders(t *testing.T) {
-	w := newWorld()
+// TestReplacedAndWithdrawnOrders checks an order for a version that no endpoint runs, one that is
+// replaced, and one that is withdrawn.
+func TestReplacedAndWithdrawnOrders(t *testing.T) {
+	w := newTestFleet()
 	k := w.keeper("one", "a")
-	w.order("v2")
-	k.look(context.Background())
-	assert.DeepEqual(t, w.sides(), map[string]int{"v1/0": 10}) // nobody runs it
-	w.play(14*time.Second, never, k)
+	w.giveOrder("v2")
+	k.evaluateAll(context.Background())
+	assert.DeepEqual(t, w.countBySide(), map[string]int{"v1/0": 10}) // no endpoint runs v2
+	w.simulate(14*time.Second, never, k)
 	assert.Equal(t, w.status().Status().State, rollout.Running)
-	w.endpoints("v2", 10)
-	w.endpoints("v3", 10)
-	w.order("v3")
+	w.addEndpoints("v2", 10)
+	w.addEndpoints("v3", 10)
+	w.giveOrder("v3")
 	assert.Assert(t, !w.status().Begun())
-	assert.DeepEqual(t, w.sides(), map[string]int{"v1/1": 10}) // the version that was replaced gets nothing any more
-	w.play(12*time.Second, never, k)
+	assert.DeepEqual(t, w.countBySide(), map[string]int{"v1/1": 10}) // the version of the replaced order gets no requests
+	w.simulate(12*time.Second, never, k)
 	assert.Equal(t, w.status().Status().State, rollout.Completed)
-	assert.DeepEqual(t, w.sides(), map[string]int{"v3/0": 10})
+	assert.DeepEqual(t, w.countBySide(), map[string]int{"v3/0": 10})
 	assert.DeepEqual(t, w.status().Record.Out, []string{"v2"})
-	w.order("v2")
-	k.look(context.Background())
+	w.giveOrder("v2")
+	k.evaluateAll(context.Background())
 	w.revision++
 	w.apply(directory.Changes{Rollouts: []directory.RolloutOrder{{Service: "s", Over: true, Revision: w.revision}}})
-	assert.Equal(t, w.sides()["v2/2"], 0, "taken back")
-	k.look(context.Background())
-	assert.Equal(t, w.written[len(w.written)-1], rollout.Running, "nothing is written of an order that is no more")
+	assert.Equal(t, w.countBySide()["v2/2"], 0, "the order is withdrawn")
+	k.evaluateAll(context.Background())
+	assert.Equal(t, w.written[len(w.written)-1], rollout.Running, "nothing is written for a withdrawn order")
 }
 
-// TestOperatorStops a version that comes in, once.
-func TestOperatorStops(t *testing.T) {
-	w := newWorld()
+// TestStop checks that an operator can roll back a new version, and only once.
+func TestStop(t *testing.T) {
+	w := newTestFleet()
 	k := w.keeper("one", "a")
 	assert.Equal(t, k.Stop(context.Background(), "s"), ErrNone)
-	w.order("v2")
-	w.endpoints("v2", 10)
-	k.look(context.Background())
+	w.giveOrder("v2")
+	w.addEndpoints("v2", 10)
+	k.evaluateAll(context.Background())
 	assert.NilError(t, k.Stop(context.Background(), "s"))
 	assert.Equal(t, w.status().Status().State, rollout.RolledBack)
 	assert.Equal(t, k.Stop(context.Background(), "s"), ErrNone)
@@ -290,26 +293,27 @@
 	assert.Assert(t, len(list) == 1 && list[0].State == rollout.RolledBack && list[0].Leads, "%+v", list)
 }
 
-// TestOneKindAloneIsEnough to find a version bad, though the other kinds are many more.
-func TestOneKindAloneIsEnough(t *testing.T) {
-	var tr trial
-	tr.kinds = map[string]*kind{}
+// TestOneKindSufficesForBad checks that a version is found bad by the failures of one request kind, even
+// if other kinds without failures have many more requests.
+func TestOneKindSufficesForBad(t *testing.T) {
+	var tr rolloutState
+	tr.kinds = map[string]*kindEvidence{}
 	sums := map[string]int64{"old/asked/many": 10000, "old/asked/few": 300, "new/asked/many": 2000, "new/asked/few": 40, "new/failed/few": 12, "nonsense": 3}
-	bad, _ := tr.judge(sums)
+	bad, _ := tr.evaluate(sums)
 	assert.Assert(t, bad)
 	assert.Assert(t, !tr.kinds[allKinds].test.Bad())
 }
 
-// FuzzRecord: whatever stands in the store, a roll-out is read or passed over.
+// FuzzRecord checks that a record with any content in the store is either read or ignored.
 func FuzzRecord(f *testing.F) {
 	raw, err := json.Marshal(directory.RolloutRecord{Order: 1, Version: "v2", State: rollout.Running, Stage: 1})
 	assert.NilError(f, err)
 	f.Add(raw)
 	f.Add([]byte(`{"state":"running","stage":99}`))
 	f.Fuzz(func(t *testing.T, value []byte) {
-		w := newWorld()
-		w.order("v2")
-		w.endpoints("v2", 3)
+		w := newTestFleet()
+		w.giveOrder("v2")
+		w.addEndpoints("v2", 3)
 		w.apply(directory.Changes{Registrations: []directory.Record{{Key: directory.RecordName("s"), Value: value, Revision: 99}}})
 		if share := w.status().Share(); share < 0 || share > 1 {
 			t.Fatal(share)
--- a/rollout/run.go
+++ b/rollout/run.go
@@ -19,52 +19,52 @@
 )
 
 const (
-	// lookEvery is between two looks at a roll-out that this balancer leads: as often as
-	// relays tell one another what was counted while that presses.
-	lookEvery = 100 * time.Millisecond
-	// followEvery is between two looks whether this balancer leads one.
-	followEvery = 500 * time.Millisecond
-	// writeWithin bounds one try to write a record; firstPause and longestPause are the pauses
-	// after one that failed.
-	writeWithin  = 1500 * time.Millisecond
-	firstPause   = 200 * time.Millisecond
-	longestPause = 2 * time.Second
+	// evaluateInterval is the interval between evaluations of a rollout that this balancer leads.
+	// Relays exchange urgent counts at the same interval.
+	evaluateInterval = 100 * time.Millisecond
+	// leaderCheckInterval is the interval between checks whether this balancer leads an open rollout.
+	leaderCheckInterval = 500 * time.Millisecond
+	// writeTimeout is the timeout of one attempt to write a record. After an attempt, the pause to the
+	// next one starts at minWritePause and doubles up to maxWritePause.
+	writeTimeout  = 1500 * time.Millisecond
+	minWritePause = 200 * time.Millisecond
+	maxWritePause = 2 * time.Second
 )
 
-// Run carries roll-outs out until ctx ends. Without an order it waits for one.
+// Run carries out rollouts until ctx is done. Without an open rollout it waits for an order.
 func (k *Keeper) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		switch open, leads := k.look(ctx); {
+		switch open, leads := k.evaluateAll(ctx); {
 		case leads:
-			pause.For(ctx, lookEvery)
+			pause.For(ctx, evaluateInterval)
 		case open:
-			pause.Until(ctx, k.wake, followEvery)
+			pause.Until(ctx, k.wake, leaderCheckInterval)
 		default:
 			pause.Until(ctx, k.wake, time.Hour)
 		}
 	}
 }
 
-// look looks at all roll-outs once, and reports whether any is open and whether this
-// balancer leads one of these.
-func (k *Keeper) look(ctx context.Context) (open, leads bool) {
+// evaluateAll evaluates all rollouts once. It reports whether any is open and whether this balancer
+// leads one of these.
+func (k *Keeper) evaluateAll(ctx context.Context) (open, leads bool) {
 	s := k.cfg.Directory.Snapshot()
 	for _, r := range s.Rollouts {
 		if r.Order.Over || r.Begun() && r.Recorded().State != rollout.Running {
 			continue
 		}
 		open = true
-		t := k.note(r, k.cfg.Now())
+		t := k.stateOf(r, k.cfg.Now())
 		if !k.leads(r.Order.Service) {
 			continue
 		}
 		leads = true
-		k.lead(ctx, r, t, s.Endpoints[r.Order.Service])
+		k.advance(ctx, r, t, s.Endpoints[r.Order.Service])
 	}
 	return open, leads
 }
 
-// leads reports whether this balancer is the one that carries a service's roll-outs out.
+// leads reports whether this balancer is the leader of a service's rollouts.
 func (k *Keeper) leads(service string) bool {
 	if k.cfg.Zones == nil {
 		return true
@@ -73,67 +73,68 @@
 	return ok && zone == k.cfg.Zone && k.cfg.Zones.Serving()
 }
 
-// note notes an order and how far it has come.
-func (k *Keeper) note(r directory.Rollout, now time.Time) *trial {
+// stateOf returns the state of a rollout, updated to its current order and record.
+func (k *Keeper) stateOf(r directory.Rollout, now time.Time) *rolloutState {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	t, ok := k.trials[r.Order.Service]
+	t, ok := k.states[r.Order.Service]
 	if !ok || t.order != r.Order.Revision {
-		t = &trial{order: r.Order.Revision, seen: now, kinds: map[string]*kind{}}
-		k.trials[r.Order.Service] = t
+		t = &rolloutState{order: r.Order.Revision, orderSeen: now, kinds: map[string]*kindEvidence{}}
+		k.states[r.Order.Service] = t
 	}
 	if status := r.Recorded(); t.revision != r.Revision || t.status != status {
-		t.status, t.revision, t.reached, t.pause = status, r.Revision, now, 0
+		t.status, t.revision, t.statusSeen, t.writePause = status, r.Revision, now, 0
 	}
 	return t
 }
 
-// lead decides how a roll-out goes on, and writes it.
-func (k *Keeper) lead(ctx context.Context, r directory.Rollout, t *trial, listed []directory.Endpoint) {
+// advance decides on the next status of a rollout, and writes it if it has changed.
+func (k *Keeper) advance(ctx context.Context, r directory.Rollout, t *rolloutState, listed []directory.Endpoint) {
 	now := k.cfg.Now()
 	next, changed := k.next(r, t, listed, now)
 	if next.State == rollout.RolledBack {
-		k.takeOut(r)
+		k.takeOutOfService(r)
 	}
-	if !changed || now.Sub(t.tried) < t.pause {
+	if !changed || now.Sub(t.lastWrite) < t.writePause {
 		return
 	}
-	t.tried = now
+	t.lastWrite = now
 	err := k.write(ctx, r, next)
 	switch {
 	case err == nil:
-		k.cfg.Log.Info("rollout goes on", "service", r.Order.Service, "version", r.Order.Version, "state", next.State, "share", next.Share())
+		k.cfg.Log.Info("rollout advanced", "service", r.Order.Service, "version", r.Order.Version, "state", next.State, "share", next.Share())
 		metrics.GetOrRegisterCounter(fmt.Sprintf("rollouts{state=%q}", next.State), k.cfg.Metrics).Inc(1)
 	case errors.Is(err, relay.ErrTaken):
-		k.cfg.Log.Info("rollout written by another", "service", r.Order.Service)
+		k.cfg.Log.Info("rollout record was changed meanwhile", "service", r.Order.Service)
 	default:
-		k.cfg.Log.Warn("rollout not written", "service", r.Order.Service, "error", err)
+		k.cfg.Log.Warn("rollout record not written", "service", r.Order.Service, "error", err)
 	}
-	// What was written comes back as a change; until then it is not written again.
-	t.pause = min(max(firstPause, 2*t.pause), longestPause)
+	// The written record comes back as a change of the directory, which resets the pause. Until then
+	// the pause keeps it from being written again.
+	t.writePause = min(max(minWritePause, 2*t.writePause), maxWritePause)
 }
 
-// next returns the status that follows, and whether it is another one than the store holds.
-func (k *Keeper) next(r directory.Rollout, t *trial, listed []directory.Endpoint, now time.Time) (rollout.Status, bool) {
+// next returns the next status, and whether it differs from the one in the store.
+func (k *Keeper) next(r directory.Rollout, t *rolloutState, listed []directory.Endpoint, now time.Time) (rollout.Status, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !r.Begun() {
 		return rollout.Status{State: rollout.Running}, true
 	}
-	bad, proved := t.judge(k.cfg.Counts.Sums(prefixOf(r.Order.Service, r.Order.Revision)))
+	bad, proved := t.evaluate(k.cfg.Counts.Sums(keyPrefix(r.Order.Service, r.Order.Revision)))
 	facts := rollout.Facts{
-		Since: now.Sub(t.seen), InStage: now.Sub(t.reached), Bad: bad || r.Bad, Proved: proved,
+		Since: now.Sub(t.orderSeen), InStage: now.Sub(t.statusSeen), Bad: bad || r.Bad, Proved: proved,
 	}
 	facts.New, facts.Old = countVersions(listed, r.Order.Version, now)
 	plan := rollout.Plan{Duration: r.Order.Duration, Settle: k.cfg.Settle}
 	next := plan.Next(t.status, facts)
-	k.cfg.Log.Debug("rollout looked at", "service", r.Order.Service, "stage", t.status.Stage, "since", facts.Since, "in_stage", facts.InStage,
+	k.cfg.Log.Debug("rollout evaluated", "service", r.Order.Service, "stage", t.status.Stage, "since", facts.Since, "in_stage", facts.InStage,
 		"proved", facts.Proved, "new", facts.New, "old", facts.Old)
 	return next, next != t.status
 }
 
-// countVersions returns how many endpoints run a version and do not warm up, and how many run
-// the one that serves so far.
+// countVersions returns the number of listed endpoints that run a version and are not warming up,
+// and the number of those that run the old version.
 func countVersions(listed []directory.Endpoint, version string, now time.Time) (newer, older int) {
 	for i := range listed {
 		switch e := &listed[i]; {
@@ -147,7 +148,7 @@
 	return newer, older
 }
 
-// write writes a status for all balancers and for the operators.
+// write writes a status to the store, for all balancers and for operators.
 func (k *Keeper) write(ctx context.Context, r directory.Rollout, next rollout.Status) error {
 	value, err := json.Marshal(directory.RolloutRecord{
 		Order: r.Order.Revision, Version: r.Order.Version, State: next.State, Stage: next.Stage, By: k.cfg.ID, Out: r.Out(),
@@ -155,22 +156,23 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeWithin)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	return k.cfg.Registry.WriteRollout(ctx, directory.RecordName(r.Order.Service), value, r.Revision, r.Order, next.State)
 }
 
-// Errors of an operator's word.
+// Errors of Stop.
 var (
-	// ErrNone says that no version of a service comes in.
+	// ErrNone is returned if the service has no open rollout.
 	ErrNone = errors.New("rollout: no version of this service comes in")
-	// ErrChanged says that the roll-out has gone on meanwhile.
+	// ErrChanged is returned if the rollout's record was changed meanwhile.
 	ErrChanged = errors.New("rollout: it has gone on meanwhile; look again")
 )
 
-// Stop has a version rolled back that comes in, whatever the evidence.
+// Stop rolls back the new version of a service, whatever the evidence. It returns ErrNone or
+// ErrChanged, or an error of the store.
 func (k *Keeper) Stop(ctx context.Context, service string) error {
-	r, ok := find(k.cfg.Directory.Snapshot(), service)
+	r, ok := findRollout(k.cfg.Directory.Snapshot(), service)
 	if !ok || r.Order.Over || r.Begun() && r.Recorded().State != rollout.Running {
 		return ErrNone
 	}
@@ -181,27 +183,27 @@
 	return err
 }
 
-// Status is what operators are told of a roll-out. Its names are the JSON's.
+// Status is the status of a rollout for operators. It is encoded as JSON by its field names.
 type Status struct {
 	Service  string
 	Version  string
 	State    rollout.State
 	Share    float64
 	Duration time.Duration
-	Since    time.Duration // the order was seen here
-	By       string        // the balancer that decided last
-	Leads    bool          // this balancer decides, and Kinds are what it rests on
-	Kinds    []KindStatus
+	Since    time.Duration // time since this balancer received the order; 0 if it has not evaluated it
+	By       string        // balancer that wrote the record last
+	Leads    bool          // this balancer is the leader
+	Kinds    []KindStatus  // evidence on which the leader decides
 }
 
-// KindStatus is what is held against a version for one kind of request.
+// KindStatus is the evidence for one kind of request.
 type KindStatus struct {
-	Kind         string // empty for all
+	Kind         string // empty for all kinds together
 	Newer, Older rollout.Sample
 	Bad, Proved  bool
 }
 
-// List returns all roll-outs, in the order of their services.
+// List returns the status of all rollouts, sorted by service.
 func (k *Keeper) List() []Status {
 	var all []Status
 	for _, r := range k.cfg.Directory.Snapshot().Rollouts {
@@ -210,6 +212,7 @@
 	return all
 }
 
+// statusOf returns the status of a rollout.
 func (k *Keeper) statusOf(r directory.Rollout) Status {
 	st := Status{
 		Service: r.Order.Service, Version: r.Order.Version, State: r.Status().State, Share: r.Share(), Duration: r.Order.Duration, By: r.Record.By,
@@ -217,11 +220,11 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	t, ok := k.trials[r.Order.Service]
+	t, ok := k.states[r.Order.Service]
 	if !ok || t.order != r.Order.Revision {
 		return st
 	}
-	st.Since = k.cfg.Now().Sub(t.seen)
+	st.Since = k.cfg.Now().Sub(t.orderSeen)
 	for name, kind := range t.kinds {
 		st.Kinds = append(st.Kinds, KindStatus{
 			Kind: name, Newer: kind.newer, Older: kind.older, Bad: kind.test.Bad(), Proved: kind.test.Proved(),
