--- a/coord/rollout/rollout.go
+++ b/coord/rollout/rollout.go
@@ -11,7 +11,7 @@
 // that is found bad at any time is rolled back for good.
 //
 // The package consists of pure functions. Package coord/tally adds up the counts of all
-// balancers; package rollout at the top of the module elects the balancer that decides, and
+// balancers; the top-level package rollout selects the balancer that decides, and
 // distributes the decisions.
 //
 // # Usage
--- a/coord/selection/crowding.go
+++ b/coord/selection/crowding.go
@@ -26,10 +26,12 @@
 	return min(occupancyLevels, (max(1, busy)*occupancyLevels+slots-1)/slots)
 }
 
-// Factor returns the service time of a request relative to an idle endpoint, if the request is
+// SlowdownFactor returns the service time of a request relative to an idle endpoint, if the request is
 // the last of busy requests to start there. A level without samples has the factor of the level
 // below; the highest level has at least minFullFactor then.
-func (c *Crowding) Factor(busy, slots int) float64 { return c.levelFactor(occupancyLevel(busy, slots)) }
+func (c *Crowding) SlowdownFactor(busy, slots int) float64 {
+	return c.levelFactor(occupancyLevel(busy, slots))
+}
 
 // levelFactor returns the factor of an occupancy level.
 func (c *Crowding) levelFactor(at int) float64 {
@@ -50,7 +52,7 @@
 func (c *Crowding) ConcurrencyLimit(slots int) int {
 	best, bestThroughput := 1, 0.0
 	for n := max(1, slots/2); n <= slots; n++ {
-		if throughput := float64(n) / c.Factor(n, slots); throughput > bestThroughput {
+		if throughput := float64(n) / c.SlowdownFactor(n, slots); throughput > bestThroughput {
 			best, bestThroughput = n, throughput
 		}
 	}
--- a/coord/selection/decide_test.go
+++ b/coord/selection/decide_test.go
@@ -166,13 +166,13 @@
 	assert.Equal(t, w.Usual(0), 40*time.Millisecond, "the time is divided by the pace at the choice")
 	assert.Equal(t, w.Ratio(60*time.Millisecond), 1.5)
 	w, c = selection.Learn(w, c, last, 80*time.Millisecond, 3)
-	assert.Assert(t, c.Factor(3, 3) > 1.35 && c.Factor(3, 3) < 1.45, "%v", c.Factor(3, 3))
+	assert.Assert(t, c.SlowdownFactor(3, 3) > 1.35 && c.SlowdownFactor(3, 3) < 1.45, "%v", c.SlowdownFactor(3, 3))
 	for range 400 {
 		w, c = selection.Learn(w, c, last, 80*time.Millisecond, 3)
 		w, c = selection.Learn(w, c, spare, 80*time.Millisecond, 3)
 	}
 	assert.Assert(t, (w.Usual(0)-40*time.Millisecond).Abs() < time.Millisecond, "%v: the time is divided by the crowding factor", w.Usual(0))
-	assert.Assert(t, c.Factor(3, 3) > 1.95 && c.Factor(3, 3) < 2.05, "%v", c.Factor(3, 3))
+	assert.Assert(t, c.SlowdownFactor(3, 3) > 1.95 && c.SlowdownFactor(3, 3) < 2.05, "%v", c.SlowdownFactor(3, 3))
 }
 
 // TestJoinedEndpointIsPreferred checks that balancers of its zone prefer an endpoint that joined to a
--- a/coord/selection/estimate.go
+++ b/coord/selection/estimate.go
@@ -27,7 +27,7 @@
 		pace *= warmupPace
 	}
 	busy := l.Busy(now)
-	pace *= c.Crowding.Factor(busy+1, slots)
+	pace *= c.Crowding.SlowdownFactor(busy+1, slots)
 	total := float64(work) * pace
 	if waiting := busy - slots + 1; waiting > 0 {
 		total += float64(work) * pace * float64(waiting) / float64(slots)
--- a/coord/selection/learn.go
+++ b/coord/selection/learn.go
@@ -79,5 +79,5 @@
 	if w.samples >= minSamples {
 		c = c.withSample(choice.Busy, slots, sample/w.mean)
 	}
-	return w.withSample(sample / c.Factor(choice.Busy, slots)), c
+	return w.withSample(sample / c.SlowdownFactor(choice.Busy, slots)), c
 }
--- a/coord/selection/prospect.go
+++ b/coord/selection/prospect.go
@@ -32,11 +32,11 @@
 	return p
 }
 
-// Gain returns how much sooner a request is expected to end after one more probe: the mean
+// ExpectedGain returns how much sooner a request is expected to end after one more probe: the mean
 // over the latest probes of the time that each would have saved against best, the estimate at
 // the best candidate, or 0 where it would have saved none. A further probe pays while the gain
 // exceeds its cost (optimal stopping with recall).
-func (p Prospect) Gain(best, work time.Duration) time.Duration {
+func (p Prospect) ExpectedGain(best, work time.Duration) time.Duration {
 	n := min(p.total, prospectSize)
 	if n < minProspects {
 		return 0
@@ -51,5 +51,5 @@
 // worthFurtherProbe reports whether the expected gain of a further probe exceeds its cost. It is
 // used when the best candidate is good already.
 func (u *Usual) worthFurtherProbe(best *Candidate) bool {
-	return u.Prospect.Gain(best.Estimate, u.Work) > furtherProbeCost
+	return u.Prospect.ExpectedGain(best.Estimate, u.Work) > furtherProbeCost
 }
--- a/coord/selection/prospect_test.go
+++ b/coord/selection/prospect_test.go
@@ -38,11 +38,11 @@
 		{"old probes are forgotten", prospectOf(append([]float64{1, 1, 1, 1}, crowded...)...), 2 * work, 0},
 		{"service time unknown", selection.Prospect{}.With(work, 0), work, 0},
 	} {
-		assert.Equal(t, c.of.Gain(c.best, work), c.want, c.name)
+		assert.Equal(t, c.of.ExpectedGain(c.best, work), c.want, c.name)
 	}
 	before := prospectOf(1, 1, 1)
 	_ = before.With(5*work, work)
-	assert.Equal(t, before.Gain(2*work, work), work, "With does not change its receiver")
+	assert.Equal(t, before.ExpectedGain(2*work, work), work, "With does not change its receiver")
 }
 
 // TestWorthFurtherProbe checks that a good endpoint with a fresh report is taken without a further probe,
--- a/coord/selection/selection_test.go
+++ b/coord/selection/selection_test.go
@@ -89,12 +89,12 @@
 // samples it is that of the occupancy below, and somewhat higher for the last slot.
 func TestCrowdingIsLearned(t *testing.T) {
 	var nothing selection.Crowding
-	assert.Equal(t, nothing.Factor(4, 6), 1.0)
-	assert.Equal(t, nothing.Factor(5, 6), 1.0)
-	assert.Equal(t, nothing.Factor(6, 6), 1.2)
+	assert.Equal(t, nothing.SlowdownFactor(4, 6), 1.0)
+	assert.Equal(t, nothing.SlowdownFactor(5, 6), 1.0)
+	assert.Equal(t, nothing.SlowdownFactor(6, 6), 1.2)
 	c := learnedCrowding(6, 1, 1, 1, 1, 1.65)
 	for busy, want := range []float64{1, 1, 1, 1, 1, 1.65, 1.65} {
-		got := c.Factor(busy, 6)
+		got := c.SlowdownFactor(busy, 6)
 		assert.Assert(t, got > want-0.02 && got < want+0.02, "%d of 6: %v", busy, got)
 	}
 }
