--- a/direct/acquire.go
+++ b/direct/acquire.go
@@ -14,28 +14,28 @@
 	"github.com/lotuswing/lotuswing/tenant"
 )
 
-// search is one request's search for an endpoint.
+// search is the state of one request's search for an endpoint.
 type search struct {
-	request placement.Request
-	service string // without the tenant
-	listed  []directory.Endpoint
-	share   float64 // of the requests that goes to a version that comes in
-	ranking selection.Ranking
-	usual   selection.Usual // of the kind and the service, as of the ranking
-	lot     uint32          // random
-	probes  int             // so far
-	probed  int             // the last one probed, by its index in listed
+	request      placement.Request
+	service      string               // name without the tenant
+	listed       []directory.Endpoint // of the service, as of the last ranking
+	rolloutShare float64              // of the requests, for the new version during a rollout; 0 without a rollout
+	ranking      selection.Ranking
+	learned      selection.Usual // about the request kind and the service, as of the last ranking
+	random       uint32          // drawn once, so that each ranking of this request decides alike
+	probes       int             // sent for this request so far
+	lastProbed   int             // index in listed of the endpoint probed last
 }
 
-// Acquire chooses an endpoint for a request: it looks at the endpoints, decides and
-// looks again after a pause, or when one of the service's has told that it has ended
-// a request, until one is taken or the request is refused.
+// Acquire chooses an endpoint for a request. It ranks and probes endpoints, decides, and repeats
+// this after a pause, or as soon as an endpoint of the service ends a request of this process and
+// reports its load, until an endpoint is granted or the request is refused.
 func (c *Chooser) Acquire(ctx context.Context, r placement.Request) (placement.Grant, *placement.Refusal) {
-	s := search{request: r, service: tenant.ServiceName(r.Service), lot: rand.Uint32()}
+	s := search{request: r, service: tenant.ServiceName(r.Service), random: rand.Uint32()}
 	giveUp := c.opts.GiveUpAt(r, time.Now())
 	for {
 		probesBefore := s.probes
-		c.look(ctx, &s)
+		c.rankAndProbe(ctx, &s)
 		now := time.Now()
 		d := c.opts.Decide(&s.ranking, r, selection.Situation{
 			GiveUp: giveUp, Blind: s.probes == probesBefore, CallerLeft: ctx.Err() != nil,
@@ -43,92 +43,96 @@
 		}, now)
 		switch d.Do {
 		case selection.Take:
-			if grant, ok := c.take(&s, now); ok {
+			if grant, ok := c.grantBest(&s, now); ok {
 				return grant, nil
 			}
 		case selection.Refuse:
 			return placement.Grant{}, c.refuse(&s, d)
 		case selection.Wait:
-			c.await(ctx, s.service, d.Pause)
+			c.waitForRetry(ctx, s.service, d.Pause)
 		}
 	}
 }
 
-// look ranks the endpoints and probes the best ones, one at a time, until one is
-// good and no better one is expected, none may be probed, or the rounds are over.
-func (c *Chooser) look(ctx context.Context, s *search) {
+// rankAndProbe ranks the endpoints and probes the best ones, one at a time, until one is good and
+// no better one is expected, no endpoint may be probed, or the number of rounds is used up. A best
+// candidate whose rate limit requires a permit costs a round to request it.
+func (c *Chooser) rankAndProbe(ctx context.Context, s *search) {
 	c.rank(s, time.Now())
 	for range selection.ProbeRounds(s.probes) {
-		if c.seek(ctx, s) {
+		if c.requestPermit(ctx, s) {
 			c.rank(s, time.Now())
 			continue
 		}
-		if !c.opts.NeedsProbe(&s.ranking, &s.usual) || !c.probe(ctx, s, time.Now()) {
+		if !c.opts.NeedsProbe(&s.ranking, &s.learned) || !c.probe(ctx, s, time.Now()) {
 			return
 		}
 		s.probes++
 		c.rank(s, time.Now())
-		c.noteProspect(s)
+		c.recordProspect(s)
 		if s.ranking.Len() == 0 || ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-// allEvacuated reports whether there are endpoints and an operator empties the zones of
-// all of them.
+// allEvacuated reports whether there are endpoints and an operator has evacuated the zones of all
+// of them.
 func allEvacuated(listed []directory.Endpoint) bool {
 	return len(listed) > 0 && !slices.ContainsFunc(listed, func(e directory.Endpoint) bool { return !e.Evacuated })
 }
 
-// noteProspect notes what the endpoint is like that was probed last, where it told its
-// load in time.
-func (c *Chooser) noteProspect(s *search) {
-	probed, ok := s.ranking.Find(s.probed)
-	if !ok || probed.Age > c.opts.ProbeFresh {
+// recordProspect adds the estimate for the endpoint probed last to the prospects of its service,
+// provided that its load report arrived in time.
+func (c *Chooser) recordProspect(s *search) {
+	lastProbed, ok := s.ranking.Find(s.lastProbed)
+	if !ok || lastProbed.Age > c.opts.ProbeFresh {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.prospects[s.service] = c.prospects[s.service].With(probed.Estimate, s.usual.Work)
+	c.prospects[s.service] = c.prospects[s.service].With(lastProbed.Estimate, s.learned.Work)
 }
 
-// rank makes candidates of the endpoints that the request may go to: those of its side,
-// while a version of the service comes in.
+// rank ranks the endpoints that the request may go to. During a rollout these are the endpoints of
+// one version of the service.
 func (c *Chooser) rank(s *search, now time.Time) {
 	snapshot := c.cfg.Directory.Snapshot()
-	s.listed, s.share = snapshot.Endpoints[s.service], snapshot.Shares[s.service]
+	s.listed, s.rolloutShare = snapshot.Endpoints[s.service], snapshot.Shares[s.service]
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.usual = selection.Usual{
+	s.learned = selection.Usual{
 		Work: c.workloads[s.request.Kind].Usual(s.request.Target), Crowding: c.crowding[s.service], Prospect: c.prospects[s.service],
 		Warming: c.warming[s.service], Fresh: c.opts.ProbeFresh, TellsLoad: c.probePath(s.service) != "",
-		WarmupRate: c.warmupRate(s.service), Lot: s.lot, Alone: s.request.Alone,
+		WarmupRate: c.warmupRate(s.service), Lot: s.random, Alone: s.request.Alone,
 	}
-	side := s.side()
-	c.rankSide(s, side, now)
-	if other, ok := s.otherSide(side); ok {
+	preferredSide := s.preferredSide()
+	c.rankSide(s, preferredSide, now)
+	if other, ok := s.fallbackSide(preferredSide); ok {
 		c.rankSide(s, other, now)
 	}
 	c.listed[s.service] = c.listed[s.service] || len(s.listed) > 0
 }
 
-// side returns which version of the service the request goes to.
-func (s *search) side() placement.Side {
+// preferredSide returns which version of the service the request goes to: during a rollout, the new
+// one for the rollout's share of the requests.
+func (s *search) preferredSide() placement.Side {
 	switch {
-	case s.share == 0:
+	case s.rolloutShare == 0:
 		return placement.AnySide
-	case float64(s.lot) < s.share*math.MaxUint32:
+	case float64(s.random) < s.rolloutShare*math.MaxUint32:
 		return placement.NewSide
 	}
 	return placement.OldSide
 }
 
-// otherSide returns the version that takes the request where its own has no room. What is
-// meant for the old one goes to the new one only where there is no old one at all.
-func (s *search) otherSide(side placement.Side) (placement.Side, bool) {
+// fallbackSide returns the version that takes the request instead of its preferred one, and whether
+// there is one. A request for the new version falls back to the old one if no endpoint of the new
+// one has room, unless all requests belong to the new one. A request for the old version goes to
+// the new one only if the old one has no endpoint at all.
+func (s *search) fallbackSide(side placement.Side) (placement.Side, bool) {
 	switch {
-	case side == placement.NewSide && s.share < 1 && (s.ranking.Len() == 0 || s.ranking.Best().Full):
+	case side == placement.NewSide && s.rolloutShare < 1 && (s.ranking.Len() == 0 || s.ranking.Best().Full):
 		return placement.OldSide, true
 	case side == placement.OldSide && s.ranking.Len() == 0:
 		return placement.NewSide, true
@@ -136,41 +140,41 @@
 	return side, false
 }
 
-// rankSide makes candidates of the endpoints of one side; c.mu is held.
+// rankSide ranks the endpoints of one version that the request may go to; c.mu must be held.
 func (c *Chooser) rankSide(s *search, side placement.Side, now time.Time) {
 	members := c.poolOf(s.service, s.listed)
 	s.ranking.Reset(len(members))
 	for _, i := range members {
 		e := &s.listed[i]
-		if side != placement.AnySide && e.Side != side || s.avoids(e) || !c.inRegion(s, e) {
+		if side != placement.AnySide && e.Side != side || s.excludes(e) || !c.inRegion(s, e) {
 			continue
 		}
-		known, admitted := c.admission(s, members, i, now)
+		state, admitted := c.admission(s, members, i, now)
 		if admitted.Access == admission.Never {
 			continue
 		}
 		listing := selection.Listing{Slots: e.Slots, SameZone: e.Zone == c.cfg.Zone, Admission: admitted, WarmAt: e.WarmAt, WarmTold: e.WarmTold}
-		s.ranking.Add(selection.NewCandidate(&known.state, i, listing, &s.usual, c.rng.Uint32(), now))
+		s.ranking.Add(selection.NewCandidate(&state.observed, i, listing, &s.learned, c.rng.Uint32(), now))
 	}
 	s.ranking.DropEjected()
 }
 
-// knownOf returns what is remembered of an endpoint. One that appears after the
-// service's others has joined it, and is tried by as many balancers as use each of the
-// others. Another start under the identity of an earlier one has joined it, too: what was
-// seen of that one says nothing of this one. c.mu is held.
-func (c *Chooser) knownOf(s *search, members []int, listed *directory.Endpoint, now time.Time) *endpoint {
+// stateForRanking returns the state of a listed endpoint, and creates it if there is none. An
+// endpoint that appears after the others of its service has joined it, and is tried by as many
+// balancers as use each of the others. A new start under the ID of an earlier one has joined as
+// well: what was observed of the earlier start does not apply to it. c.mu must be held.
+func (c *Chooser) stateForRanking(s *search, members []int, listed *directory.Endpoint, now time.Time) *endpointState {
 	if e, ok := c.endpoints[listed.VM]; ok && e.start == listed.Start {
 		return e
 	}
 	if c.listed[s.service] && c.rng.Float64() < c.shareInUse(s.listed, members, now) {
-		return c.remember(listed, selection.NewJoined())
+		return c.addState(listed, selection.NewJoined())
 	}
-	return c.remember(listed, selection.NewEndpoint())
+	return c.addState(listed, selection.NewEndpoint())
 }
 
-// shareInUse returns which part of the endpoints that are known in the own zone this
-// process has used lately; c.mu is held.
+// shareInUse returns the fraction of the endpoints with a state in this process's zone that this
+// process has used recently; c.mu must be held.
 func (c *Chooser) shareInUse(listed []directory.Endpoint, members []int, now time.Time) float64 {
 	near, used := 0, 0
 	for _, i := range members {
@@ -179,47 +183,47 @@
 			continue
 		}
 		near++
-		if e.state.InUse(now) {
+		if e.observed.InUse(now) {
 			used++
 		}
 	}
 	return float64(used) / float64(max(1, near))
 }
 
-// known returns what is remembered of an endpoint; c.mu is held.
-func (c *Chooser) known(listed *directory.Endpoint) *endpoint {
+// state returns the state of a listed endpoint, and creates it if there is none; c.mu must be held.
+func (c *Chooser) state(listed *directory.Endpoint) *endpointState {
 	if e, ok := c.endpoints[listed.VM]; ok && e.start == listed.Start {
 		return e
 	}
-	return c.remember(listed, selection.NewEndpoint())
+	return c.addState(listed, selection.NewEndpoint())
 }
 
-// remember begins to remember an endpoint; c.mu is held.
-func (c *Chooser) remember(listed *directory.Endpoint, state selection.Endpoint) *endpoint {
-	e := &endpoint{start: listed.Start, state: state, probes: c.opts.NewProbeBudget()}
+// addState creates the state of a listed endpoint; c.mu must be held.
+func (c *Chooser) addState(listed *directory.Endpoint, observed selection.Endpoint) *endpointState {
+	e := &endpointState{start: listed.Start, observed: observed, probes: c.opts.NewProbeBudget()}
 	c.endpoints[listed.VM] = e
 	return e
 }
 
-// take gives the request to the best candidate. It fails where the room that an endpoint with a
-// limit had for it has gone to another request meanwhile.
-func (c *Chooser) take(s *search, now time.Time) (grant placement.Grant, ok bool) {
+// grantBest grants the request the best candidate. It returns false if the permit for an endpoint
+// with a rate limit has gone to another request in the meantime.
+func (c *Chooser) grantBest(s *search, now time.Time) (grant placement.Grant, ok bool) {
 	best := s.ranking.Best()
 	target := &s.listed[best.Index]
-	if !c.use(target, now) {
+	if !c.usePermit(target, now) {
 		return placement.Grant{}, false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := c.known(target)
-	c.noteSent(e, now)
+	e := c.state(target)
+	c.countUnwantedSend(e, now)
 	trial := e.admission.OnTrial(now)
-	e.state, e.admission = e.state.WithSent(), e.admission.WithSent(now)
-	load := e.state.Load()
+	e.observed, e.admission = e.observed.WithSent(), e.admission.WithSent(now)
+	load := e.observed.Load()
 	choice := placement.Choice{
 		Start: target.Start, Side: target.Side, Pace: load.Report().Pace, Busy: load.Busy(now), Cold: best.Cold, Trial: trial, Limited: best.Admission.Held, Estimate: best.Estimate, Age: -1, Probes: s.probes,
 	}
-	if age := load.Age(now); age < oldestAge {
+	if age := load.Age(now); age < maxLoggedAge {
 		choice.Age = age
 	}
 	return placement.Grant{
@@ -227,5 +231,5 @@
 	}, true
 }
 
-// oldestAge is the age from which a report counts as none in the log.
-const oldestAge = time.Hour
+// maxLoggedAge is the age from which a load report is logged as if there were none.
+const maxLoggedAge = time.Hour
--- a/direct/admit.go
+++ b/direct/admit.go
@@ -10,37 +10,38 @@
 	"github.com/lotuswing/lotuswing/tenant"
 )
 
-// Whether an endpoint may get a request: when it is chosen, when the request is written, and when it
-// is probed for another reason. The rule is coord/admission's.
+// This file checks whether an endpoint may get a request: when it is chosen (admission), when the
+// request is written (Admits), and when it is probed other than to choose (Willing). The rules
+// are in coord/admission.
 
-// avoids reports whether the request must not go to an endpoint: it was there, or the endpoint has
-// ended under it.
-func (s *search) avoids(e *directory.Endpoint) bool {
+// excludes reports whether the request must not go to an endpoint: it has already been sent there,
+// or this start of the endpoint ended while it had the request.
+func (s *search) excludes(e *directory.Endpoint) bool {
 	return slices.Contains(s.request.Avoid, e.VM) || slices.Contains(s.request.Ended, placement.Incarnation{VM: e.VM, Start: e.Start})
 }
 
-// admission decides whether and from when a request may go to an endpoint, and returns what is
-// remembered of it; nothing of one that is not usable. c.mu is held.
-func (c *Chooser) admission(s *search, members []int, index int, now time.Time) (*endpoint, admission.Decision) {
+// admission decides whether and from when a request may go to the endpoint at an index of s.listed,
+// and returns the endpoint's state, which is nil if the endpoint is not usable. c.mu must be held.
+func (c *Chooser) admission(s *search, members []int, index int, now time.Time) (*endpointState, admission.Decision) {
 	e := &s.listed[index]
-	f := admission.Facts{Usable: e.Usable(now), Lot: s.lotOf(index), Priority: s.request.Priority}
+	f := admission.Facts{Usable: e.Usable(now), Lot: s.randomFor(index), Priority: s.request.Priority}
 	if !f.Usable {
 		return nil, admission.Decide(f, now)
 	}
-	known := c.knownOf(s, members, e, now)
-	f.State = known.admission
-	f.Limit, f.LimitOpens = c.standing(e, now)
-	return known, admission.Decide(f, now)
+	state := c.stateForRanking(s, members, e, now)
+	f.State = state.admission
+	f.Limit, f.LimitOpens = c.limitStanding(e, now)
+	return state, admission.Decide(f, now)
 }
 
-// lotOf returns the request's random number for an endpoint, by its place in the list. It is the
-// same however often the request looks.
-func (s *search) lotOf(index int) float64 {
-	const goldenRatio = 0x9e3779b9 // spreads neighbouring places
-	return float64((s.lot^uint32(index+1)*goldenRatio)*goldenRatio) / (1 << 32)
+// randomFor returns a pseudorandom number in [0,1) for the endpoint at an index of s.listed. It is
+// the same in each ranking of the request.
+func (s *search) randomFor(index int) float64 {
+	const goldenRatio = 0x9e3779b9 // spreads neighboring indices
+	return float64((s.random^uint32(index+1)*goldenRatio)*goldenRatio) / (1 << 32)
 }
 
-// Admits reports whether the endpoint of a grant still may get the request.
+// Admits reports whether the endpoint of a grant may still get the request.
 func (c *Chooser) Admits(g placement.Grant, now time.Time) bool {
 	listed, ok := c.cfg.Directory.Snapshot().Find(tenant.ServiceName(g.Service), g.Endpoint.VM)
 	if !ok || listed.Start != g.Choice.Start {
@@ -48,17 +49,17 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known, ok := c.endpoints[g.Endpoint.VM]
-	if !ok || known.start != g.Choice.Start {
+	state, ok := c.endpoints[g.Endpoint.VM]
+	if !ok || state.start != g.Choice.Start {
 		return listed.Usable(now)
 	}
-	return admission.Willing(listed.Usable(now), known.admission, now)
+	return admission.Willing(listed.Usable(now), state.admission, now)
 }
 
-// Willing reports whether an endpoint may be asked something: it does not want to be left alone.
+// Willing reports whether the endpoint with an ID may be probed: it is not backing off.
 func (c *Chooser) Willing(id string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known, ok := c.endpoints[id]
-	return !ok || !known.admission.BackingOff(now)
+	state, ok := c.endpoints[id]
+	return !ok || !state.admission.BackingOff(now)
 }
--- a/direct/backoff_test.go
+++ b/direct/backoff_test.go
@@ -16,30 +16,31 @@
 
 const backoff = 3 * time.Second
 
-// backsOff has an endpoint refuse a request and ask for a backoff.
-func (r *rig) backsOff(g placement.Grant) {
-	r.Hear(g, word(admission.Word{Backoff: backoff}))
+// requestBackoff makes the endpoint of a grant refuse its request and ask for a backoff.
+func (r *fixture) requestBackoff(g placement.Grant) {
+	r.Hear(g, reportWith(admission.Word{Backoff: backoff}))
 	r.Complete(g, placement.Result{Outcome: placement.Shed})
 }
 
-// TestEndpointThatBacksOffGetsNothing, neither requests, nor what was granted before, nor probes,
-// while the others serve; it is not taken for one that has failed.
-func TestEndpointThatBacksOffGetsNothing(t *testing.T) {
+// TestBackingOffEndpointGetsNothing checks that an endpoint gets no requests, no request granted
+// before and no probes during its backoff, while the others serve, and that it is not ejected as if
+// it had failed.
+func TestBackingOffEndpointGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(3, selection.Options{})
+		r := newFixture(3, selection.Options{})
 		first, granted := grant(t, r), grant(t, r)
 		for granted.Endpoint.VM != first.Endpoint.VM {
 			granted = grant(t, r)
 		}
-		r.backsOff(first)
+		r.requestBackoff(first)
 		assert.Assert(t, !r.Admits(granted, time.Now()))
-		probes := r.prober.total(first.Endpoint.VM)
+		probes := r.prober.probesTo(first.Endpoint.VM)
 		for end := time.Now().Add(backoff); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 			g := grant(t, r)
 			assert.Assert(t, g.Endpoint.VM != first.Endpoint.VM)
 			r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 		}
-		assert.Equal(t, r.prober.total(first.Endpoint.VM), probes)
+		assert.Equal(t, r.prober.probesTo(first.Endpoint.VM), probes)
 		for _, e := range r.Status().Endpoints {
 			assert.Assert(t, !e.Ejected, e.ID)
 		}
@@ -47,17 +48,17 @@
 	})
 }
 
-// TestAllBackOff: requests are refused at once, with when the first endpoint takes requests again,
-// and later for some than for others.
-func TestAllBackOff(t *testing.T) {
+// TestRefusesWhileAllBackOff checks that requests are refused at once, with retry times no earlier
+// than the end of the first backoff, and spread after it.
+func TestRefusesWhileAllBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(2, selection.Options{})
+		r := newFixture(2, selection.Options{})
 		for range 2 {
-			r.backsOff(grant(t, r))
+			r.requestBackoff(grant(t, r))
 		}
 		began, seen := time.Now(), map[time.Duration]bool{}
 		for range 20 {
-			request := ask()
+			request := newRequest()
 			request.Target = time.Second
 			_, refused := r.Acquire(context.Background(), request)
 			assert.Assert(t, refused != nil)
@@ -71,16 +72,16 @@
 	})
 }
 
-// TestSlowStart: after its backoff an endpoint gets one request at a time until it has run one, and
-// a share of the requests that grows.
+// TestSlowStart checks that an endpoint after its backoff gets one request at a time until it has
+// run one, and then a growing share of the requests.
 func TestSlowStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(1, selection.Options{})
-		r.backsOff(grant(t, r))
+		r := newFixture(1, selection.Options{})
+		r.requestBackoff(grant(t, r))
 		time.Sleep(backoff)
-		may := func(n int) (granted []placement.Grant) {
+		acquireUpTo := func(n int) (granted []placement.Grant) {
 			for range n {
-				request := ask()
+				request := newRequest()
 				request.Target = 50 * time.Millisecond
 				if g, refused := r.Acquire(context.Background(), request); refused == nil {
 					granted = append(granted, g)
@@ -89,17 +90,17 @@
 			return granted
 		}
 		time.Sleep(200 * time.Millisecond)
-		first := may(30)
-		assert.Equal(t, len(first), 1, "one is tried")
+		first := acquireUpTo(30)
+		assert.Equal(t, len(first), 1, "one request at a time")
 		assert.Assert(t, first[0].Choice.Trial)
-		answer := word(admission.Word{})
+		answer := reportWith(admission.Word{})
 		answer.Ran = true
 		r.Hear(first[0], answer)
 		r.Complete(first[0], placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 		served := func() int {
 			n := 0
 			for range 100 {
-				for _, g := range may(1) {
+				for _, g := range acquireUpTo(1) {
 					n++
 					r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 				}
@@ -113,19 +114,20 @@
 	})
 }
 
-// TestBackoffOutlivesItsEntry: entries lapse while the store is away, and come back.
-func TestBackoffOutlivesItsEntry(t *testing.T) {
+// TestBackoffOutlivesDirectoryEntry checks that a backoff still applies if the endpoint's directory
+// entry expires and comes back, as it does while the store is unavailable.
+func TestBackoffOutlivesDirectoryEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRigForgetting(1, selection.Options{}, time.Nanosecond)
+		r := newFixtureForgetting(1, selection.Options{}, time.Nanosecond)
 		g, other := grant(t, r), grant(t, r)
-		r.Hear(g, word(admission.Word{Backoff: time.Minute}))
+		r.Hear(g, reportWith(admission.Word{Backoff: time.Minute}))
 		r.Complete(g, placement.Result{Outcome: placement.Shed})
 		r.directory.Apply(directory.Changes{Gone: []directory.Gone{{ID: "e0", Revision: 2}}}, time.Now())
 		time.Sleep(30 * time.Second)
 		r.directory.Apply(directory.Changes{At: 3}, time.Now())
-		r.Complete(other, placement.Result{Outcome: placement.Unused}) // looks for what can be forgotten
+		r.Complete(other, placement.Result{Outcome: placement.Unused}) // drops the states of endpoints that are gone
 		r.restart("e0", 0, 4)
-		request := ask()
+		request := newRequest()
 		request.Target = time.Second
 		_, refused := r.Acquire(context.Background(), request)
 		assert.Assert(t, refused != nil)
@@ -133,17 +135,18 @@
 	})
 }
 
-// TestCallersComeBackSpread behind the end of the first backoff, also where many endpoints end
-// theirs at once and the first one of them opens right then.
-func TestCallersComeBackSpread(t *testing.T) {
+// TestRetriesAreSpread checks that refused callers retry at different times after the end of the
+// first backoff, even if many endpoints end theirs at once and one of them accepts requests right
+// then.
+func TestRetriesAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const endpoints = 40
-		r := newRig(endpoints, selection.Options{})
+		r := newFixture(endpoints, selection.Options{})
 		for range endpoints {
-			r.backsOff(grant(t, r))
+			r.requestBackoff(grant(t, r))
 		}
 		for range 50 {
-			request := ask()
+			request := newRequest()
 			request.Target = 4 * time.Second
 			_, refused := r.Acquire(context.Background(), request)
 			assert.Assert(t, refused != nil)
--- a/direct/complete.go
+++ b/direct/complete.go
@@ -8,22 +8,24 @@
 	"github.com/lotuswing/lotuswing/tenant"
 )
 
-// forgetEvery is between two looks for endpoints that are gone.
-const forgetEvery = time.Minute
+// defaultForgetInterval is the default time between two searches for the states of endpoints that
+// are gone.
+const defaultForgetInterval = time.Minute
 
-// Complete learns from how a request ended.
+// Complete updates the state of the endpoint, and what is learned of kinds and services, from how a
+// request ended.
 func (c *Chooser) Complete(g placement.Grant, r placement.Result) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	defer c.forget(now)
+	defer c.forgetUnlisted(now)
 	e, ok := c.endpoints[g.Endpoint.VM]
 	if !ok || e.start != g.Choice.Start {
-		return // it ended with the start that it was sent to
+		return // the start of the endpoint that got the request is gone
 	}
-	e.state = e.state.WithEnded(r.Load, now)
+	e.observed = e.observed.WithEnded(r.Load, now)
 	if r.Load.Known {
-		defer c.wake(tenant.ServiceName(g.Service)) // once everything of this end is noted
+		defer c.wakeNext(tenant.ServiceName(g.Service)) // after the updates below
 	}
 	if r.Replaced {
 		if c.cfg.Directory.MarkLeaving(g.Endpoint.VM, g.Choice.Start, now) {
@@ -32,25 +34,25 @@
 		return
 	}
 	if g.Choice.Cold {
-		c.noteWarming(tenant.ServiceName(g.Service), r.Outcome, now)
+		c.recordWarming(tenant.ServiceName(g.Service), r.Outcome, now)
 	}
 	if r.Outcome == placement.Completed {
-		c.learn(g, r.Took, e.state.Load().Slots(g.Endpoint.Slots))
+		c.learnServiceTime(g, r.Took, e.observed.Load().Slots(g.Endpoint.Slots))
 	}
-	c.noteTrial(g, r, now)
-	e.state = e.state.WithOutcome(r.Outcome, c.ratio(g, r.Took), now)
-	if r.Outcome == placement.Failed && e.state.Health().Ejected(now) {
+	c.reportEvidence(g, r, now)
+	e.observed = e.observed.WithOutcome(r.Outcome, c.serviceTimeRatio(g, r.Took), now)
+	if r.Outcome == placement.Failed && e.observed.Health().Ejected(now) {
 		c.cfg.Log.Info("endpoint", "id", g.Endpoint.VM, "service", tenant.ServiceName(g.Service), "state", "ejected",
-			"for", e.state.Health().EjectedUntil().Sub(now).String(), "request", g.ID)
+			"for", e.observed.Health().EjectedUntil().Sub(now).String(), "request", g.ID)
 	}
 }
 
-// slowFactor is how many times as long as was estimated a slow request takes.
+// slowFactor is how many times its estimate a request must take to count as slow.
 const slowFactor = 3
 
-// noteTrial tells what became of a request while a version of its service comes in. Of an
-// endpoint that warms up, as those of a new version do first, nothing is told.
-func (c *Chooser) noteTrial(g placement.Grant, r placement.Result, now time.Time) {
+// reportEvidence reports the outcome of a request during a rollout of its service. Requests at
+// endpoints that were warming up are left out, since those of a new version warm up first.
+func (c *Chooser) reportEvidence(g placement.Grant, r placement.Result, now time.Time) {
 	side := g.Choice.Side
 	ran := r.Outcome == placement.Completed || r.Outcome == placement.Failed
 	if c.cfg.Evidence == nil || !ran || g.Choice.Cold || side != placement.OldSide && side != placement.NewSide {
@@ -62,33 +64,35 @@
 	}, now)
 }
 
-// noteWarming notes how a request ended at an endpoint that warmed up; c.mu is held.
-func (c *Chooser) noteWarming(service string, o placement.Outcome, now time.Time) {
+// recordWarming records how a request ended at an endpoint that was warming up; c.mu must be held.
+func (c *Chooser) recordWarming(service string, o placement.Outcome, now time.Time) {
 	c.warming[service] = c.warming[service].WithOutcome(o, c.warmupRate(service), now)
 }
 
-// ratio compares the time of a completion with what is usual; an endpoint that warmed up
-// is not slow for taking longer. c.mu is held.
-func (c *Chooser) ratio(g placement.Grant, took time.Duration) float64 {
+// serviceTimeRatio returns the time of a completion divided by the usual time of its kind. It is 1
+// for an endpoint that was warming up, which does not count as slow for taking longer. c.mu must be
+// held.
+func (c *Chooser) serviceTimeRatio(g placement.Grant, took time.Duration) float64 {
 	if g.Choice.Cold {
 		return 1
 	}
 	return c.workloads[g.Kind].Ratio(took)
 }
 
-// learn learns from the time of a completion; c.mu is held.
-func (c *Chooser) learn(g placement.Grant, took time.Duration, slots int) {
+// learnServiceTime updates the usual service time of the request's kind and the crowding of its
+// service from the time of a completion; c.mu must be held.
+func (c *Chooser) learnServiceTime(g placement.Grant, took time.Duration, slots int) {
 	service := tenant.ServiceName(g.Service)
 	c.workloads[g.Kind], c.crowding[service] = selection.Learn(c.workloads[g.Kind], c.crowding[service], g.Choice, took, slots)
 }
 
-// forget drops what is remembered of endpoints that the directory does not list any
-// more and that hold no request; c.mu is held.
-func (c *Chooser) forget(now time.Time) {
-	if now.Sub(c.forgotten) < c.cfg.ForgetEvery {
+// forgetUnlisted drops the states of endpoints that the directory no longer lists, that hold no
+// request of this process and that are not backing off; c.mu must be held.
+func (c *Chooser) forgetUnlisted(now time.Time) {
+	if now.Sub(c.lastForget) < c.cfg.ForgetInterval {
 		return
 	}
-	c.forgotten = now
+	c.lastForget = now
 	listed := map[string]bool{}
 	for _, list := range c.cfg.Directory.Snapshot().Endpoints {
 		for _, e := range list {
@@ -96,14 +100,14 @@
 		}
 	}
 	for id, e := range c.endpoints {
-		if !listed[id] && e.state.Load().InFlight() == 0 && !e.admission.BackingOff(now) {
+		if !listed[id] && e.observed.Load().InFlight() == 0 && !e.admission.BackingOff(now) {
 			delete(c.endpoints, id)
 		}
 	}
 }
 
-// Remembered returns of how many endpoints something is remembered.
-func (c *Chooser) Remembered() int {
+// RememberedCount returns the number of endpoints whose state is kept.
+func (c *Chooser) RememberedCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.endpoints)
--- a/direct/direct.go
+++ b/direct/direct.go
@@ -1,16 +1,15 @@
-// Package direct lets a balancer choose endpoints on its own, from fresh load
-// reports, without a home that keeps a ledger for all balancers.
+// Package direct lets a balancer choose endpoints on its own, from fresh load reports, without a
+// coordinator that tracks the requests of all balancers.
 //
-// For each request the most promising endpoint is asked for its load just before
-// the choice, so the choice rests on figures that are a millisecond or two old.
-// Nothing is shared among balancers, so nothing has to be agreed or recovered when
-// some of them vanish.
+// For each request the most promising endpoint is probed for its load just before the choice, so
+// the choice relies on figures that are a millisecond or two old. It needs no state shared among
+// balancers, so nothing has to be agreed on, or recovered when some of them fail.
 //
-// Where a service has more endpoints than a choice should look at, each balancer chooses
-// among a subset of its own (pool.go). The rules are in coord/selection and coord/subset.
-// This package has the loop around them (Acquire): it owns the clock, the lock, the probes and what is remembered of
-// endpoints, kinds and services. It relies on a directory for the configuration and
-// the list of endpoints, and on a Prober for the probes.
+// If a service has more endpoints than one choice should consider, each balancer chooses among a
+// subset of its own (pool.go). The rules are in coord/selection and coord/subset. This package
+// has the loop around them (Acquire): it owns the clock, the lock, the probes and the state of
+// endpoints, request kinds and services. It relies on a directory for the configuration and the
+// list of endpoints, and on a Prober for the probes.
 //
 // # Usage
 //
@@ -42,97 +41,99 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Config of a Chooser.
+// Config configures a Chooser.
 type Config struct {
-	ID        string // identity of the process
+	ID        string // of the process; starts the IDs of its requests
 	Zone      string
-	Regions   map[string]string // in which region each availability zone lies
+	Regions   map[string]string // region of each availability zone
 	Directory *directory.Directory
 	Client    Prober
-	// Suspensions tells of suspensions of the VM; nil for none.
+	// Suspensions detects suspensions of the VM; nil for none.
 	Suspensions *suspend.Detector
 	Log         hclog.Logger
 	Metrics     metrics.Registry
 	Handover    func(context.Context) // hands duties to other balancers before a planned stop; may be nil
-	Stop        func()                // ends what keeps the directory up to date; may be nil
-	Evidence    Evidence              // nil for none
-	Limits      Limits                // nil for none
-	// Tell tells all other balancers something; nil where there are none.
+	Stop        func()                // stops the updates of the directory; may be nil
+	Evidence    Evidence              // records the outcomes of requests during rollouts; nil for none
+	Limits      Limits                // tracks the rate limits of endpoints; nil for none
+	// Tell publishes data to all other balancers under a topic; nil if there are none.
 	Tell func(topic string, data []byte) error
 
-	// Shortened by tests; zero for the defaults.
-	Options     selection.Options
-	PoolSize    int           // endpoints of a service among which this process chooses; default subset.Size
-	ForgetEvery time.Duration // between two looks for endpoints that are gone; default 1 min
+	// Shortened by tests; zero values select the defaults.
+	Options        selection.Options
+	PoolSize       int           // endpoints of a service among which this process chooses; default subset.Size
+	ForgetInterval time.Duration // between two searches for the states of endpoints that are gone; default 1 min
 }
 
-// Evidence takes what became of requests at either version of a service while one comes in.
+// Evidence records the outcomes of requests at both versions of a service during a rollout.
 type Evidence interface {
-	// Note notes a request that an endpoint ran, or may have: whether it failed, and whether
-	// it took several times as long as was estimated.
+	// Note records a request that an endpoint ran, or may have run: whether it failed, and whether
+	// it took several times its estimate.
 	Note(t Trial, now time.Time)
 }
 
-// Limits hears what endpoints say of how many requests a second they take.
+// Limits tracks how many requests a second endpoints accept, according to their responses.
 type Limits interface {
-	// Answered takes what the answer to a request said.
+	// Answered processes what the response to a request said about the limit.
 	Answered(e limits.Endpoint, a limit.Answer)
-	// Probed takes what the answer to a probe said.
+	// Probed processes what the response to a probe said about the limit.
 	Probed(e limits.Endpoint, a limit.Answer)
 	// Quiet reports whether no endpoint has named a limit.
 	Quiet() bool
-	// Standing returns whether a request may go to an endpoint and, where it may not, for how
-	// long that is known.
+	// Standing returns whether a request may go to an endpoint and, if not, how much longer that is
+	// known to be so; 0 if that is not known.
 	Standing(e limits.Endpoint, now time.Time) (limit.Standing, time.Duration)
-	// Seek asks for room at an endpoint, and waits for the answer a while. look says that the
-	// endpoint may be probed, to hear whether its limit still holds.
-	Seek(ctx context.Context, e limits.Endpoint, within time.Duration) (look bool)
-	// Use takes the room for a request that goes there now. It reports whether there is any.
+	// Seek requests a permit from the owner of an endpoint's limit, and waits for the response at
+	// most as long as within. mayProbe says that the endpoint may be probed to find out whether its
+	// limit still applies.
+	Seek(ctx context.Context, e limits.Endpoint, within time.Duration) (mayProbe bool)
+	// Use takes the permit for a request that is about to be sent. It reports whether the request
+	// may be sent.
 	Use(e limits.Endpoint, now time.Time) bool
 }
 
-// Trial is what became of one request while a version of its service comes in.
+// Trial is the outcome of one request during a rollout of its service.
 type Trial struct {
 	Service, Kind string
-	Newer         bool // at an endpoint of the version that comes in
+	Newer         bool // it ran at an endpoint of the new version
 	Failed, Slow  bool
 }
 
-// Prober asks an endpoint for its load.
+// Prober probes an endpoint for its load.
 type Prober interface {
 	Probe(ctx context.Context, addr, path string, within time.Duration) (upstream.Report, error)
 }
 
 // Chooser chooses endpoints. It is safe for concurrent use.
 type Chooser struct {
-	cfg      Config
-	opts     selection.Options
-	sequence atomic.Uint64
-	born     int64
-	probes   metrics.Counter
-	unwanted unwanted
-	leavers  metrics.Counter
-	unread   *unreadHeaders
-
-	mu        sync.Mutex
-	endpoints map[string]*endpoint          // by identity
-	forgotten time.Time                     // when endpoints that are gone were last dropped
-	workloads map[string]selection.Workload // by request kind
-	crowding  map[string]selection.Crowding // by service
-	prospects map[string]selection.Prospect // by service
-	warming   map[string]selection.Warming  // by service
-	waiters   map[string]waiters            // by service
-	listed    map[string]bool               // services whose endpoints were ranked before
-	pools     map[string]pool               // by service
-	hints     admission.Hints
-	rng       *rand.Rand
-}
-
-// endpoint is what is remembered of one endpoint. Its values are replaced with
-// Chooser.mu held.
-type endpoint struct {
-	start     int64 // which start of it
-	state     selection.Endpoint
+	cfg            Config
+	opts           selection.Options
+	sequence       atomic.Uint64
+	startNanos     int64 // start of the process in Unix nanoseconds, part of request IDs
+	probes         metrics.Counter
+	unwantedSends  unwantedSends
+	leavingReports metrics.Counter // endpoints that announced that they are leaving
+	unread         *unreadHeaders
+
+	mu         sync.Mutex
+	endpoints  map[string]*endpointState     // by VM
+	lastForget time.Time                     // when the states of endpoints that are gone were last dropped
+	workloads  map[string]selection.Workload // by request kind
+	crowding   map[string]selection.Crowding // by service
+	prospects  map[string]selection.Prospect // by service
+	warming    map[string]selection.Warming  // by service
+	waiters    map[string]waiters            // by service
+	listed     map[string]bool               // services that had listed endpoints in an earlier ranking
+	pools      map[string]pool               // by service
+	hints      admission.Hints
+	rng        *rand.Rand
+}
+
+// endpointState is what this process knows of one start of an endpoint. Its fields are replaced
+// with Chooser.mu held.
+type endpointState struct {
+	start     int64              // identifies the start
+	observed  selection.Endpoint // its load and health
 	admission admission.State
 	probes    selection.ProbeBudget
 }
@@ -140,44 +141,44 @@
 // New returns a chooser.
 func New(cfg Config) *Chooser {
 	now := time.Now().UnixNano()
-	cfg.ForgetEvery = cmp.Or(cfg.ForgetEvery, forgetEvery)
+	cfg.ForgetInterval = cmp.Or(cfg.ForgetInterval, defaultForgetInterval)
 	cfg.PoolSize = cmp.Or(cfg.PoolSize, subset.Size)
 	return &Chooser{
-		cfg:       cfg,
-		opts:      cfg.Options.WithDefaults(),
-		born:      now,
-		probes:    metrics.GetOrRegisterCounter("probes", cfg.Metrics),
-		unwanted:  newUnwanted(cfg.Metrics),
-		leavers:   metrics.GetOrRegisterCounter("endpoints_said_leaving", cfg.Metrics),
-		unread:    newUnreadHeaders(cfg.Log, cfg.Metrics),
-		endpoints: map[string]*endpoint{},
-		workloads: map[string]selection.Workload{},
-		crowding:  map[string]selection.Crowding{},
-		prospects: map[string]selection.Prospect{},
-		warming:   map[string]selection.Warming{},
-		waiters:   map[string]waiters{},
-		listed:    map[string]bool{},
-		pools:     map[string]pool{},
-		rng:       rand.New(rand.NewPCG(uint64(now), rand.Uint64())),
+		cfg:            cfg,
+		opts:           cfg.Options.WithDefaults(),
+		startNanos:     now,
+		probes:         metrics.GetOrRegisterCounter("probes", cfg.Metrics),
+		unwantedSends:  newUnwantedSends(cfg.Metrics),
+		leavingReports: metrics.GetOrRegisterCounter("endpoints_said_leaving", cfg.Metrics),
+		unread:         newUnreadHeaders(cfg.Log, cfg.Metrics),
+		endpoints:      map[string]*endpointState{},
+		workloads:      map[string]selection.Workload{},
+		crowding:       map[string]selection.Crowding{},
+		prospects:      map[string]selection.Prospect{},
+		warming:        map[string]selection.Warming{},
+		waiters:        map[string]waiters{},
+		listed:         map[string]bool{},
+		pools:          map[string]pool{},
+		rng:            rand.New(rand.NewPCG(uint64(now), rand.Uint64())),
 	}
 }
 
-// Resume ages what is remembered of endpoints after the VM was suspended for a while.
+// Resume ages the states of endpoints after the VM was suspended for the duration slept.
 func (c *Chooser) Resume(slept time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, e := range c.endpoints {
-		e.state = e.state.WithSuspension(slept)
+		e.observed = e.observed.WithSuspension(slept)
 		e.admission = e.admission.WithSuspension(slept)
 	}
 }
 
-// NextID returns an identity for a request, unique among all balancers.
+// NextID returns a request ID that is unique among all balancers.
 func (c *Chooser) NextID() string {
-	return fmt.Sprintf("%s-%x-%x", c.cfg.ID, c.born, c.sequence.Add(1))
+	return fmt.Sprintf("%s-%x-%x", c.cfg.ID, c.startNanos, c.sequence.Add(1))
 }
 
-// Route finds the route of a request.
+// Route returns the route of a request, or the reason why there is none.
 func (c *Chooser) Route(host, _, path string) (tenant.Route, reason.Code) {
 	cfg := c.cfg.Directory.Snapshot().Config
 	if cfg == nil {
@@ -188,10 +189,10 @@
 	return route, code
 }
 
-// Service returns a service. How many balancers share its connections is not known
-// here.
+// Service returns the configuration of a service, and 0: how many balancers share its connections
+// is not known here.
 func (c *Chooser) Service(_, service string) (tenant.Service, int) {
-	return c.serviceOf(service), 0
+	return c.serviceConfig(service), 0
 }
 
 // Ready reports whether requests can be routed and, if not, why.
@@ -206,7 +207,7 @@
 	return true, ""
 }
 
-// readyPoll is the pause between two looks whether requests can be routed.
+// readyPoll is the pause between two checks of Ready in WaitReady.
 const readyPoll = 2 * time.Millisecond
 
 // WaitReady waits until requests can be routed, at most as long as within.
@@ -220,14 +221,14 @@
 	}
 }
 
-// Leave hands duties for other balancers over, where there are any.
+// Leave hands the duties of this balancer to other balancers, if it has any.
 func (c *Chooser) Leave(ctx context.Context) {
 	if c.cfg.Handover != nil {
 		c.cfg.Handover(ctx)
 	}
 }
 
-// Close ends the following of the directory.
+// Close stops the updates of the directory.
 func (c *Chooser) Close() {
 	if c.cfg.Stop != nil {
 		c.cfg.Stop()
--- a/direct/direct_test.go
+++ b/direct/direct_test.go
@@ -22,26 +22,27 @@
 	"gotest.tools/v3/assert"
 )
 
-// fakeProber answers for endpoints by address.
+// fakeProber responds to probes from a table, by address.
 type fakeProber struct {
-	mu      sync.Mutex
-	answers map[string]upstream.Report
-	asked   map[string]int
+	mu         sync.Mutex
+	answers    map[string]upstream.Report
+	probeCount map[string]int
 }
 
-var errSilent = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
 func (p *fakeProber) Probe(_ context.Context, addr, _ string, _ time.Duration) (upstream.Report, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asked[addr]++
+	p.probeCount[addr]++
 	answer, ok := p.answers[addr]
 	if !ok {
-		return upstream.Report{}, errSilent
+		return upstream.Report{}, errNoResponse
 	}
 	return answer, nil
 }
 
+// set sets the running requests and the pace that the endpoint at an address reports.
 func (p *fakeProber) set(addr string, running int, pace float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,39 +52,39 @@
 	}
 }
 
-// total returns how many probes the endpoints at the addresses got.
-func (p *fakeProber) total(addrs ...string) int {
+// probesTo returns the number of probes sent to the addresses.
+func (p *fakeProber) probesTo(addrs ...string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
 	for _, addr := range addrs {
-		n += p.asked[addr]
+		n += p.probeCount[addr]
 	}
 	return n
 }
 
-// rig is a chooser over endpoints e0, e1, ..., whose addresses are their names;
-// even ones are in the chooser's zone.
-type rig struct {
+// fixture is a chooser with endpoints e0, e1, ..., whose addresses are their names. Those with even
+// numbers are in the chooser's zone.
+type fixture struct {
 	*direct.Chooser
 	directory *directory.Directory
 	prober    *fakeProber
 }
 
-func newRig(endpoints int, opts selection.Options) *rig {
-	return newRigForgetting(endpoints, opts, 0)
+func newFixture(endpoints int, opts selection.Options) *fixture {
+	return newFixtureForgetting(endpoints, opts, 0)
 }
 
-// newRigForgetting looks for endpoints that are gone as often as told.
-func newRigForgetting(endpoints int, opts selection.Options, forgetEvery time.Duration) *rig {
-	return newRigWith(endpoints, opts, forgetEvery, nil)
+// newFixtureForgetting is newFixture with a Config.ForgetInterval.
+func newFixtureForgetting(endpoints int, opts selection.Options, forgetInterval time.Duration) *fixture {
+	return newFixtureWithLimits(endpoints, opts, forgetInterval, nil)
 }
 
-// newRigWith is newRigForgetting with what holds endpoints to their limits.
-func newRigWith(endpoints int, opts selection.Options, forgetEvery time.Duration, l direct.Limits) *rig {
+// newFixtureWithLimits is newFixtureForgetting with Config.Limits.
+func newFixtureWithLimits(endpoints int, opts selection.Options, forgetInterval time.Duration, l direct.Limits) *fixture {
 	d := directory.New()
 	var entries []directory.Entry
-	prober := &fakeProber{answers: map[string]upstream.Report{}, asked: map[string]int{}}
+	prober := &fakeProber{answers: map[string]upstream.Report{}, probeCount: map[string]int{}}
 	for i := range endpoints {
 		id := fmt.Sprintf("e%d", i)
 		zone := []string{"near", "far"}[i%2]
@@ -98,41 +99,43 @@
 	}})
 	config := &directory.Config{Version: 5, Routes: routes, Services: map[string]tenant.Service{"s": {ProbePath: "/health"}}}
 	d.Apply(directory.Changes{Config: config, Entries: entries}, time.Now())
-	return &rig{directory: d, prober: prober, Chooser: direct.New(direct.Config{
-		ID: "vm-1", Zone: "near", Regions: map[string]string{"near": "west", "far": "east"}, Directory: d, Client: prober, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Options: opts, ForgetEvery: forgetEvery, Limits: l,
+	return &fixture{directory: d, prober: prober, Chooser: direct.New(direct.Config{
+		ID: "vm-1", Zone: "near", Regions: map[string]string{"near": "west", "far": "east"}, Directory: d, Client: prober, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Options: opts, ForgetInterval: forgetInterval, Limits: l,
 	})}
 }
 
-// ask is a request with an hour to its target, so that nothing is refused for
-// want of time.
-func ask() placement.Request {
+// newRequest returns a request with a target of an hour, so that it is not refused for lack of
+// time.
+func newRequest() placement.Request {
 	now := time.Now()
 	return placement.Request{ID: "id", Service: "t/s", Kind: "k", Accepted: now, Target: time.Hour, Deadline: now.Add(2 * time.Hour)}
 }
 
-// learn lets the chooser learn that the kind's work takes a millisecond.
-func (r *rig) learn(t *testing.T) {
+// learn makes the chooser learn that requests of the kind take a millisecond.
+func (r *fixture) learn(t *testing.T) {
 	t.Helper()
-	g, refused := r.Acquire(context.Background(), ask())
+	g, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
 	r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 }
 
-// hurried is a request whose time to look has passed.
-func hurried() placement.Request {
-	a := ask()
+// overdueRequest returns a request whose target has passed, so that it does not wait for an
+// endpoint.
+func overdueRequest() placement.Request {
+	a := newRequest()
 	a.Target = time.Nanosecond
 	return a
 }
 
-// TestSlowAndFullEndpointsAreNotChosen while another will do.
+// TestSlowAndFullEndpointsAreNotChosen checks that slow and full endpoints get no request while
+// another one is good.
 func TestSlowAndFullEndpointsAreNotChosen(t *testing.T) {
 	for range 20 {
-		r := newRig(4, selection.Options{})
+		r := newFixture(4, selection.Options{})
 		r.prober.set("e0", 0, 5)
 		r.prober.set("e1", 3, 1)
 		r.prober.set("e2", 0, 5)
-		g, refused := r.Acquire(context.Background(), ask())
+		g, refused := r.Acquire(context.Background(), newRequest())
 		assert.Assert(t, refused == nil)
 		assert.Equal(t, g.Endpoint.VM, "e3")
 		assert.Equal(t, g.Choice.Pace, 1.0)
@@ -140,26 +143,28 @@
 	}
 }
 
-// TestOwnZoneIsAskedFirst, and others only where it will not do.
-func TestOwnZoneIsAskedFirst(t *testing.T) {
-	r := newRig(6, selection.Options{ProbeBurst: 1000})
+// TestOwnZoneIsProbedFirst checks that endpoints in other zones are neither probed nor chosen while
+// those of the own zone are good.
+func TestOwnZoneIsProbedFirst(t *testing.T) {
+	r := newFixture(6, selection.Options{ProbeBurst: 1000})
 	for range 20 {
-		g, refused := r.Acquire(context.Background(), ask())
+		g, refused := r.Acquire(context.Background(), newRequest())
 		assert.Assert(t, refused == nil)
 		assert.Equal(t, g.Endpoint.Zone, "near")
 		r.Complete(g, placement.Result{Outcome: placement.Completed, Took: 100 * time.Millisecond})
 	}
 	for _, far := range []string{"e1", "e3", "e5"} {
-		assert.Equal(t, r.prober.asked[far], 0)
+		assert.Equal(t, r.prober.probeCount[far], 0)
 	}
 }
 
-// TestNobodyInTimeIsRefusedAtOnce, with what was known and when to come back.
-func TestNobodyInTimeIsRefusedAtOnce(t *testing.T) {
-	r := newRig(2, selection.Options{})
+// TestRefusesIfNoEndpointIsInTime checks the reason and the search summary of a request that no
+// endpoint can answer in time.
+func TestRefusesIfNoEndpointIsInTime(t *testing.T) {
+	r := newFixture(2, selection.Options{})
 	r.prober.set("e0", 3, 1)
 	r.prober.set("e1", 0, 5)
-	_, refused := r.Acquire(context.Background(), hurried())
+	_, refused := r.Acquire(context.Background(), overdueRequest())
 	assert.Assert(t, refused != nil)
 	assert.Equal(t, refused.Reason, reason.TooLate)
 	assert.Equal(t, refused.Search.Known, 2)
@@ -167,28 +172,29 @@
 	assert.Equal(t, refused.Search.Probes, 2)
 }
 
-// TestWaitsForAPlace that becomes free.
-func TestWaitsForAPlace(t *testing.T) {
-	r := newRig(1, selection.Options{LookAgain: time.Millisecond, ProbeRate: 1e6})
+// TestWaitsForFreeSlot checks that a request waits until a slot becomes free.
+func TestWaitsForFreeSlot(t *testing.T) {
+	r := newFixture(1, selection.Options{LookAgain: time.Millisecond, ProbeRate: 1e6})
 	r.prober.set("e0", 3, 1)
 	granted := make(chan placement.Grant)
 	go func() {
-		g, _ := r.Acquire(context.Background(), ask())
+		g, _ := r.Acquire(context.Background(), newRequest())
 		granted <- g
 	}()
 	r.prober.set("e0", 1, 1)
 	assert.Equal(t, (<-granted).Endpoint.VM, "e0")
 }
 
-// TestCompletionWakesWhoWaits, without a probe and long before it would look again.
-func TestCompletionWakesWhoWaits(t *testing.T) {
-	r := newRig(1, selection.Options{LookAgain: time.Hour, ProbeRate: 1e-9, ProbeBurst: 2})
+// TestCompletionWakesWaitingRequest checks that the completion of a request wakes a waiting one,
+// without a probe and long before its pause is over.
+func TestCompletionWakesWaitingRequest(t *testing.T) {
+	r := newFixture(1, selection.Options{LookAgain: time.Hour, ProbeRate: 1e-9, ProbeBurst: 2})
 	r.prober.set("e0", 2, 1)
-	held, refused := r.Acquire(context.Background(), ask())
+	held, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
 	granted := make(chan placement.Grant)
 	go func() {
-		g, _ := r.Acquire(context.Background(), ask())
+		g, _ := r.Acquire(context.Background(), newRequest())
 		granted <- g
 	}()
 	for r.Waiting("s") == 0 {
@@ -202,19 +208,19 @@
 	assert.Equal(t, r.Waiting("s"), 0)
 }
 
-// TestEndpointThatJoinedGetsRequests though all others are well and known. Time is
-// virtual.
-func TestEndpointThatJoinedGetsRequests(t *testing.T) {
+// TestJoinedEndpointGetsRequests checks that a new endpoint is tried although the known ones are
+// good. Time is virtual.
+func TestJoinedEndpointGetsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(2, selection.Options{ProbeBurst: 1e6})
+		r := newFixture(2, selection.Options{ProbeBurst: 1e6})
 		use := func() string {
 			time.Sleep(time.Second)
-			g, refused := r.Acquire(context.Background(), ask())
+			g, refused := r.Acquire(context.Background(), newRequest())
 			assert.Assert(t, refused == nil)
 			r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 			return g.Endpoint.VM
 		}
-		assert.Equal(t, use(), "e0", "the one of the own zone")
+		assert.Equal(t, use(), "e0", "the only one in the own zone")
 		r.prober.set("new", 0, 1)
 		r.directory.Apply(directory.Changes{At: 9, Entries: []directory.Entry{{
 			Endpoint: directory.Endpoint{Endpoint: placement.Endpoint{VM: "new", Addr: "new", Zone: "near", Slots: 3}, Service: "s"}, Revision: 9,
@@ -223,35 +229,38 @@
 	})
 }
 
-// TestUnknownKindIsTriedAfterAll: where the first guess of its work is too long for
-// every endpoint, refusals make it shorter until one is sent.
-func TestUnknownKindIsTriedAfterAll(t *testing.T) {
-	r := newRig(1, selection.Options{RefuseShare: 1e-12, ProbeFresh: time.Nanosecond, ProbeBurst: 1000})
+// TestRefusalsLowerInitialEstimate checks that refusals lower the estimate for a kind without
+// completions until a request is sent. Otherwise an estimate too high for every endpoint would
+// never be corrected.
+func TestRefusalsLowerInitialEstimate(t *testing.T) {
+	r := newFixture(1, selection.Options{RefuseShare: 1e-12, ProbeFresh: time.Nanosecond, ProbeBurst: 1000})
 	r.prober.set("e0", 0, 5)
-	_, refused := r.Acquire(context.Background(), ask())
-	assert.Assert(t, refused != nil, "five times a third of the target is too long")
-	_, refused = r.Acquire(context.Background(), ask())
+	_, refused := r.Acquire(context.Background(), newRequest())
+	assert.Assert(t, refused != nil, "five times a third of the target exceeds the target")
+	_, refused = r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
 }
 
-// TestCallerThatLeavesIsNotServed.
-func TestCallerThatLeavesIsNotServed(t *testing.T) {
-	r := newRig(1, selection.Options{LookAgain: time.Millisecond, ProbeRate: 1e6})
+// TestCanceledRequestStopsWaiting checks that a waiting request is refused once its caller has
+// left.
+func TestCanceledRequestStopsWaiting(t *testing.T) {
+	r := newFixture(1, selection.Options{LookAgain: time.Millisecond, ProbeRate: 1e6})
 	r.prober.set("e0", 3, 1)
 	ctx, leave := context.WithCancel(context.Background())
 	ended := make(chan *placement.Refusal)
 	go func() {
-		_, refused := r.Acquire(ctx, ask())
+		_, refused := r.Acquire(ctx, newRequest())
 		ended <- refused
 	}()
 	leave()
 	assert.Equal(t, (<-ended).Reason, reason.CallerLeft)
 }
 
-// TestTriedEndpointsAreAvoided, and none is left where all were tried.
+// TestTriedEndpointsAreAvoided checks that a request does not return to an endpoint it has tried,
+// and is refused once it has tried all.
 func TestTriedEndpointsAreAvoided(t *testing.T) {
-	r := newRig(2, selection.Options{})
-	a := ask()
+	r := newFixture(2, selection.Options{})
+	a := newRequest()
 	a.Avoid = []string{"e0"}
 	g, refused := r.Acquire(context.Background(), a)
 	assert.Assert(t, refused == nil)
@@ -261,32 +270,33 @@
 	assert.Equal(t, refused.Reason, reason.NoEndpoint)
 }
 
-// TestAnotherInstanceAtTheAddress, told by a probe or by a request's answer,
-// takes the endpoint out.
-func TestAnotherInstanceAtTheAddress(t *testing.T) {
-	r := newRig(3, selection.Options{})
+// TestAnotherInstanceAtAddress checks that an endpoint gets no more requests once a probe, or the
+// response to a request, shows that another instance answers at its address.
+func TestAnotherInstanceAtAddress(t *testing.T) {
+	r := newFixture(3, selection.Options{})
 	r.prober.mu.Lock()
 	answer := r.prober.answers["e0"]
 	answer.Instance = "stranger"
 	r.prober.answers["e0"] = answer
 	r.prober.mu.Unlock()
 	for range 10 {
-		g, refused := r.Acquire(context.Background(), ask())
+		g, refused := r.Acquire(context.Background(), newRequest())
 		assert.Assert(t, refused == nil)
 		assert.Assert(t, g.Endpoint.VM != "e0")
 		r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	}
-	g, _ := r.Acquire(context.Background(), ask())
+	g, _ := r.Acquire(context.Background(), newRequest())
 	r.Complete(g, placement.Result{Outcome: placement.Unused, Replaced: true})
 	for _, e := range r.directory.Snapshot().Endpoints["s"] {
 		assert.Assert(t, e.VM != g.Endpoint.VM)
 	}
 }
 
-// TestFailingEndpointIsEjected and comes back only where nobody else is left.
+// TestFailingEndpointIsEjected checks that a failing endpoint is ejected, and is used again only if
+// there is no other.
 func TestFailingEndpointIsEjected(t *testing.T) {
-	r := newRig(3, selection.Options{})
-	failing := ask()
+	r := newFixture(3, selection.Options{})
+	failing := newRequest()
 	failing.Avoid = []string{"e1", "e2"}
 	for range 3 {
 		g, refused := r.Acquire(context.Background(), failing)
@@ -294,56 +304,58 @@
 		r.Complete(g, placement.Result{Outcome: placement.Failed})
 	}
 	for range 10 {
-		g, refused := r.Acquire(context.Background(), ask())
+		g, refused := r.Acquire(context.Background(), newRequest())
 		assert.Assert(t, refused == nil)
 		assert.Assert(t, g.Endpoint.VM != "e0")
 		r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	}
 	g, refused := r.Acquire(context.Background(), failing)
 	assert.Assert(t, refused == nil)
-	assert.Equal(t, g.Endpoint.VM, "e0", "the last one is used whatever it did")
+	assert.Equal(t, g.Endpoint.VM, "e0", "an ejected endpoint is used if it is the only one")
 }
 
-// TestNobodyWaitsAtAnEndpoint: one whose slots are all taken gets nothing, even
-// where it is thought to answer in time.
-func TestNobodyWaitsAtAnEndpoint(t *testing.T) {
-	r := newRig(1, selection.Options{RefuseShare: 1e-12, ProbeFresh: time.Nanosecond, ProbeBurst: 1000})
+// TestFullEndpointGetsNothing checks that an endpoint whose slots are all taken gets no request,
+// even if its estimate is within the target.
+func TestFullEndpointGetsNothing(t *testing.T) {
+	r := newFixture(1, selection.Options{RefuseShare: 1e-12, ProbeFresh: time.Nanosecond, ProbeBurst: 1000})
 	r.learn(t)
 	r.prober.set("e0", 3, 1)
-	_, refused := r.Acquire(context.Background(), ask())
+	_, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused != nil)
 	assert.Equal(t, refused.Reason, reason.TooLate)
 	r.prober.set("e0", 2, 5)
-	g, refused := r.Acquire(context.Background(), ask())
-	assert.Assert(t, refused == nil, "its last slot is used, slow as it is")
+	g, refused := r.Acquire(context.Background(), newRequest())
+	assert.Assert(t, refused == nil, "the last slot of a slow endpoint is used")
 	assert.Equal(t, g.Choice.Busy, 3)
 }
 
-// TestSilentEndpointIsPassedOver.
-func TestSilentEndpointIsPassedOver(t *testing.T) {
-	r := newRig(3, selection.Options{ProbeBurst: 1000})
+// TestUnresponsiveEndpointIsAvoided checks that an endpoint that does not answer probes is not
+// chosen.
+func TestUnresponsiveEndpointIsAvoided(t *testing.T) {
+	r := newFixture(3, selection.Options{ProbeBurst: 1000})
 	r.prober.mu.Lock()
 	delete(r.prober.answers, "e0")
 	r.prober.mu.Unlock()
 	for range 10 {
-		g, refused := r.Acquire(context.Background(), ask())
+		g, refused := r.Acquire(context.Background(), newRequest())
 		assert.Assert(t, refused == nil)
 		assert.Assert(t, g.Endpoint.VM != "e0")
 		r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	}
 }
 
-// TestProbesKeepTheirRate for each endpoint.
-func TestProbesKeepTheirRate(t *testing.T) {
-	r := newRig(1, selection.Options{ProbeRate: 1e-9, ProbeBurst: 5, ProbeFresh: time.Nanosecond})
+// TestProbeRateIsBounded checks that the probes of one endpoint are limited to its budget.
+func TestProbeRateIsBounded(t *testing.T) {
+	r := newFixture(1, selection.Options{ProbeRate: 1e-9, ProbeBurst: 5, ProbeFresh: time.Nanosecond})
 	for range 50 {
-		g, _ := r.Acquire(context.Background(), ask())
+		g, _ := r.Acquire(context.Background(), newRequest())
 		r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	}
-	assert.Equal(t, r.prober.asked["e0"], 5)
+	assert.Equal(t, r.prober.probeCount["e0"], 5)
 }
 
-// TestReadyNeedsConfigurationAndEndpoints.
+// TestReadyNeedsConfigurationAndEndpoints checks Ready, Route and Status with and without a
+// configuration and endpoints.
 func TestReadyNeedsConfigurationAndEndpoints(t *testing.T) {
 	d := directory.New()
 	f := direct.New(direct.Config{Directory: d, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
@@ -352,7 +364,7 @@
 	assert.Equal(t, why, "no configuration")
 	_, code := f.Route("a.example", "GET", "/")
 	assert.Equal(t, code, reason.NotReady)
-	r := newRig(1, selection.Options{})
+	r := newFixture(1, selection.Options{})
 	ok, _ = r.Ready()
 	assert.Assert(t, ok)
 	route, _ := r.Route("a.example", "GET", "/")
@@ -360,15 +372,16 @@
 	assert.Equal(t, r.Status().Endpoints[0].ID, "e0")
 }
 
-// TestManyRequestsAtOnce share the endpoints' states; run with -race.
-func TestManyRequestsAtOnce(t *testing.T) {
-	r := newRig(3, selection.Options{ProbeBurst: 1e6, ProbeFresh: time.Nanosecond})
+// TestConcurrentRequests makes requests share the endpoint states concurrently. It is of use with
+// -race.
+func TestConcurrentRequests(t *testing.T) {
+	r := newFixture(3, selection.Options{ProbeBurst: 1e6, ProbeFresh: time.Nanosecond})
 	var all sync.WaitGroup
 	var granted atomic.Int64
 	for range 16 {
 		all.Go(func() {
 			for range 40 {
-				g, refused := r.Acquire(context.Background(), hurried())
+				g, refused := r.Acquire(context.Background(), overdueRequest())
 				if refused == nil {
 					granted.Add(1)
 					r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
@@ -380,29 +393,29 @@
 	assert.Assert(t, granted.Load() > 0)
 }
 
-// TestEndpointsMissingForLongAreGone: those that went together serve as a last
-// resort for some seconds, and no longer.
-func TestEndpointsMissingForLongAreGone(t *testing.T) {
-	r := newRig(2, selection.Options{})
+// TestMissingEndpointsAreUsedBriefly checks that endpoints that go missing from the store all at
+// once are used as a last resort for some seconds, and no longer.
+func TestMissingEndpointsAreUsedBriefly(t *testing.T) {
+	r := newFixture(2, selection.Options{})
 	r.directory.Apply(directory.Changes{Whole: true, At: 9}, time.Now())
-	_, refused := r.Acquire(context.Background(), ask())
+	_, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
-	r = newRig(2, selection.Options{})
+	r = newFixture(2, selection.Options{})
 	r.directory.Apply(directory.Changes{Whole: true, At: 9}, time.Now().Add(-10*time.Second))
-	_, refused = r.Acquire(context.Background(), ask())
+	_, refused = r.Acquire(context.Background(), newRequest())
 	assert.Equal(t, refused.Reason, reason.NoEndpoint)
 }
 
-// BenchmarkAcquire is a choice among so many endpoints that are at their usual
-// pace, probes included. Among 5,772 it took 2.4 ms and 387 KB while each choice looked at
-// all of them, and takes as much as among 185 since it looks at a subset.
+// BenchmarkAcquire measures one choice, probes included, among endpoints that are at their usual
+// pace. Among 5,772 it took 2.4 ms and 387 KB when each choice considered all of them. It takes as
+// much as among 185 now that each choice considers a subset.
 func BenchmarkAcquire(b *testing.B) {
 	for _, endpoints := range []int{10, 40, 185, 5772} {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
-			r := newRig(endpoints, selection.Options{})
+			r := newFixture(endpoints, selection.Options{})
 			b.ReportAllocs()
 			for b.Loop() {
-				g, refused := r.Acquire(context.Background(), ask())
+				g, refused := r.Acquire(context.Background(), newRequest())
 				if refused != nil {
 					b.Fatal(refused.Reason)
 				}
@@ -412,10 +425,11 @@
 	}
 }
 
-// TestGoneEndpointsAreForgotten once they hold no request.
+// TestGoneEndpointsAreForgotten checks that the state of an endpoint that is gone is dropped once
+// it holds no request.
 func TestGoneEndpointsAreForgotten(t *testing.T) {
-	r := newRigForgetting(3, selection.Options{}, time.Nanosecond)
-	held, refused := r.Acquire(context.Background(), ask())
+	r := newFixtureForgetting(3, selection.Options{}, time.Nanosecond)
+	held, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
 	other, refused := r.Acquire(context.Background(), placement.Request{ID: "b", Service: "t/s", Avoid: []string{held.Endpoint.VM}, Target: time.Hour, Deadline: time.Now().Add(time.Hour), Accepted: time.Now()})
 	assert.Assert(t, refused == nil)
@@ -424,19 +438,19 @@
 	}}, Whole: true}, time.Now().Add(-time.Hour))
 	r.directory.Apply(directory.Changes{At: 10}, time.Now())
 	r.Complete(other, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
-	assert.Equal(t, r.Remembered(), 1, "the endpoint that still holds a request")
+	assert.Equal(t, r.RememberedCount(), 1, "the endpoint that still holds a request")
 	r.Complete(held, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
-	assert.Equal(t, r.Remembered(), 0)
+	assert.Equal(t, r.RememberedCount(), 0)
 }
 
-// TestLooksPastTheLastSlot: an endpoint with its last slot free is good, but is not
-// taken while those probed lately were idle, and is when they are as busy.
-func TestLooksPastTheLastSlot(t *testing.T) {
+// TestProbesBeyondNearlyFullEndpoint checks that a good endpoint with only its last slot free is
+// not taken while most of those probed recently were idle, and is taken when they are as busy.
+func TestProbesBeyondNearlyFullEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(8, selection.Options{ProbeBurst: 1000})
+		r := newFixture(8, selection.Options{ProbeBurst: 1000})
 		take := func() placement.Grant {
-			time.Sleep(time.Second) // no report is fresh any more
-			g, refused := r.Acquire(context.Background(), ask())
+			time.Sleep(time.Second) // all reports are outdated
+			g, refused := r.Acquire(context.Background(), newRequest())
 			assert.Assert(t, refused == nil)
 			r.Complete(g, placement.Result{Outcome: placement.Completed, Took: 100 * time.Millisecond})
 			return g
@@ -444,12 +458,12 @@
 		for range 20 {
 			assert.Equal(t, take().Choice.Probes, 1)
 		}
-		for range 30 { // the one that was taken last is among the first to be probed
+		for range 30 { // the endpoint taken last is among the first to be probed
 			last := take().Endpoint.VM
 			r.prober.set(last, 2, 1)
 			assert.Assert(t, take().Endpoint.VM != last)
 			r.prober.set(last, 0, 1)
-			for range 6 { // most of those seen lately are idle
+			for range 6 { // so that most of those probed recently are idle
 				take()
 			}
 		}
@@ -459,6 +473,6 @@
 		for range 30 {
 			take()
 		}
-		assert.Equal(t, take().Choice.Probes, 1, "no other one is expected to be better")
+		assert.Equal(t, take().Choice.Probes, 1, "no other endpoint is expected to be better")
 	})
 }
--- a/direct/evacuation_test.go
+++ b/direct/evacuation_test.go
@@ -12,27 +12,27 @@
 	"gotest.tools/v3/assert"
 )
 
-// empty lets an operator empty zones, or take them back.
-func (r *rig) empty(revision uint64, over bool, zones ...string) {
-	var told []directory.Evacuation
+// evacuate evacuates zones, or ends their evacuation.
+func (r *fixture) evacuate(revision uint64, ended bool, zones ...string) {
+	var evacuations []directory.Evacuation
 	for _, zone := range zones {
-		told = append(told, directory.Evacuation{Zone: zone, Over: over, Revision: revision})
+		evacuations = append(evacuations, directory.Evacuation{Zone: zone, Over: ended, Revision: revision})
 	}
-	r.directory.Apply(directory.Changes{Evacuations: told}, time.Now())
+	r.directory.Apply(directory.Changes{Evacuations: evacuations}, time.Now())
 }
 
-// TestEmptiedZoneGetsNothing: neither requests, their second attempts nor probes, though
-// all endpoints elsewhere are full and slow, and the emptied zone is the balancer's own.
-func TestEmptiedZoneGetsNothing(t *testing.T) {
-	r := newRig(6, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
+// TestEvacuatedZoneGetsNothing checks that an evacuated zone gets no requests, no second attempts
+// and no probes, even if it is the balancer's own and all endpoints elsewhere are full and slow.
+func TestEvacuatedZoneGetsNothing(t *testing.T) {
+	r := newFixture(6, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
 	r.learn(t)
-	r.empty(10, false, "near")
-	before := r.prober.total("e0", "e2", "e4")
+	r.evacuate(10, false, "near")
+	before := r.prober.probesTo("e0", "e2", "e4")
 	for _, far := range []string{"e1", "e3", "e5"} {
 		r.prober.set(far, 2, 5)
 	}
 	for range 20 {
-		again := hurried()
+		again := overdueRequest()
 		again.Target = 0
 		again.Avoid = []string{"e1", "e3"}
 		g, refused := r.Acquire(context.Background(), again)
@@ -40,24 +40,25 @@
 		assert.Equal(t, g.Endpoint.VM, "e5")
 		r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	}
-	assert.Equal(t, r.prober.total("e0", "e2", "e4"), before)
+	assert.Equal(t, r.prober.probesTo("e0", "e2", "e4"), before)
 	assert.DeepEqual(t, r.Status().Evacuated, []string{"near"})
 
-	r.empty(11, true, "near")
-	g, refused := r.Acquire(context.Background(), ask())
+	r.evacuate(11, true, "near")
+	g, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
-	assert.Equal(t, g.Endpoint.Zone, "near", "taken back")
+	assert.Equal(t, g.Endpoint.Zone, "near", "the evacuation has ended")
 }
 
-// TestAllZonesEmptiedIsRefusedAtOnce, with a reason of its own.
-func TestAllZonesEmptiedIsRefusedAtOnce(t *testing.T) {
-	r := newRig(4, selection.Options{})
-	r.empty(10, false, "near", "far")
-	_, refused := r.Acquire(context.Background(), ask())
+// TestRefusesIfAllZonesAreEvacuated checks that requests are refused with their own reason if all
+// zones are evacuated, without a probe, and that the balancer stays ready.
+func TestRefusesIfAllZonesAreEvacuated(t *testing.T) {
+	r := newFixture(4, selection.Options{})
+	r.evacuate(10, false, "near", "far")
+	_, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused != nil)
 	assert.Equal(t, refused.Reason, reason.Evacuated)
 	assert.Assert(t, refused.RetryAfter > 0)
-	assert.Equal(t, r.prober.total("e0", "e1", "e2", "e3"), 0)
+	assert.Equal(t, r.prober.probesTo("e0", "e1", "e2", "e3"), 0)
 	ready, _ := r.Ready()
 	assert.Assert(t, ready, "another balancer could not serve it either")
 }
--- a/direct/hear.go
+++ b/direct/hear.go
@@ -11,14 +11,14 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Sources of what an endpoint has said, as they are logged.
+// Sources of what an endpoint announces about itself, as they are logged.
 const (
-	fromAnswer = "answer" // to a request
-	fromProbe  = "probe"
+	sourceResponse = "answer" // the response to a request
+	sourceProbe    = "probe"
 )
 
-// Hear takes what the answer to an attempt says of its endpoint, as soon as its head is there,
-// whatever its status.
+// Hear processes what the response to an attempt says about its endpoint. It is called as soon as
+// the response header has arrived, whatever the status.
 func (c *Chooser) Hear(g placement.Grant, r upstream.Report) {
 	if r.None() {
 		return
@@ -27,89 +27,92 @@
 	if c.cfg.Limits != nil {
 		c.cfg.Limits.Answered(e, r.Limit)
 	}
-	c.hear(e, r, fromAnswer)
+	c.observe(e, r, sourceResponse)
 	if r.Ran && g.Choice.Trial {
-		c.proved(e, r)
+		c.recordTrialRun(e, r)
 	}
 }
 
-// hearProbe takes what the answer to a probe says. Another instance at the address speaks for
-// itself alone.
-func (c *Chooser) hearProbe(e limits.Endpoint, r upstream.Report) {
+// observeProbe processes what the response to a probe says about its endpoint. The response of
+// another instance at the same address says nothing about this endpoint and is ignored.
+func (c *Chooser) observeProbe(e limits.Endpoint, r upstream.Report) {
 	if r.OfAnother(e.ID) {
 		return
 	}
 	if c.cfg.Limits != nil {
 		c.cfg.Limits.Probed(e, r.Limit)
 	}
-	c.hear(e, r, fromProbe)
+	c.observe(e, r, sourceProbe)
 }
 
-// hear takes what any answer says of the endpoint itself.
-func (c *Chooser) hear(e limits.Endpoint, r upstream.Report, from string) {
-	c.unread.note(e, r.Unread)
+// observe processes what the response to a request or a probe says about the endpoint.
+func (c *Chooser) observe(e limits.Endpoint, r upstream.Report, source string) {
+	c.unread.record(e, r.Unread)
 	if r.Word.Silent() {
 		return
 	}
 	if r.Word.Leaving {
-		c.leaves(e, from, r.Heard)
+		c.handleLeaving(e, source, r.Heard)
 	}
-	if before, after := c.noteWord(e, r); after.Until() != before.Until() {
-		c.logBackoff(e, r, before.BackingOff(r.Heard), from)
-		c.tellBackoff(e, r.Word.Backoff, r.Heard)
+	if before, after := c.updateAdmission(e, r); after.Until() != before.Until() {
+		c.logBackoff(e, r, before.BackingOff(r.Heard), source)
+		c.publishBackoff(e, r.Word.Backoff, r.Heard)
 	}
 }
 
-// noteWord notes what an endpoint says, and returns what it had said before and what it has now.
-func (c *Chooser) noteWord(e limits.Endpoint, r upstream.Report) (before, after admission.State) {
+// updateAdmission adds what a response says to the admission state of its endpoint. It returns the
+// state before and after, both zero if no state of this start is kept.
+func (c *Chooser) updateAdmission(e limits.Endpoint, r upstream.Report) (before, after admission.State) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known, ok := c.endpoints[e.ID]
-	if !ok || known.start != e.Start {
+	state, ok := c.endpoints[e.ID]
+	if !ok || state.start != e.Start {
 		return before, after
 	}
-	before = known.admission
-	known.admission = before.With(r.Word, r.Heard)
-	return before, known.admission
+	before = state.admission
+	state.admission = before.With(r.Word, r.Heard)
+	return before, state.admission
 }
 
-// proved notes that an endpoint which had wanted no requests for a while has run one.
-func (c *Chooser) proved(e limits.Endpoint, r upstream.Report) {
+// recordTrialRun records that an endpoint ran a request after its backoff, so that it no longer
+// gets just one at a time.
+func (c *Chooser) recordTrialRun(e limits.Endpoint, r upstream.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if known, ok := c.endpoints[e.ID]; ok && known.start == e.Start {
-		known.admission = known.admission.WithRun(r.Asked)
+	if state, ok := c.endpoints[e.ID]; ok && state.start == e.Start {
+		state.admission = state.admission.WithRun(r.Asked)
 	}
 }
 
-// logBackoff logs that an endpoint asks for a backoff. One that does so again while it lasts is
-// logged for debugging only.
-func (c *Chooser) logBackoff(e limits.Endpoint, r upstream.Report, again bool, from string) {
+// logBackoff logs that an endpoint requested a backoff, at debug level if an earlier backoff still
+// lasts.
+func (c *Chooser) logBackoff(e limits.Endpoint, r upstream.Report, repeated bool, source string) {
 	log := c.cfg.Log.Info
-	if again {
+	if repeated {
 		log = c.cfg.Log.Debug
 	}
-	log("endpoint wants no requests", "id", e.ID, "service", e.Service, "for", r.Word.Backoff.String(), "from", from)
+	log("endpoint wants no requests", "id", e.ID, "service", e.Service, "for", r.Word.Backoff.String(), "from", source)
 }
 
-// noteSent counts a request that goes to an endpoint which has said that it wants none; c.mu is
-// held.
-func (c *Chooser) noteSent(e *endpoint, now time.Time) {
+// countUnwantedSend counts a request that is sent to an endpoint although it is leaving or backing
+// off; c.mu must be held.
+func (c *Chooser) countUnwantedSend(e *endpointState, now time.Time) {
 	if e.admission.Leaving() {
-		c.unwanted.leaving.Inc(1)
+		c.unwantedSends.leaving.Inc(1)
 	}
 	if e.admission.BackingOff(now) {
-		c.unwanted.backingOff.Inc(1)
+		c.unwantedSends.backingOff.Inc(1)
 	}
 }
 
-// unwanted counts requests sent to endpoints that had said that they want none.
-type unwanted struct {
+// unwantedSends counts the requests sent to endpoints that had announced that they were leaving or
+// backing off.
+type unwantedSends struct {
 	leaving, backingOff metrics.Counter
 }
 
-func newUnwanted(r metrics.Registry) unwanted {
-	return unwanted{
+func newUnwantedSends(r metrics.Registry) unwantedSends {
+	return unwantedSends{
 		leaving: metrics.GetOrRegisterCounter("sent_after_leaving", r), backingOff: metrics.GetOrRegisterCounter("sent_while_backing_off", r),
 	}
 }
--- a/direct/hints.go
+++ b/direct/hints.go
@@ -10,13 +10,13 @@
 	"github.com/lotuswing/lotuswing/relay"
 )
 
-// BackoffTopic is that of the notes by which a balancer tells all others that an endpoint wants no
-// requests from it for a while. They are free to send there, and do so last: with hundreds of
-// balancers each sends one endpoint less than a request in that time, so that none would learn from
-// its own.
+// BackoffTopic is the topic of the notes by which a balancer tells all others that an endpoint
+// wants no requests from it for a while. The others may still send requests there, but prefer other
+// endpoints. With hundreds of balancers each sends an endpoint less than one request during a
+// backoff, so none would learn of it from its own requests.
 const BackoffTopic = relay.Brief + "backoff"
 
-// backoffNote is the data of one, as JSON.
+// backoffNote is the payload of a note under BackoffTopic, as JSON.
 type backoffNote struct {
 	ID      string
 	Start   int64
@@ -24,15 +24,16 @@
 	For     time.Duration
 }
 
-// mostHinted bounds what is believed of a backoff that another balancer tells of.
-const mostHinted = time.Hour
+// maxHintedBackoff is the longest backoff that is accepted from another balancer.
+const maxHintedBackoff = time.Hour
 
-// errNoBackoff says that a note tells of no backoff.
-var errNoBackoff = errors.New("direct: note tells of no backoff")
+// errInvalidBackoffNote is returned for a note that cannot describe a current backoff.
+var errInvalidBackoffNote = errors.New("direct: backoff note has no endpoint ID, or an invalid duration or age")
 
-// tellBackoff tells all others of a backoff, where that may help them.
-func (c *Chooser) tellBackoff(e limits.Endpoint, d time.Duration, now time.Time) {
-	if c.cfg.Tell == nil || !c.mayTell(e, d, now) {
+// publishBackoff tells all other balancers about a backoff, unless they know of it already or too
+// many were published.
+func (c *Chooser) publishBackoff(e limits.Endpoint, d time.Duration, now time.Time) {
+	if c.cfg.Tell == nil || !c.reserveHint(e, d, now) {
 		return
 	}
 	data, err := json.Marshal(backoffNote{ID: e.ID, Start: e.Start, Service: e.Service, For: d})
@@ -40,39 +41,40 @@
 		err = c.cfg.Tell(BackoffTopic, data)
 	}
 	if err != nil {
-		c.cfg.Log.Warn("backoff not told", "id", e.ID, "error", err)
+		c.cfg.Log.Warn("failed to publish backoff note", "id", e.ID, "error", err)
 	}
 }
 
-// mayTell reports whether this balancer tells others of a backoff, and counts that it does.
-func (c *Chooser) mayTell(e limits.Endpoint, d time.Duration, now time.Time) bool {
+// reserveHint reports whether this balancer may tell the others about a backoff. If so, it counts
+// that, and stores the backoff in the endpoint's state as known to others.
+func (c *Chooser) reserveHint(e limits.Endpoint, d time.Duration, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known, ok := c.endpoints[e.ID]
-	if !ok || known.start != e.Start || !c.hints.Allow(known.admission, now) {
+	state, ok := c.endpoints[e.ID]
+	if !ok || state.start != e.Start || !c.hints.Allow(state.admission, now) {
 		return false
 	}
-	known.admission = known.admission.WithHint(d, now)
+	state.admission = state.admission.WithHint(d, now)
 	c.hints = c.hints.Told(now)
 	return true
 }
 
-// hearBackoff takes another balancer's word of a backoff.
-func (c *Chooser) hearBackoff(n relay.Note, now time.Time) error {
-	var said backoffNote
-	if err := json.Unmarshal(n.Data, &said); err != nil {
-		return fmt.Errorf("direct: note: %w", err)
+// applyBackoffNote processes a note of another balancer under BackoffTopic.
+func (c *Chooser) applyBackoffNote(n relay.Note, now time.Time) error {
+	var note backoffNote
+	if err := json.Unmarshal(n.Data, &note); err != nil {
+		return fmt.Errorf("direct: decoding backoff note: %w", err)
 	}
-	if said.ID == "" || said.For <= 0 || said.For > mostHinted || n.Age < 0 {
-		return errNoBackoff
+	if note.ID == "" || note.For <= 0 || note.For > maxHintedBackoff || n.Age < 0 {
+		return errInvalidBackoffNote
 	}
-	listed, ok := c.cfg.Directory.Snapshot().Find(said.Service, said.ID)
+	listed, ok := c.cfg.Directory.Snapshot().Find(note.Service, note.ID)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hints = c.hints.Heard(now)
-	if ok && listed.Start == said.Start {
-		known := c.known(listed)
-		known.admission = known.admission.WithHint(said.For, now.Add(-n.Age))
+	if ok && listed.Start == note.Start {
+		state := c.state(listed)
+		state.admission = state.admission.WithHint(note.For, now.Add(-n.Age))
 	}
 	return nil
 }
--- a/direct/leaving.go
+++ b/direct/leaving.go
@@ -10,27 +10,28 @@
 	"github.com/lotuswing/lotuswing/relay"
 )
 
-// LeavingTopic is that of the notes by which the balancer that an endpoint has told that it leaves
-// tells all others. The store may not say so for a while, and who has sent nothing there would send
-// one request before it knew.
+// LeavingTopic is the topic of the notes by which a balancer tells all others that an endpoint has
+// announced that it is leaving. The store may list the endpoint a while longer, and a balancer
+// without a request there would send it one before it knew.
 const LeavingTopic = "leaving"
 
-// fromNote is the source of what another balancer has heard, as it is logged.
-const fromNote = "note"
+// sourceNote is the logged source of an announcement that another balancer passed on.
+const sourceNote = "note"
 
-// leavingNote is the data of one, as JSON.
+// leavingNote is the payload of a note under LeavingTopic, as JSON.
 type leavingNote struct {
 	ID      string
 	Start   int64
 	Service string
 }
 
-// errNoteOfNobody says that a note names no endpoint.
-var errNoteOfNobody = errors.New("direct: note names no endpoint")
+// errNoEndpointID is returned for a note that names no endpoint.
+var errNoEndpointID = errors.New("direct: leaving note has no endpoint ID")
 
-// leaves takes an endpoint's word that it leaves, and tells all others where it is news.
-func (c *Chooser) leaves(e limits.Endpoint, from string, now time.Time) {
-	if !c.markLeaving(e, from, now) || c.cfg.Tell == nil {
+// handleLeaving marks an endpoint that has announced that it is leaving, and tells all other
+// balancers unless this was known.
+func (c *Chooser) handleLeaving(e limits.Endpoint, source string, now time.Time) {
+	if !c.markLeaving(e, source, now) || c.cfg.Tell == nil {
 		return
 	}
 	data, err := json.Marshal(leavingNote{ID: e.ID, Start: e.Start, Service: e.Service})
@@ -38,36 +39,36 @@
 		err = c.cfg.Tell(LeavingTopic, data)
 	}
 	if err != nil {
-		c.cfg.Log.Warn("leaving not told", "id", e.ID, "error", err)
+		c.cfg.Log.Warn("failed to publish leaving note", "id", e.ID, "error", err)
 	}
 }
 
-// markLeaving marks an endpoint as leaving and reports whether that was news.
-func (c *Chooser) markLeaving(e limits.Endpoint, from string, now time.Time) bool {
+// markLeaving marks an endpoint as leaving in the directory. It returns false if that was known.
+func (c *Chooser) markLeaving(e limits.Endpoint, source string, now time.Time) bool {
 	listed := "unknown"
-	if known, ok := c.cfg.Directory.Endpoint(e.ID); ok {
-		listed = known.State.String()
+	if current, ok := c.cfg.Directory.Endpoint(e.ID); ok {
+		listed = current.State.String()
 	}
 	if !c.cfg.Directory.MarkLeaving(e.ID, e.Start, now) {
 		return false
 	}
-	c.leavers.Inc(1)
-	c.cfg.Log.Info("endpoint says that it leaves", "id", e.ID, "service", e.Service, "from", from, "listed", listed)
+	c.leavingReports.Inc(1)
+	c.cfg.Log.Info("endpoint announced that it is leaving", "id", e.ID, "service", e.Service, "from", source, "listed", listed)
 	return true
 }
 
-// HearNote takes a note of another balancer.
+// HearNote processes a note of another balancer under BackoffTopic or LeavingTopic.
 func (c *Chooser) HearNote(n relay.Note) error {
 	if n.Topic == BackoffTopic {
-		return c.hearBackoff(n, time.Now())
+		return c.applyBackoffNote(n, time.Now())
 	}
-	var said leavingNote
-	if err := json.Unmarshal(n.Data, &said); err != nil {
-		return fmt.Errorf("direct: note: %w", err)
+	var note leavingNote
+	if err := json.Unmarshal(n.Data, &note); err != nil {
+		return fmt.Errorf("direct: decoding leaving note: %w", err)
 	}
-	if said.ID == "" {
-		return errNoteOfNobody
+	if note.ID == "" {
+		return errNoEndpointID
 	}
-	c.markLeaving(limits.Endpoint{ID: said.ID, Start: said.Start, Service: said.Service}, fromNote, time.Now())
+	c.markLeaving(limits.Endpoint{ID: note.ID, Start: note.Start, Service: note.Service}, sourceNote, time.Now())
 	return nil
 }
--- a/direct/leaving_test.go
+++ b/direct/leaving_test.go
@@ -19,64 +19,66 @@
 	"gotest.tools/v3/assert"
 )
 
-// word is a report that says something of whether requests are wanted.
-func word(w admission.Word) upstream.Report {
+// reportWith returns a report that has just arrived with a Word.
+func reportWith(w admission.Word) upstream.Report {
 	now := time.Now()
 	return upstream.Report{Asked: now, Heard: now, Word: w}
 }
 
+// leaving announces that an endpoint is leaving.
 var leaving = admission.Word{Leaving: true}
 
-// told are the notes that a chooser tells others.
-type told struct{ notes []relay.Note }
+// publisher records the notes that a chooser publishes.
+type publisher struct{ notes []relay.Note }
 
-func (t *told) tell(topic string, data []byte) error {
+func (t *publisher) publish(topic string, data []byte) error {
 	t.notes = append(t.notes, relay.Note{Topic: topic, Data: data})
 	return nil
 }
 
-// newTellingRig is newRig with notes to others.
-func newTellingRig(endpoints int, to *told) *rig {
-	r := newRig(endpoints, selection.Options{})
+// newPublishingFixture is newFixture with a chooser that publishes its notes to a publisher.
+func newPublishingFixture(endpoints int, sent *publisher) *fixture {
+	r := newFixture(endpoints, selection.Options{})
 	r.Chooser = direct.New(direct.Config{
-		ID: "vm-1", Zone: "near", Directory: r.directory, Client: r.prober, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Tell: to.tell,
+		ID: "vm-1", Zone: "near", Directory: r.directory, Client: r.prober, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Tell: sent.publish,
 	})
 	return r
 }
 
-// grant returns a grant of an endpoint.
-func grant(t *testing.T, r *rig) placement.Grant {
+// grant acquires a grant and fails the test if the request is refused.
+func grant(t *testing.T, r *fixture) placement.Grant {
 	t.Helper()
-	g, refused := r.Acquire(context.Background(), ask())
+	g, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil, "%+v", refused)
 	return g
 }
 
-// TestEndpointThatLeavesGetsNothing from the moment of its word, neither what was granted before
-// nor a probe; where none is left, requests are refused at once.
-func TestEndpointThatLeavesGetsNothing(t *testing.T) {
-	r := newRig(2, selection.Options{})
+// TestLeavingEndpointGetsNothing checks that an endpoint gets no requests, no request granted
+// before and no probes from the moment it announces that it is leaving, and that requests are
+// refused at once if no other is left.
+func TestLeavingEndpointGetsNothing(t *testing.T) {
+	r := newFixture(2, selection.Options{})
 	first := grant(t, r)
 	assert.Assert(t, r.Admits(first, time.Now()))
-	r.Hear(first, word(leaving))
+	r.Hear(first, reportWith(leaving))
 	assert.Assert(t, !r.Admits(first, time.Now()))
-	probes := r.prober.total(first.Endpoint.VM)
+	probes := r.prober.probesTo(first.Endpoint.VM)
 	for range 20 {
 		g := grant(t, r)
 		assert.Assert(t, g.Endpoint.VM != first.Endpoint.VM)
 		r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	}
-	assert.Equal(t, r.prober.total(first.Endpoint.VM), probes)
-	r.Hear(grant(t, r), word(leaving))
-	_, refused := r.Acquire(context.Background(), ask())
+	assert.Equal(t, r.prober.probesTo(first.Endpoint.VM), probes)
+	r.Hear(grant(t, r), reportWith(leaving))
+	_, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused != nil)
 	assert.Equal(t, refused.Reason, reason.NoEndpoint)
 }
 
-// TestProbeTellsThatAnEndpointLeaves as any answer does; another instance at the address speaks
-// for itself alone.
-func TestProbeTellsThatAnEndpointLeaves(t *testing.T) {
-	r := newRig(4, selection.Options{})
+// TestProbeReportsLeaving checks that an endpoint may announce in the response to a probe that it
+// is leaving.
+func TestProbeReportsLeaving(t *testing.T) {
+	r := newFixture(4, selection.Options{})
 	for _, id := range []string{"e0", "e2"} {
 		answer := r.prober.answers[id]
 		answer.Word, answer.Heard = leaving, time.Now()
@@ -89,21 +91,22 @@
 	}
 }
 
-// TestLeavingIsToldOnce to all others, also where its entry says so already: then not at all.
-func TestLeavingIsToldOnce(t *testing.T) {
-	var to told
-	r := newTellingRig(2, &to)
+// TestLeavingIsPublishedOnce checks that a balancer publishes once that an endpoint is leaving, and
+// that a balancer that learns it from a note does not publish it again.
+func TestLeavingIsPublishedOnce(t *testing.T) {
+	var sent publisher
+	r := newPublishingFixture(2, &sent)
 	g := grant(t, r)
 	for range 3 {
-		r.Hear(g, word(leaving))
+		r.Hear(g, reportWith(leaving))
 	}
-	assert.Equal(t, len(to.notes), 1)
-	assert.Equal(t, to.notes[0].Topic, direct.LeavingTopic)
+	assert.Equal(t, len(sent.notes), 1)
+	assert.Equal(t, sent.notes[0].Topic, direct.LeavingTopic)
 
-	var other told
-	o := newTellingRig(2, &other)
-	assert.NilError(t, o.HearNote(to.notes[0]))
-	assert.Equal(t, len(other.notes), 0, "a note is not told again")
+	var other publisher
+	o := newPublishingFixture(2, &other)
+	assert.NilError(t, o.HearNote(sent.notes[0]))
+	assert.Equal(t, len(other.notes), 0, "a note is not published again")
 	for range 5 {
 		next := grant(t, o)
 		assert.Assert(t, next.Endpoint.VM != g.Endpoint.VM)
@@ -111,9 +114,9 @@
 	}
 }
 
-// TestAnotherStartIsAnotherEndpoint: what the one before said does not bind it, whichever of word
-// and entry comes first.
-func TestAnotherStartIsAnotherEndpoint(t *testing.T) {
+// TestLeavingAppliesToOneStart checks that a note that an endpoint is leaving applies only to the
+// start that it names, whether the note or the directory entry comes first.
+func TestLeavingAppliesToOneStart(t *testing.T) {
 	entry := func(start int64) directory.Changes {
 		return directory.Changes{Entries: []directory.Entry{{
 			Endpoint: directory.Endpoint{Endpoint: placement.Endpoint{VM: "e9", Addr: "e9", Zone: "near", Slots: 3}, Service: "s", Start: start}, Revision: uint64(start),
@@ -124,27 +127,27 @@
 		assert.NilError(t, err)
 		return relay.Note{Topic: direct.LeavingTopic, Data: data}
 	}
-	usable := func(r *rig) bool {
+	usable := func(r *fixture) bool {
 		_, ok := r.directory.Snapshot().Find("s", "e9")
 		return ok
 	}
-	r := newRig(1, selection.Options{})
+	r := newFixture(1, selection.Options{})
 	assert.NilError(t, r.HearNote(note(7)))
 	r.directory.Apply(entry(7), time.Now())
-	assert.Assert(t, !usable(r), "the word came before the entry")
+	assert.Assert(t, !usable(r), "the note came before the entry")
 	r.directory.Apply(entry(8), time.Now())
 	assert.Assert(t, usable(r), "another start")
 	assert.NilError(t, r.HearNote(note(7)))
-	assert.Assert(t, usable(r), "a word of the start before, late")
+	assert.Assert(t, usable(r), "a late note about the previous start")
 	assert.NilError(t, r.HearNote(note(9)))
-	assert.Assert(t, usable(r), "a word of a start that is not listed yet")
+	assert.Assert(t, usable(r), "a note about a start that is not listed yet")
 	r.directory.Apply(entry(9), time.Now())
 	assert.Assert(t, !usable(r))
 }
 
-// TestNotesThatMakeNoSense change nothing.
-func TestNotesThatMakeNoSense(t *testing.T) {
-	r := newRig(2, selection.Options{})
+// TestInvalidLeavingNotes checks that malformed notes are rejected and change nothing.
+func TestInvalidLeavingNotes(t *testing.T) {
+	r := newFixture(2, selection.Options{})
 	for _, data := range []string{"", "{", "7", `{"ID":""}`, `{"ID":3}`, `{"Start":1}`} {
 		assert.Assert(t, r.HearNote(relay.Note{Data: []byte(data)}) != nil, data)
 	}
--- a/direct/limits.go
+++ b/direct/limits.go
@@ -10,34 +10,36 @@
 	"github.com/lotuswing/lotuswing/limits"
 )
 
-// Endpoints that name how many requests a second they take from all balancers together get a
-// request only once there is room for it, which the endpoint's owner tells (package limits).
+// An endpoint may name how many requests a second it accepts from all balancers together. It then
+// gets a request only with a permit, which the owner of its limit grants (package limits).
 
-// seekWait is how long a request waits for that: a round trip to another zone, and an owner that
-// is busy.
-const seekWait = 25 * time.Millisecond
+// permitWait is how long a request waits for a permit. It covers a round trip to another zone and
+// an owner that is busy.
+const permitWait = 25 * time.Millisecond
 
-// limited names an endpoint to package limits.
-func limited(e *directory.Endpoint) limits.Endpoint {
+// limitsEndpoint converts a listed endpoint to the type of package limits.
+func limitsEndpoint(e *directory.Endpoint) limits.Endpoint {
 	return limits.Endpoint{ID: e.VM, Start: e.Start, Service: e.Service, Zone: e.Zone}
 }
 
-// standing returns whether a request may go to an endpoint.
-func (c *Chooser) standing(e *directory.Endpoint, now time.Time) (limit.Standing, time.Duration) {
+// limitStanding returns whether the rate limit of an endpoint lets a request go there, as
+// Limits.Standing does.
+func (c *Chooser) limitStanding(e *directory.Endpoint, now time.Time) (limit.Standing, time.Duration) {
 	if c.cfg.Limits == nil || c.cfg.Limits.Quiet() {
 		return limit.Free, 0
 	}
-	return c.cfg.Limits.Standing(limited(e), now)
+	return c.cfg.Limits.Standing(limitsEndpoint(e), now)
 }
 
-// use takes the room for a request at an endpoint, if there is any.
-func (c *Chooser) use(e *directory.Endpoint, now time.Time) bool {
-	return c.cfg.Limits == nil || c.cfg.Limits.Use(limited(e), now)
+// usePermit takes the permit for a request at an endpoint. It returns false if the endpoint's limit
+// requires one and there is none.
+func (c *Chooser) usePermit(e *directory.Endpoint, now time.Time) bool {
+	return c.cfg.Limits == nil || c.cfg.Limits.Use(limitsEndpoint(e), now)
 }
 
-// seek asks for room at the best candidate, where its limit wants that. It returns false where
-// there is nothing to ask.
-func (c *Chooser) seek(ctx context.Context, s *search) bool {
+// requestPermit requests a permit for the best candidate, if its limit requires that. It returns
+// false if no request was made.
+func (c *Chooser) requestPermit(ctx context.Context, s *search) bool {
 	if s.ranking.Len() == 0 || ctx.Err() != nil {
 		return false
 	}
@@ -46,20 +48,21 @@
 		return false
 	}
 	e := s.listed[best.Index]
-	if c.cfg.Limits.Seek(ctx, limited(&e), seekWait) {
-		c.listen(ctx, e)
+	if c.cfg.Limits.Seek(ctx, limitsEndpoint(&e), permitWait) {
+		c.refreshLimit(ctx, e)
 	}
 	return true
 }
 
-// listen probes an endpoint of a low limit, to hear whether it still holds.
-func (c *Chooser) listen(ctx context.Context, e directory.Endpoint) {
+// refreshLimit probes an endpoint with a low limit, to find out whether the limit still applies. It
+// does not wait for the response.
+func (c *Chooser) refreshLimit(ctx context.Context, e directory.Endpoint) {
 	path := c.probePath(e.Service)
 	if path == "" {
 		return
 	}
 	c.mu.Lock()
-	known := c.known(&e)
+	state := c.state(&e)
 	c.mu.Unlock()
-	go c.ask(context.WithoutCancel(ctx), target{listed: e, known: known}, path)
+	go c.probeEndpoint(context.WithoutCancel(ctx), probeTarget{listed: e, state: state}, path)
 }
--- a/direct/limits_test.go
+++ b/direct/limits_test.go
@@ -15,23 +15,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// fakeLimits tells what was set, by endpoint.
+// fakeLimits is a Limits that answers from tables, by endpoint.
 type fakeLimits struct {
-	mu       sync.Mutex
-	standing map[string]limit.Standing
-	opens    map[string]time.Time    // when a withheld one may be asked again
-	grants   map[string]bool         // what an ask brings
-	taken    map[string]int          // how often a permit has just gone to another request
-	sought   []string                // in order
-	used     []string                // in order
-	look     bool                    // asks allow a probe
-	probed   map[string]limit.Answer // by endpoint
-	answered map[string]limit.Answer // by endpoint
+	mu         sync.Mutex
+	standing   map[string]limit.Standing
+	opens      map[string]time.Time    // when a withheld endpoint may be asked for a permit again
+	grants     map[string]bool         // whether Seek brings a permit
+	lost       map[string]int          // how many more permits go to other requests
+	requested  []string                // calls of Seek in order
+	used       []string                // successful calls of Use in order
+	allowProbe bool                    // result of Seek
+	probed     map[string]limit.Answer // arguments of Probed
+	answered   map[string]limit.Answer // arguments of Answered
 }
 
 func newFakeLimits() *fakeLimits {
 	return &fakeLimits{
-		standing: map[string]limit.Standing{}, opens: map[string]time.Time{}, grants: map[string]bool{}, taken: map[string]int{}, probed: map[string]limit.Answer{}, answered: map[string]limit.Answer{},
+		standing: map[string]limit.Standing{}, opens: map[string]time.Time{}, grants: map[string]bool{}, lost: map[string]int{}, probed: map[string]limit.Answer{}, answered: map[string]limit.Answer{},
 	}
 }
 
@@ -62,19 +62,19 @@
 func (f *fakeLimits) Seek(_ context.Context, e limits.Endpoint, _ time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sought = append(f.sought, e.ID)
+	f.requested = append(f.requested, e.ID)
 	f.standing[e.ID] = limit.Withheld
 	if f.grants[e.ID] {
 		f.standing[e.ID] = limit.Held
 	}
-	return f.look
+	return f.allowProbe
 }
 
 func (f *fakeLimits) Use(e limits.Endpoint, _ time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.taken[e.ID] > 0 {
-		f.taken[e.ID]--
+	if f.lost[e.ID] > 0 {
+		f.lost[e.ID]--
 		f.standing[e.ID] = limit.Askable
 		return false
 	}
@@ -82,7 +82,7 @@
 	return f.standing[e.ID] != limit.Withheld
 }
 
-// withhold withholds endpoints for a time; 0 for one that is not known.
+// withhold withholds endpoints for a duration; 0 for an unknown one.
 func (f *fakeLimits) withhold(d time.Duration, ids ...string) {
 	for _, id := range ids {
 		f.standing[id] = limit.Withheld
@@ -92,57 +92,60 @@
 	}
 }
 
-// TestEndpointAtItsLimitGetsNothing, not even a probe, and is no reason to wait.
+// TestEndpointAtItsLimitGetsNothing checks that an endpoint at its limit gets no requests and no
+// probes, and that requests do not wait for it.
 func TestEndpointAtItsLimitGetsNothing(t *testing.T) {
 	f := newFakeLimits()
-	r := newLimitedRig(4, f)
-	r.prober.set("e1", 1, 1.5) // worse, but it may get something
+	r := newLimitedFixture(4, f)
+	r.prober.set("e1", 1, 1.5) // worse, but not at its limit
 	r.prober.set("e3", 1, 1.5)
 	f.withhold(0, "e0", "e2")
 	for range 20 {
-		g, refused := r.Acquire(context.Background(), ask())
+		g, refused := r.Acquire(context.Background(), newRequest())
 		assert.Assert(t, refused == nil)
 		assert.Assert(t, g.Endpoint.VM == "e1" || g.Endpoint.VM == "e3", g.Endpoint.VM)
 		r.Complete(g, placement.Result{Outcome: placement.Unused})
 	}
-	assert.Equal(t, r.prober.total("e0", "e2"), 0)
-	assert.Equal(t, len(f.sought), 0)
+	assert.Equal(t, r.prober.probesTo("e0", "e2"), 0)
+	assert.Equal(t, len(f.requested), 0)
 }
 
-// TestRoomIsAskedForFirst: an endpoint with a limit is probed and chosen only once there is room.
-func TestRoomIsAskedForFirst(t *testing.T) {
+// TestPermitIsRequestedFirst checks that an endpoint with a limit is probed and chosen only once
+// there is a permit.
+func TestPermitIsRequestedFirst(t *testing.T) {
 	f := newFakeLimits()
-	r := newLimitedRig(2, f)
+	r := newLimitedFixture(2, f)
 	f.standing["e0"], f.standing["e1"] = limit.Askable, limit.Askable
 	f.grants["e1"] = true
-	g, refused := r.Acquire(context.Background(), ask())
+	g, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
 	assert.Equal(t, g.Endpoint.VM, "e1")
 	assert.Assert(t, g.Choice.Limited)
-	assert.DeepEqual(t, f.sought, []string{"e0", "e1"}) // the own zone first
-	assert.Equal(t, r.prober.total("e0"), 0)
+	assert.DeepEqual(t, f.requested, []string{"e0", "e1"}) // the own zone first
+	assert.Equal(t, r.prober.probesTo("e0"), 0)
 	assert.DeepEqual(t, f.used, []string{"e1"})
 }
 
-// TestRoomThatWentToAnotherRequest is asked for once more.
-func TestRoomThatWentToAnotherRequest(t *testing.T) {
+// TestLostPermitIsRequestedAgain checks that a request whose permit went to another request asks
+// for a new one.
+func TestLostPermitIsRequestedAgain(t *testing.T) {
 	f := newFakeLimits()
-	r := newLimitedRig(1, f)
-	f.standing["e0"], f.grants["e0"], f.taken["e0"] = limit.Askable, true, 2
-	_, refused := r.Acquire(context.Background(), ask())
+	r := newLimitedFixture(1, f)
+	f.standing["e0"], f.grants["e0"], f.lost["e0"] = limit.Askable, true, 2
+	_, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
-	assert.DeepEqual(t, f.sought, []string{"e0", "e0", "e0"})
+	assert.DeepEqual(t, f.requested, []string{"e0", "e0", "e0"})
 }
 
-// TestAllAtTheirLimits: what cannot be served in time is refused at once, with when there may be
-// room; what can, waits for it.
-func TestAllAtTheirLimits(t *testing.T) {
+// TestAllEndpointsAtTheirLimits checks that a request that cannot be served in time is refused at
+// once, with when there may be room, and that a request that can waits for room.
+func TestAllEndpointsAtTheirLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeLimits()
-		r := newLimitedRig(2, f)
+		r := newLimitedFixture(2, f)
 		f.withhold(3*time.Second, "e0", "e1")
 		began := time.Now()
-		request := ask()
+		request := newRequest()
 		request.Target = time.Second
 		_, refused := r.Acquire(context.Background(), request)
 		assert.Assert(t, refused != nil)
@@ -150,11 +153,11 @@
 		assert.Equal(t, refused.RetryAfter, 3*time.Second)
 		assert.Equal(t, refused.Search.Limited, 2)
 		assert.Equal(t, time.Since(began), time.Duration(0))
-		assert.Equal(t, r.prober.total("e0", "e1"), 0)
+		assert.Equal(t, r.prober.probesTo("e0", "e1"), 0)
 
 		f.withhold(50*time.Millisecond, "e1")
 		f.grants["e1"] = true
-		request = ask()
+		request = newRequest()
 		request.Target = time.Second
 		g, refused := r.Acquire(context.Background(), request)
 		assert.Assert(t, refused == nil, "%+v", refused)
@@ -163,28 +166,30 @@
 	})
 }
 
-// TestCallerThatLeavesIsNotWaitedFor, while all endpoints are at their limits.
-func TestCallerThatLeavesIsNotWaitedFor(t *testing.T) {
+// TestCanceledRequestDoesNotWaitForPermit checks that a request whose caller has left is refused at
+// once while all endpoints are at their limits.
+func TestCanceledRequestDoesNotWaitForPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeLimits()
-		r := newLimitedRig(2, f)
+		r := newLimitedFixture(2, f)
 		f.withhold(time.Minute, "e0", "e1")
 		ctx, leave := context.WithCancel(context.Background())
 		leave()
 		began := time.Now()
-		_, refused := r.Acquire(ctx, ask())
+		_, refused := r.Acquire(ctx, newRequest())
 		assert.Equal(t, refused.Reason, reason.CallerLeft)
 		assert.Equal(t, time.Since(began), time.Duration(0))
 	})
 }
 
-// TestLimitsAreHeardInProbes, also in one that only asks whether a limit still holds; another
-// instance at the address speaks for itself alone.
-func TestLimitsAreHeardInProbes(t *testing.T) {
+// TestProbesReportLimits checks that limits in the responses to probes are processed, also for a
+// probe that was sent only to find out whether a limit still applies, but not those in the response
+// of another instance.
+func TestProbesReportLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeLimits()
-		r := newLimitedRig(2, f)
-		f.look = true
+		r := newLimitedFixture(2, f)
+		f.allowProbe = true
 		f.standing["e0"] = limit.Askable
 		answer := r.prober.answers["e0"]
 		answer.Limit = limit.Answer{Said: limit.Named, Rate: 2, Heard: time.Now()}
@@ -192,7 +197,7 @@
 		foreign := answer
 		foreign.Instance = "another"
 		r.prober.answers["e1"] = foreign
-		_, _ = r.Acquire(context.Background(), ask())
+		_, _ = r.Acquire(context.Background(), newRequest())
 		synctest.Wait()
 		assert.DeepEqual(t, f.probed["e0"], answer.Limit)
 		_, ok := f.probed["e1"]
@@ -200,7 +205,7 @@
 	})
 }
 
-// newLimitedRig is newRig with endpoints that name limits.
-func newLimitedRig(endpoints int, f *fakeLimits) *rig {
-	return newRigWith(endpoints, selection.Options{}, 0, f)
+// newLimitedFixture is newFixture with a fakeLimits.
+func newLimitedFixture(endpoints int, f *fakeLimits) *fixture {
+	return newFixtureWithLimits(endpoints, selection.Options{}, 0, f)
 }
--- a/direct/pool.go
+++ b/direct/pool.go
@@ -6,30 +6,30 @@
 	"github.com/lotuswing/lotuswing/directory"
 )
 
-// pool is the endpoints of a service among which this process chooses, by their indices in
-// the list that it was drawn from.
+// pool is the subset of a service's endpoints among which this process chooses.
 type pool struct {
-	from    []directory.Endpoint
-	members []int
+	source  []directory.Endpoint // the list that the pool was drawn from
+	members []int                // indices in source
 }
 
-// isOf reports whether a pool was drawn from a list. Lists are never changed, only replaced.
-func (p pool) isOf(listed []directory.Endpoint) bool {
-	return len(p.from) == len(listed) && (len(listed) == 0 || &p.from[0] == &listed[0])
+// drawnFrom reports whether the pool was drawn from a list. Lists are never changed, only replaced.
+func (p pool) drawnFrom(listed []directory.Endpoint) bool {
+	return len(p.source) == len(listed) && (len(listed) == 0 || &p.source[0] == &listed[0])
 }
 
-// poolOf returns the pool of a service, drawn anew where its list has changed; c.mu is held.
+// poolOf returns the pool of a service as indices in listed, and draws a new one if the list has
+// changed; c.mu must be held.
 func (c *Chooser) poolOf(service string, listed []directory.Endpoint) []int {
 	p, ok := c.pools[service]
-	if !ok || !p.isOf(listed) {
-		p = pool{from: listed, members: c.draw(listed)}
+	if !ok || !p.drawnFrom(listed) {
+		p = pool{source: listed, members: c.drawPool(listed)}
 		c.pools[service] = p
 	}
 	return p.members
 }
 
-// draw draws a pool from a list.
-func (c *Chooser) draw(listed []directory.Endpoint) []int {
+// drawPool draws a pool from a list, and returns its indices.
+func (c *Chooser) drawPool(listed []directory.Endpoint) []int {
 	members := make([]subset.Member, len(listed))
 	for i := range listed {
 		e := &listed[i]
--- a/direct/pool_test.go
+++ b/direct/pool_test.go
@@ -14,30 +14,30 @@
 	"gotest.tools/v3/assert"
 )
 
-// acquire chooses an endpoint and completes the request at once.
-func (r *rig) acquire(t testing.TB) placement.Grant {
-	g, refused := r.Acquire(context.Background(), ask())
+// acquire acquires a grant and completes its request at once.
+func (r *fixture) acquire(t testing.TB) placement.Grant {
+	g, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
 	r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	return g
 }
 
-// TestRemembersOnlyItsSubset: of thousands of endpoints a process knows those among which it
-// chooses, however long it runs.
-func TestRemembersOnlyItsSubset(t *testing.T) {
-	r := newRig(6000, selection.Options{})
+// TestKeepsStateOfSubsetOnly checks that a process keeps the states only of its subset of the
+// endpoints of a service, which may be thousands, however long it runs.
+func TestKeepsStateOfSubsetOnly(t *testing.T) {
+	r := newFixture(6000, selection.Options{})
 	for range 50 {
 		r.acquire(t)
 	}
-	assert.Assert(t, r.Remembered() < subset.Size*5/4, "%d", r.Remembered())
-	r.Status() // does not begin to remember all
-	assert.Assert(t, r.Remembered() < subset.Size*5/4, "%d", r.Remembered())
+	assert.Assert(t, r.RememberedCount() < subset.Size*5/4, "%d", r.RememberedCount())
+	r.Status() // must not create states
+	assert.Assert(t, r.RememberedCount() < subset.Size*5/4, "%d", r.RememberedCount())
 }
 
-// TestSubsetFollowsTheList: endpoints that leave are not chosen any more, and those that come
-// in their place are.
-func TestSubsetFollowsTheList(t *testing.T) {
-	r := newRig(1000, selection.Options{})
+// TestSubsetFollowsDirectory checks that endpoints that have left are not chosen any more, and that
+// their replacements are.
+func TestSubsetFollowsDirectory(t *testing.T) {
+	r := newFixture(1000, selection.Options{})
 	r.acquire(t)
 	var fresh []directory.Entry
 	for i := range 300 {
@@ -54,10 +54,12 @@
 	}
 }
 
-// TestRequestsAreDividedByShare while a version comes in: a twentieth goes to one of ten of
-// its endpoints, and none to the other nine.
-func TestRequestsAreDividedByShare(t *testing.T) {
-	r := newRig(0, selection.Options{ProbeBurst: 100000})
+// TestRolloutShare checks that in the first stage of a rollout a twentieth of the requests goes to
+// one of the ten endpoints of the new version, and none to the other nine. Before it has begun, and
+// once it is rolled back, the old version gets all requests, and once it has completed, the new one
+// does.
+func TestRolloutShare(t *testing.T) {
+	r := newFixture(0, selection.Options{ProbeBurst: 100000})
 	var entries []directory.Entry
 	for i := range 20 {
 		id := fmt.Sprintf("v%d-%d", 1+i/10, i)
@@ -69,9 +71,9 @@
 	order := directory.RolloutOrder{Service: "s", Version: "v2", Duration: time.Minute, Revision: 2}
 	r.directory.Apply(directory.Changes{At: 2, Entries: entries, Rollouts: []directory.RolloutOrder{order}}, time.Now())
 	for range 50 {
-		assert.Equal(t, r.acquire(t).Choice.Side, placement.OldSide, "nobody has begun it")
+		assert.Equal(t, r.acquire(t).Choice.Side, placement.OldSide, "the rollout has not begun")
 	}
-	r.stage(t, rollout.Status{State: rollout.Running, Stage: 0}, 3)
+	r.applyRolloutStatus(t, rollout.Status{State: rollout.Running, Stage: 0}, 3)
 	used := map[string]int{}
 	newer := 0
 	const requests = 2000
@@ -84,18 +86,18 @@
 	}
 	assert.Assert(t, newer > requests/40 && newer < requests/12, "%d of %d", newer, requests)
 	assert.Equal(t, len(used), 1, "%v", used)
-	r.stage(t, rollout.Status{State: rollout.RolledBack}, 4)
+	r.applyRolloutStatus(t, rollout.Status{State: rollout.RolledBack}, 4)
 	for range 50 {
 		assert.Equal(t, r.acquire(t).Choice.Side, placement.OldSide)
 	}
-	r.stage(t, rollout.Status{State: rollout.Completed}, 5)
+	r.applyRolloutStatus(t, rollout.Status{State: rollout.Completed}, 5)
 	for range 50 {
 		assert.Equal(t, r.acquire(t).Endpoint.VM[:2], "v2")
 	}
 }
 
-// stage brings a status of the roll-out of revision 2 into force.
-func (r *rig) stage(t *testing.T, s rollout.Status, revision uint64) {
+// applyRolloutStatus applies a status of the rollout with revision 2 to the directory.
+func (r *fixture) applyRolloutStatus(t *testing.T, s rollout.Status, revision uint64) {
 	t.Helper()
 	value := fmt.Appendf(nil, `{"order":2,"version":"v2","state":%q,"stage":%d}`, s.State, s.Stage)
 	applied := r.directory.Apply(directory.Changes{At: revision, Registrations: []directory.Record{{
--- a/direct/probe.go
+++ b/direct/probe.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// probeWait is how long a request waits for the response to a probe. A later
-	// one still counts for other requests.
+	// probeWait is how long a request waits for the response to a probe. A later response still
+	// updates the endpoint's state.
 	probeWait = 12 * time.Millisecond
-	// probeLimit is after which a probe is given up.
-	probeLimit = 250 * time.Millisecond
+	// probeTimeout is when a probe is abandoned.
+	probeTimeout = 250 * time.Millisecond
 )
 
-// probe asks the next endpoint for its load and waits for the response a short
-// while. It returns false if none may be asked.
+// probe probes the next endpoint for its load and waits for the response at most as long as
+// probeWait. It returns false if no endpoint may be probed.
 func (c *Chooser) probe(ctx context.Context, s *search, now time.Time) bool {
 	path := c.probePath(s.service)
 	if path == "" {
@@ -32,25 +32,25 @@
 	}
 	done := make(chan struct{})
 	go func() {
-		c.ask(context.WithoutCancel(ctx), next, path)
+		c.probeEndpoint(context.WithoutCancel(ctx), next, path)
 		close(done)
 	}()
 	pause.Until(ctx, done, probeWait)
 	return true
 }
 
-// probePath returns where a service's endpoints tell their load; empty where they
-// do not.
+// probePath returns the path at which a service's endpoints report their load; empty if they do
+// not.
 func (c *Chooser) probePath(service string) string {
-	return c.serviceOf(service).ProbePath
+	return c.serviceConfig(service).ProbePath
 }
 
-// warmupRate returns how many requests a second an endpoint of a service bears while it
-// warms up; 0 where that is not known.
-func (c *Chooser) warmupRate(service string) float64 { return c.serviceOf(service).WarmupRate }
+// warmupRate returns how many requests a second one endpoint of a service can take while it warms
+// up; 0 if that is not configured.
+func (c *Chooser) warmupRate(service string) float64 { return c.serviceConfig(service).WarmupRate }
 
-// serviceOf returns a service as it is configured, a zero one where it is not.
-func (c *Chooser) serviceOf(service string) tenant.Service {
+// serviceConfig returns the configuration of a service; zero if there is none.
+func (c *Chooser) serviceConfig(service string) tenant.Service {
 	cfg := c.cfg.Directory.Snapshot().Config
 	if cfg == nil {
 		return tenant.Service{}
@@ -58,55 +58,55 @@
 	return cfg.Services[service]
 }
 
-// target is an endpoint to ask. A probe may outlast the search that it was sent for,
-// and then what is remembered of the endpoint: its response brings nothing back.
-type target struct {
+// probeTarget is an endpoint to probe. A probe may outlast the search that sent it, and even the
+// state of its endpoint: its response does not restore a state that was dropped.
+type probeTarget struct {
 	listed directory.Endpoint
-	known  *endpoint
+	state  *endpointState
 }
 
-// nextProbe returns the endpoint to ask, and takes the probe from its budget.
-func (c *Chooser) nextProbe(s *search, now time.Time) (target, bool) {
+// nextProbe returns the endpoint to probe next, and charges the probe to the endpoint's budget.
+func (c *Chooser) nextProbe(s *search, now time.Time) (probeTarget, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	index, ok := c.opts.NextProbe(&s.ranking, func(index int) (may bool) {
-		e := c.known(&s.listed[index])
+		e := c.state(&s.listed[index])
 		e.probes, may = e.probes.WithProbe(c.opts, now)
 		return may
 	})
 	if !ok {
-		return target{}, false
+		return probeTarget{}, false
 	}
-	s.probed = index
-	return target{listed: s.listed[index], known: c.known(&s.listed[index])}, true
+	s.lastProbed = index
+	return probeTarget{listed: s.listed[index], state: c.state(&s.listed[index])}, true
 }
 
-// errSuspended says that a response may be as old as a suspension of the VM was long.
-var errSuspended = errors.New("direct: suspended meanwhile")
+// errSuspended is the error of a probe whose response may be as old as the VM was suspended.
+var errSuspended = errors.New("direct: VM was suspended during the probe")
 
-// ask probes one endpoint and remembers the response.
-func (c *Chooser) ask(ctx context.Context, t target, path string) {
+// probeEndpoint probes one endpoint and updates its state from the response.
+func (c *Chooser) probeEndpoint(ctx context.Context, t probeTarget, path string) {
 	c.probes.Inc(1)
-	id, e := t.listed.VM, t.known
-	slept := c.cfg.Suspensions.Check()
-	answer, err := c.cfg.Client.Probe(ctx, t.listed.Addr, path, probeLimit)
-	if slept != c.cfg.Suspensions.Check() {
+	id, e := t.listed.VM, t.state
+	suspendedBefore := c.cfg.Suspensions.Check()
+	answer, err := c.cfg.Client.Probe(ctx, t.listed.Addr, path, probeTimeout)
+	if suspendedBefore != c.cfg.Suspensions.Check() {
 		err = cmp.Or(err, errSuspended)
 	}
 	now := time.Now()
 	if err == nil {
-		c.hearProbe(limited(&t.listed), answer)
+		c.observeProbe(limitsEndpoint(&t.listed), answer)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
 		c.cfg.Log.Debug("probe failed", "id", id, "error", err)
-		e.state = e.state.WithoutProbe()
+		e.observed = e.observed.WithoutProbe()
 		return
 	}
-	e.state = e.state.WithProbe(answer.Load, now)
+	e.observed = e.observed.WithProbe(answer.Load, now)
 	if answer.Warmup.Told {
-		e.state = e.state.WithWarmup(answer.Warmup.Left, now)
+		e.observed = e.observed.WithWarmup(answer.Warmup.Left, now)
 	}
 	if answer.OfAnother(id) && c.cfg.Directory.MarkLeaving(id, t.listed.Start, now) {
 		c.cfg.Log.Info("endpoint", "id", id, "state", "leaving", "why", "a probe found another instance", "instance", answer.Instance)
--- a/direct/probe_test.go
+++ b/direct/probe_test.go
@@ -13,24 +13,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// idleProber answers that an endpoint is idle.
+// idleProber responds for every endpoint that it is idle.
 type idleProber struct{}
 
 func (idleProber) Probe(context.Context, string, string, time.Duration) (upstream.Report, error) {
 	return upstream.Report{Load: placement.LoadReport{Known: true, Slots: 3, Pace: 1}}, nil
 }
 
-// TestLateProbeBringsNothingBack: an endpoint that was forgotten while its probe was
-// under way stays forgotten.
-func TestLateProbeBringsNothingBack(t *testing.T) {
+// TestLateProbeRestoresNoState checks that the response to a probe does not restore the state of an
+// endpoint that was dropped during the probe.
+func TestLateProbeRestoresNoState(t *testing.T) {
 	c := New(Config{
 		Directory: directory.New(), Client: idleProber{}, Log: hclog.NewNullLogger(),
-		Metrics: metrics.NewRegistry(), ForgetEvery: time.Nanosecond,
+		Metrics: metrics.NewRegistry(), ForgetInterval: time.Nanosecond,
 	})
 	listed := directory.Endpoint{Endpoint: placement.Endpoint{VM: "e0", Addr: "e0"}}
-	late := target{listed: listed, known: c.known(&listed)}
-	c.forget(time.Now())
-	assert.Equal(t, c.Remembered(), 0)
-	c.ask(context.Background(), late, "/health")
-	assert.Equal(t, c.Remembered(), 0)
+	late := probeTarget{listed: listed, state: c.state(&listed)}
+	c.forgetUnlisted(time.Now())
+	assert.Equal(t, c.RememberedCount(), 0)
+	c.probeEndpoint(context.Background(), late, "/health")
+	assert.Equal(t, c.RememberedCount(), 0)
 }
--- a/direct/refuse.go
+++ b/direct/refuse.go
@@ -10,7 +10,8 @@
 	"github.com/lotuswing/lotuswing/coord/selection"
 )
 
-// refuse says why there is no endpoint, with what was known of them.
+// refuse returns the refusal of a request, with what was known of the endpoints, and counts it for
+// the request's kind.
 func (c *Chooser) refuse(s *search, d selection.Decision) *placement.Refusal {
 	c.mu.Lock()
 	c.workloads[s.request.Kind] = c.workloads[s.request.Kind].WithRefusal()
@@ -22,8 +23,8 @@
 	}
 }
 
-// retryAfter returns when the caller of a refused request should come back. Callers that wait for
-// the end of one backoff are spread behind it.
+// retryAfter returns after how long the caller of a refused request should retry. Callers that wait
+// for the same backoff to end are spread over the time after it.
 func retryAfter(d selection.Decision, target time.Duration) time.Duration {
 	spread := retry.AfterNoEndpoint(target, rand.Float64())
 	if d.Reason == reason.EndpointsBackingOff {
--- a/direct/regions.go
+++ b/direct/regions.go
@@ -6,10 +6,10 @@
 	"github.com/lotuswing/lotuswing/directory"
 )
 
-// Requests whose route or team names regions are served by endpoints of these regions alone.
+// Requests whose route or team names regions are served only by endpoints in these regions.
 
-// allOutOfRegion reports whether there are endpoints and the request may be served at none of
-// them because of the region in which it is.
+// allOutOfRegion reports whether there are endpoints but none is in a region where the request may
+// be served.
 func (c *Chooser) allOutOfRegion(s *search) bool {
 	return len(s.listed) > 0 && !slices.ContainsFunc(s.listed, func(e directory.Endpoint) bool { return c.inRegion(s, &e) })
 }
--- a/direct/regions_test.go
+++ b/direct/regions_test.go
@@ -10,8 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRequestsStayInTheirRegions: even endpoints are in the region "west", odd ones in "east".
-// However good one elsewhere is, it is neither chosen nor asked.
+// TestRequestsStayInTheirRegions checks that endpoints outside the regions of a request are neither
+// chosen nor probed, however good they are. Even endpoints are in the region "west", odd ones in
+// "east".
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	for name, c := range map[string]struct {
 		regions []string
@@ -24,19 +25,19 @@
 		"none is named":        {chosen: "e0"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(2, selection.Options{})
-			request := ask()
+			r := newFixture(2, selection.Options{})
+			request := newRequest()
 			request.Regions = placement.Within(c.regions)
 			g, refused := r.Acquire(context.Background(), request)
 			if c.reason != "" {
 				assert.Assert(t, refused != nil)
 				assert.Equal(t, refused.Reason, c.reason)
-				assert.Equal(t, r.prober.total("e0", "e1"), 0)
+				assert.Equal(t, r.prober.probesTo("e0", "e1"), 0)
 				return
 			}
 			assert.Assert(t, refused == nil)
 			assert.Equal(t, g.Endpoint.VM, c.chosen)
-			assert.Equal(t, r.prober.total("e0", "e1"), r.prober.total(c.chosen))
+			assert.Equal(t, r.prober.probesTo("e0", "e1"), r.prober.probesTo(c.chosen))
 		})
 	}
 }
--- a/direct/said.go
+++ b/direct/said.go
@@ -8,19 +8,19 @@
 	"github.com/lotuswing/lotuswing/directory"
 )
 
-// Said is what operators are told of an endpoint that has said that it leaves, or wants no requests
-// for a while. Its names are the JSON's.
+// Said is what operators see of an endpoint that is leaving, or that has asked for no requests for
+// a while. The field names are also the JSON names.
 type Said struct {
 	Endpoint string
 	Service  string
 	Zone     string
-	Leaving  bool          // it leaves, by its own word, by the store's or because another instance has its place
-	Backoff  time.Duration // for how much longer it wants no request from this balancer
-	Slow     bool          // it gets requests again little by little
-	Hint     time.Duration // for how much longer it wants none from another balancer, as that one told
+	Leaving  bool          // as announced by the endpoint or the store, or because another instance answers at its address
+	Backoff  time.Duration // for how much longer it wants no requests from this balancer; 0 for none
+	Slow     bool          // it is in its slow start after a backoff
+	Hint     time.Duration // for how much longer it wants no requests from another balancer, as that one reported; 0 for none
 }
 
-// Said returns what endpoints have said, by service and identity.
+// Said returns the endpoints that are leaving, backing off or in slow start, by service and ID.
 func (c *Chooser) Said(now time.Time) []Said {
 	list := []Said{}
 	for _, e := range c.cfg.Directory.Leaving() {
@@ -30,8 +30,8 @@
 	defer c.mu.Unlock()
 	for _, endpoints := range c.cfg.Directory.Snapshot().Endpoints {
 		for i := range endpoints {
-			if said, anything := c.saidBy(&endpoints[i], now); anything {
-				list = append(list, said)
+			if notice, found := c.noticeOf(&endpoints[i], now); found {
+				list = append(list, notice)
 			}
 		}
 	}
@@ -41,27 +41,28 @@
 	return list
 }
 
-// saidBy returns what a listed endpoint has said, and whether that is anything; c.mu is held.
-func (c *Chooser) saidBy(e *directory.Endpoint, now time.Time) (said Said, anything bool) {
-	known, ok := c.endpoints[e.VM]
-	if !ok || known.start != e.Start {
+// noticeOf returns the backoff, slow start and hint of a listed endpoint, and whether there is any
+// of these; c.mu must be held.
+func (c *Chooser) noticeOf(e *directory.Endpoint, now time.Time) (notice Said, found bool) {
+	state, ok := c.endpoints[e.VM]
+	if !ok || state.start != e.Start {
 		return Said{}, false
 	}
-	s := known.admission
-	said = Said{
+	s := state.admission
+	notice = Said{
 		Endpoint: e.VM, Service: e.Service, Zone: e.Zone,
 		Backoff: max(0, s.Until().Sub(now)), Slow: s.SlowStart(now), Hint: max(0, s.HintedUntil().Sub(now)),
 	}
 	if s.Until().IsZero() {
-		said.Backoff = 0
+		notice.Backoff = 0
 	}
 	if s.HintedUntil().IsZero() {
-		said.Hint = 0
+		notice.Hint = 0
 	}
-	return said, said.Backoff > 0 || said.Slow || said.Hint > 0
+	return notice, notice.Backoff > 0 || notice.Slow || notice.Hint > 0
 }
 
-// BackingOff returns how many endpoints want no requests from this balancer.
+// BackingOff returns the number of endpoints that are backing off from this balancer.
 func (c *Chooser) BackingOff(now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/direct/split_test.go
+++ b/direct/split_test.go
@@ -16,12 +16,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSplitKeepsItsShares also while one part is short of room: what does not fit
-// there is refused and not moved to the other part. A part's share of the requests may
-// be off its weight's by a tenth.
-func TestSplitKeepsItsShares(t *testing.T) {
+// TestSplitKeepsItsWeights checks that a traffic split keeps its weights while one of its services
+// is full: requests for that service are refused and not moved to the other one. The shares may
+// differ from the weights by a tenth.
+func TestSplitKeepsItsWeights(t *testing.T) {
 	const requests, tolerance = 2000, 0.1
-	prober := &fakeProber{answers: map[string]upstream.Report{}, asked: map[string]int{}}
+	prober := &fakeProber{answers: map[string]upstream.Report{}, probeCount: map[string]int{}}
 	prober.set("full", 3, 1)
 	prober.set("idle", 0, 1)
 	entry := func(service, id string) directory.Entry {
@@ -47,7 +47,7 @@
 	for range requests {
 		route, code := c.Route("a.example", "GET", "/x")
 		assert.Equal(t, string(code), "")
-		r := ask()
+		r := newRequest()
 		r.Service, r.Kind = route.ServiceKey(), route.Kind.Name
 		g, refusal := c.Acquire(context.Background(), r)
 		if refusal != nil {
--- a/direct/start_test.go
+++ b/direct/start_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// restart puts the entry of another start of an endpoint into force.
-func (r *rig) restart(id string, start int64, revision uint64) {
+// restart applies the directory entry of another start of an endpoint.
+func (r *fixture) restart(id string, start int64, revision uint64) {
 	r.directory.Apply(directory.Changes{Entries: []directory.Entry{{
 		Endpoint: directory.Endpoint{
 			Endpoint: placement.Endpoint{VM: id, Addr: id, Zone: "near", Slots: 3}, Service: "s", Start: start,
@@ -21,15 +21,15 @@
 	}}}, time.Now())
 }
 
-// TestAnotherStartIsAnotherServer: what was seen of an endpoint before it started again says
-// nothing of it: not its failures, not what it held, not its word of leaving; and what began
-// before ends nothing of what began after.
-func TestAnotherStartIsAnotherServer(t *testing.T) {
-	r := newRig(1, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
+// TestRestartResetsState checks that what was observed of an endpoint before it restarted does not
+// apply to the new start: neither its failures nor the requests it held nor that it was leaving.
+// The end of an earlier request does not change the state of the new start.
+func TestRestartResetsState(t *testing.T) {
+	r := newFixture(1, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
 	r.restart("e0", 1, 2)
 	var before []placement.Grant
 	for range 3 {
-		grant, refused := r.Acquire(context.Background(), ask())
+		grant, refused := r.Acquire(context.Background(), newRequest())
 		assert.Assert(t, refused == nil)
 		assert.Equal(t, grant.Choice.Start, int64(1))
 		before = append(before, grant)
@@ -40,27 +40,27 @@
 	assert.Equal(t, r.Status().Endpoints[0].InFlight, 1)
 	r.restart("e0", 2, 3)
 	assert.Equal(t, r.Status().Endpoints[0].InFlight, 0)
-	after, refused := r.Acquire(context.Background(), ask())
+	after, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
 	assert.Equal(t, after.Choice.Start, int64(2))
 	r.Complete(before[2], placement.Result{Outcome: placement.Failed, Replaced: true})
 	st := r.Status().Endpoints[0]
-	assert.Equal(t, st.InFlight, 1, "an end of the start before")
+	assert.Equal(t, st.InFlight, 1, "the request of the previous start ended")
 	assert.Assert(t, !st.Ejected)
-	assert.Equal(t, st.State, "listed", "a word about the start before")
+	assert.Equal(t, st.State, "listed", "only the previous start was replaced")
 	r.Complete(after, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	assert.Equal(t, r.Status().Endpoints[0].InFlight, 0)
 }
 
-// TestAloneWhereOneIsIdle: a request that should be alone goes to an endpoint that holds
-// nothing, though another one is cheaper, and elsewhere where none does.
-func TestAloneWhereOneIsIdle(t *testing.T) {
-	r := newRig(2, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
+// TestAloneRequestGoesToIdleEndpoint checks that a request that should run alone goes to an idle
+// endpoint even if a busy one is cheaper, and to a busy one if none is idle.
+func TestAloneRequestGoesToIdleEndpoint(t *testing.T) {
+	r := newFixture(2, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
 	r.learn(t)
-	r.prober.set("e0", 1, 1) // of the own zone
+	r.prober.set("e0", 1, 1) // in the own zone
 	r.prober.set("e1", 0, 1)
-	time.Sleep(5 * time.Millisecond) // the last reports are no longer fresh
-	alone := ask()
+	time.Sleep(5 * time.Millisecond) // the last reports are outdated
+	alone := newRequest()
 	alone.Alone = true
 	grant, refused := r.Acquire(context.Background(), alone)
 	assert.Assert(t, refused == nil)
@@ -71,28 +71,29 @@
 	assert.Assert(t, refused == nil)
 }
 
-// TestSuspensionAgesReports: what was fresh before the VM was suspended is asked for again.
+// TestSuspensionAgesReports checks that a load report from before a suspension of the VM is no
+// longer fresh after it.
 func TestSuspensionAgesReports(t *testing.T) {
-	r := newRig(1, selection.Options{ProbeBurst: 1000, ProbeFresh: time.Hour, LookAgain: time.Millisecond})
-	_, refused := r.Acquire(context.Background(), ask())
+	r := newFixture(1, selection.Options{ProbeBurst: 1000, ProbeFresh: time.Hour, LookAgain: time.Millisecond})
+	_, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
-	probes := r.prober.total("e0")
-	_, refused = r.Acquire(context.Background(), ask())
+	probes := r.prober.probesTo("e0")
+	_, refused = r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
-	assert.Equal(t, r.prober.total("e0"), probes, "its report is fresh")
+	assert.Equal(t, r.prober.probesTo("e0"), probes, "its report is fresh")
 	r.Resume(2 * time.Hour)
-	grant, refused := r.Acquire(context.Background(), ask())
+	grant, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
-	assert.Equal(t, r.prober.total("e0"), probes+1)
+	assert.Equal(t, r.prober.probesTo("e0"), probes+1)
 	assert.Assert(t, grant.Choice.Age < time.Hour)
 }
 
-// TestStartThatEndedUnderARequest gets it no more, however long it is listed; another start of the
-// endpoint does.
-func TestStartThatEndedUnderARequest(t *testing.T) {
-	r := newRig(1, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
+// TestEndedStartGetsNoRetry checks that a request does not return to a start of an endpoint that
+// ended under it, however long that is listed, but may go to another start of the endpoint.
+func TestEndedStartGetsNoRetry(t *testing.T) {
+	r := newFixture(1, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
 	r.restart("e0", 7, 2)
-	request := ask()
+	request := newRequest()
 	request.Ended = []placement.Incarnation{{VM: "e0", Start: 7}}
 	_, refused := r.Acquire(context.Background(), request)
 	assert.Assert(t, refused != nil)
--- a/direct/status.go
+++ b/direct/status.go
@@ -7,7 +7,8 @@
 	"github.com/lotuswing/lotuswing/directory"
 )
 
-// Status is what a chooser tells operators at /status. Its names are the JSON's.
+// Status is what a chooser reports to operators at /status. The field names are also the JSON
+// names.
 type Status struct {
 	ID        string
 	Zone      string
@@ -16,7 +17,7 @@
 	Version   uint64 // of the configuration
 	Revision  uint64 // of the store
 	Routes    int
-	Evacuated []string `json:",omitempty"` // availability zones that are being emptied
+	Evacuated []string `json:",omitempty"` // availability zones that are being evacuated
 	Endpoints []EndpointStatus
 }
 
@@ -25,18 +26,18 @@
 	ID        string
 	Service   string
 	Zone      string
-	State     string  // as listed
+	State     string  // in the directory
 	InFlight  int     // requests of this process
 	Running   int     // as the endpoint reports
 	Waiting   int     // as the endpoint reports
 	Pace      float64 // as the endpoint reports
-	Slowness  float64 // of its completions against the usual time
+	Slowness  float64 // of its completions relative to the usual time
 	Ejected   bool
-	Evacuated bool          // its availability zone is being emptied
+	Evacuated bool          // its availability zone is being evacuated
 	Age       time.Duration // of the last report
 }
 
-// Status returns the status.
+// Status returns the current status of the chooser and of all listed endpoints.
 func (c *Chooser) Status() Status {
 	now := time.Now()
 	s := c.cfg.Directory.Snapshot()
@@ -49,28 +50,29 @@
 	defer c.mu.Unlock()
 	for service, list := range s.Endpoints {
 		for _, e := range list {
-			st.Endpoints = append(st.Endpoints, c.statusOf(service, e, now))
+			st.Endpoints = append(st.Endpoints, c.endpointStatus(service, e, now))
 		}
 	}
 	return st
 }
 
-// peek returns what is remembered of an endpoint, if anything is, without beginning to
-// remember it; c.mu is held.
-func (c *Chooser) peek(e *directory.Endpoint) selection.Endpoint {
-	if known, ok := c.endpoints[e.VM]; ok && known.start == e.Start {
-		return known.state
+// observedState returns what was observed of an endpoint, without creating a state if there is
+// none; c.mu must be held.
+func (c *Chooser) observedState(e *directory.Endpoint) selection.Endpoint {
+	if state, ok := c.endpoints[e.VM]; ok && state.start == e.Start {
+		return state.observed
 	}
 	return selection.NewEndpoint()
 }
 
-func (c *Chooser) statusOf(service string, e directory.Endpoint, now time.Time) EndpointStatus {
-	known := c.peek(&e)
-	load, report := known.Load(), known.Load().Report()
+// endpointStatus returns the status of one endpoint; c.mu must be held.
+func (c *Chooser) endpointStatus(service string, e directory.Endpoint, now time.Time) EndpointStatus {
+	state := c.observedState(&e)
+	load, report := state.Load(), state.Load().Report()
 	return EndpointStatus{
 		ID: e.VM, Service: service, Zone: e.Zone, State: e.State.String(), InFlight: load.InFlight(),
-		Running: report.InFlight, Waiting: report.Waiting, Pace: report.Pace, Slowness: known.Health().Slowness(),
-		Ejected: known.Health().Ejected(now), Age: load.Age(now),
+		Running: report.InFlight, Waiting: report.Waiting, Pace: report.Pace, Slowness: state.Health().Slowness(),
+		Ejected: state.Health().Ejected(now), Age: load.Age(now),
 		Evacuated: e.Evacuated,
 	}
 }
--- a/direct/unread.go
+++ b/direct/unread.go
@@ -8,11 +8,12 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// mostUnread bounds how many header names of services are logged.
-const mostUnread = 256
+// maxUnreadNames bounds how many different header names are logged, over all services.
+const maxUnreadNames = 256
 
-// unreadHeaders counts the headers in answers that nothing here reads, and logs each name once
-// for each service: an endpoint may ask for something that this version does not know.
+// unreadHeaders counts the response headers that this version does not know or cannot parse, and
+// logs each name once for each service: an endpoint may ask for something that this version does
+// not support.
 type unreadHeaders struct {
 	log   hclog.Logger
 	count metrics.Counter
@@ -27,8 +28,8 @@
 	return &unreadHeaders{log: log, count: metrics.GetOrRegisterCounter("headers_unread", r), seen: map[unreadHeader]bool{}}
 }
 
-// note notes the names in one answer.
-func (u *unreadHeaders) note(e limits.Endpoint, names []string) {
+// record counts the header names of one response, and logs those that are new.
+func (u *unreadHeaders) record(e limits.Endpoint, names []string) {
 	if len(names) == 0 {
 		return
 	}
@@ -37,10 +38,10 @@
 	defer u.mu.Unlock()
 	for _, name := range names {
 		key := unreadHeader{e.Service, name}
-		if u.seen[key] || len(u.seen) >= mostUnread {
+		if u.seen[key] || len(u.seen) >= maxUnreadNames {
 			continue
 		}
 		u.seen[key] = true
-		u.log.Info("header of an endpoint not read", "header", name, "service", e.Service, "id", e.ID)
+		u.log.Info("unsupported header in endpoint response", "header", name, "service", e.Service, "id", e.ID)
 	}
 }
--- a/direct/words_model_test.go
+++ b/direct/words_model_test.go
@@ -16,10 +16,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// wordsModel is endpoints that say things at random, and what a test knows of each start of them.
-type wordsModel struct {
+// admissionModel is a set of endpoints that leave, back off, fail and restart at random, and what
+// the test expects of each start of them.
+type admissionModel struct {
 	t *testing.T
-	*rig
+	*fixture
 
 	mu       sync.Mutex
 	rng      *rand.Rand
@@ -32,8 +33,8 @@
 
 const modelEndpoints = 5
 
-// list lists all endpoints as ready, whatever they have said: the store knows nothing of that.
-func (m *wordsModel) list(whole bool) {
+// list lists all endpoints as ready, whatever they announced: the store does not know of that.
+func (m *admissionModel) list(whole bool) {
 	m.revision++
 	c := directory.Changes{Whole: whole, At: m.revision}
 	for i := range modelEndpoints {
@@ -45,26 +46,26 @@
 	m.directory.Apply(c, time.Now())
 }
 
-// restart starts an endpoint again under its identity.
-func (m *wordsModel) restart() {
+// restart restarts a random endpoint under its ID.
+func (m *admissionModel) restart() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.starts[fmt.Sprint("e", m.rng.IntN(modelEndpoints))]++
 	m.list(m.rng.IntN(2) == 0)
 }
 
-// check checks that an endpoint may get a request.
-func (m *wordsModel) check(g placement.Grant, what string) {
+// check checks that the endpoint of a grant is neither leaving nor backing off.
+func (m *admissionModel) check(g placement.Grant, what string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	is := placement.Incarnation{VM: g.Endpoint.VM, Start: g.Choice.Start}
-	assert.Check(m.t, !m.left[is], "%s: %v has said that it leaves", what, is)
-	assert.Check(m.t, !time.Now().Before(m.until[is]), "%s: %v wants no requests for %v", what, is, time.Until(m.until[is]))
+	assert.Check(m.t, !m.left[is], "%s: %v is leaving", what, is)
+	assert.Check(m.t, !time.Now().Before(m.until[is]), "%s: %v backs off for another %v", what, is, time.Until(m.until[is]))
 	m.granted++
 }
 
-// answer has an endpoint answer after a while, with whatever it says.
-func (m *wordsModel) answer(g placement.Grant) {
+// answer makes an endpoint respond to a request after a while, with a random announcement.
+func (m *admissionModel) answer(g placement.Grant) {
 	m.mu.Lock()
 	takes := time.Duration(m.rng.Int64N(int64(200 * time.Millisecond)))
 	draw := m.rng.IntN(40)
@@ -82,7 +83,7 @@
 	case draw < 8:
 		outcome = placement.Failed
 	}
-	report := word(w)
+	report := reportWith(w)
 	report.Ran = outcome == placement.Completed
 	m.Hear(g, report)
 	m.mu.Lock()
@@ -96,10 +97,10 @@
 	m.Complete(g, placement.Result{Outcome: outcome, Took: takes})
 }
 
-// call sends requests one after the other until the end.
-func (m *wordsModel) call(end time.Time) {
+// call sends requests one after the other until a time.
+func (m *admissionModel) call(end time.Time) {
 	for time.Now().Before(end) {
-		request := ask()
+		request := newRequest()
 		request.Target = 200 * time.Millisecond
 		g, refused := m.Acquire(context.Background(), request)
 		if refused != nil {
@@ -120,14 +121,15 @@
 	}
 }
 
-// TestWordsModel: endpoints leave, ask for backoffs, fail and start again at random, while the store
-// goes on to say ready and everything is read anew; none gets what it does not want, from the choice or
-// after a slow connection.
-func TestWordsModel(t *testing.T) {
+// TestAdmissionModel checks that no start of an endpoint gets a request after it announced that it
+// is leaving, or during its backoff, neither when it is chosen nor after a slow connection.
+// Endpoints leave, back off, fail and restart at random, while the store lists them as ready and
+// the whole list is read again.
+func TestAdmissionModel(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
-			m := &wordsModel{
-				t: t, rig: newRig(0, selection.Options{}), rng: rand.New(rand.NewPCG(seed, 3)),
+			m := &admissionModel{
+				t: t, fixture: newFixture(0, selection.Options{}), rng: rand.New(rand.NewPCG(seed, 3)),
 				starts: map[string]int64{}, left: map[placement.Incarnation]bool{}, until: map[placement.Incarnation]time.Time{}, revision: 5,
 			}
 			for i := range modelEndpoints {
