--- a/coord/subset/subset.go
+++ b/coord/subset/subset.go
@@ -1,12 +1,12 @@
-// Package subset draws the endpoints among which one balancer chooses where a service has
-// more of them than a choice should look at.
+// Package subset draws the subset of a service's endpoints among which one balancer chooses, if
+// the service has more endpoints than each choice should consider.
 //
-// Each balancer draws for itself and asks nobody: whether an endpoint is in its subset is
-// decided by a hash of both names. So every endpoint is in about as many subsets as any
-// other one of its availability zone, and one that joins or leaves changes nothing for the
-// others but by the little that it moves the odds.
+// Each balancer draws its subset without coordination: a hash of the IDs of balancer and endpoint
+// decides whether the endpoint is in it. So each endpoint is in about as many subsets as any other
+// in its availability zone, and one that joins or leaves affects the others only by the small
+// change of the probability with which each is drawn.
 //
-// The package owns no state and relies on nothing.
+// The package owns no state and relies on no other package of this module.
 //
 // # Usage
 //
@@ -20,93 +20,95 @@
 )
 
 const (
-	// Size is how many endpoints a subset has, about. A choice looks at all of them after each
-	// probe. 984 balancers have each of 5,772 endpoints in some 33 subsets.
+	// Size is the approximate number of endpoints in a subset. A choice ranks all of them again
+	// after each probe. With 984 balancers, each of 5,772 endpoints is in some 33 subsets.
 	Size = 192
-	// nearShare is the part of a subset that is of the balancer's own availability zone, as
-	// far as there are so many: requests leave the zone only where it has no room.
-	nearShare = 0.75
-	// trialShare is the part that endpoints of a version have that comes in, which get a
-	// part of the requests however few they are.
-	trialShare = 0.25
+	// sameZoneShare is the share of a subset, apart from the new version, that is in the balancer's
+	// own availability zone if there are so many: requests leave the zone only if it has no room.
+	sameZoneShare = 0.75
+	// newVersionShare is the share of endpoints of the new version during a rollout: they get their
+	// share of the requests however few they are.
+	newVersionShare = 0.25
 )
 
 // Member is an endpoint to draw from.
 type Member struct {
-	ID    string
-	Near  bool // of the balancer's own availability zone
-	Trial bool // runs a version that comes in
-	Out   bool // must not be drawn
+	ID         string
+	SameZone   bool // in the balancer's own availability zone
+	NewVersion bool // runs the new version during a rollout
+	Excluded   bool // must not be drawn
 }
 
-// Draw returns the indices of the members that are in a balancer's subset: all that may be,
-// where they are no more than size.
+// Draw returns the indices of the members in a balancer's subset. These are all eligible members if
+// there are no more than size, and about size of them otherwise.
 func Draw(balancer string, members []Member, size int) []int {
-	var near, far, trial int
+	var sameZone, otherZone, newVersion int
 	for i := range members {
 		switch m := &members[i]; {
-		case m.Out:
-		case m.Trial:
-			trial++
-		case m.Near:
-			near++
+		case m.Excluded:
+		case m.NewVersion:
+			newVersion++
+		case m.SameZone:
+			sameZone++
 		default:
-			far++
+			otherZone++
 		}
 	}
 	wanted := float64(size)
-	if near+far+trial <= size {
-		return all(members)
+	if sameZone+otherZone+newVersion <= size {
+		return eligible(members)
 	}
-	trialOdds := oddsOf(max(trialShare*wanted, wanted-float64(near+far)), trial)
-	wanted -= trialOdds * float64(trial)
-	nearOdds := oddsOf(max(nearShare*wanted, wanted-float64(far)), near)
-	wanted -= nearOdds * float64(near)
-	farOdds := oddsOf(wanted, far)
-	self := xxhash.Sum64String(balancer)
+	newVersionProbability := drawProbability(max(newVersionShare*wanted, wanted-float64(sameZone+otherZone)), newVersion)
+	wanted -= newVersionProbability * float64(newVersion)
+	sameZoneProbability := drawProbability(max(sameZoneShare*wanted, wanted-float64(otherZone)), sameZone)
+	wanted -= sameZoneProbability * float64(sameZone)
+	otherZoneProbability := drawProbability(wanted, otherZone)
+	balancerHash := xxhash.Sum64String(balancer)
 	var drawn []int
 	for i := range members {
-		odds := farOdds
+		probability := otherZoneProbability
 		switch m := &members[i]; {
-		case m.Out:
+		case m.Excluded:
 			continue
-		case m.Trial:
-			odds = trialOdds
-		case m.Near:
-			odds = nearOdds
+		case m.NewVersion:
+			probability = newVersionProbability
+		case m.SameZone:
+			probability = sameZoneProbability
 		}
-		if odds >= 1 || lot(self, members[i].ID) < odds {
+		if probability >= 1 || hashFraction(balancerHash, members[i].ID) < probability {
 			drawn = append(drawn, i)
 		}
 	}
 	return drawn
 }
 
-// all returns the indices of all members that may be drawn.
-func all(members []Member) []int {
+// eligible returns the indices of all eligible members.
+func eligible(members []Member) []int {
 	drawn := make([]int, 0, len(members))
 	for i := range members {
-		if !members[i].Out {
+		if !members[i].Excluded {
 			drawn = append(drawn, i)
 		}
 	}
 	return drawn
 }
 
-// oddsOf returns the odds with which each of some members is drawn for so many to be.
-func oddsOf(wanted float64, members int) float64 {
+// drawProbability returns the probability with which to draw each of a number of members, so that
+// wanted of them are drawn on average. It may exceed 1.
+func drawProbability(wanted float64, members int) float64 {
 	if members == 0 {
 		return 0
 	}
 	return max(0, wanted/float64(members))
 }
 
-// lot returns a number from 0 to 1 that two names decide.
-func lot(self uint64, id string) float64 {
-	return float64(mix(self^xxhash.Sum64String(id))) / math.MaxUint64
+// hashFraction returns a number from 0 to 1 that depends only on a balancer's hash and an
+// endpoint's ID.
+func hashFraction(balancerHash uint64, id string) float64 {
+	return float64(mix(balancerHash^xxhash.Sum64String(id))) / math.MaxUint64
 }
 
-// mix spreads the bits of a number (the finalizer of splitmix64).
+// mix spreads the bits of a number. It is the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/coord/subset/subset_test.go
+++ b/coord/subset/subset_test.go
@@ -11,35 +11,36 @@
 
 const zones = 6
 
-// members returns the endpoints of a service as a balancer of zone 0 sees them.
+// members returns the endpoints of a service as a balancer in zone 0 sees them.
 func members(n int) []subset.Member {
 	list := make([]subset.Member, n)
 	for i := range list {
-		list[i] = subset.Member{ID: fmt.Sprintf("i-%08x", i*2654435761), Near: i%zones == 0}
+		list[i] = subset.Member{ID: fmt.Sprintf("i-%08x", i*2654435761), SameZone: i%zones == 0}
 	}
 	return list
 }
 
-// TestFewAreAllDrawn.
-func TestFewAreAllDrawn(t *testing.T) {
+// TestSmallServiceIsDrawnWhole checks that the subset has all endpoints if there are no more than
+// its size.
+func TestSmallServiceIsDrawnWhole(t *testing.T) {
 	for _, n := range []int{0, 1, 30, subset.Size} {
 		list := members(n)
 		for i := range list {
-			list[i].Trial = i%10 == 1
+			list[i].NewVersion = i%10 == 1
 		}
 		assert.Equal(t, len(subset.Draw("vm", list, subset.Size)), n)
 	}
 }
 
-// TestEveryEndpointIsInEnoughSubsets, at any size of service and fleet: none is left to a
-// few balancers, and none gets a multiple of what others do.
+// TestEveryEndpointIsInEnoughSubsets checks for several sizes of services and fleets that no
+// endpoint is in the subsets of just a few balancers or in several times as many as the others.
 func TestEveryEndpointIsInEnoughSubsets(t *testing.T) {
 	for _, c := range []struct{ balancers, endpoints int }{{300, 1000}, {984, 1488}, {984, 5772}, {1968, 11544}} {
 		list := members(c.endpoints)
 		in := make([]int, c.endpoints)
 		near := c.balancers / zones
 		smallest, largest := c.endpoints, 0
-		for b := range near { // of zone 0
+		for b := range near { // balancers in zone 0
 			drawn := subset.Draw(fmt.Sprintf("vm-%d", b), list, subset.Size)
 			smallest, largest = min(smallest, len(drawn)), max(largest, len(drawn))
 			for _, i := range drawn {
@@ -49,7 +50,7 @@
 		own := 0
 		least, most := near, 0
 		for i := range list {
-			if list[i].Near {
+			if list[i].SameZone {
 				own += in[i]
 				least, most = min(least, in[i]), max(most, in[i])
 			}
@@ -57,13 +58,14 @@
 		t.Logf("%d balancers, %d endpoints: subsets of %d to %d; an endpoint is in %d to %d of %d of its zone", c.balancers, c.endpoints, smallest, largest, least, most, near)
 		assert.Assert(t, smallest > subset.Size*3/4 && largest < subset.Size*5/4)
 		mean := own / (c.endpoints/zones + 1)
-		assert.Assert(t, least >= mean/4, "in %d, %d on average", least, mean)
+		assert.Assert(t, least >= mean/4, "an endpoint is in %d subsets, %d on average", least, mean)
 		assert.Assert(t, most <= 3*mean)
 	}
 }
 
-// TestChangesMoveLittle: one endpoint more or less changes the subset by one or two.
-func TestChangesMoveLittle(t *testing.T) {
+// TestMembershipChangeMovesFewEndpoints checks that a subset changes by at most two other endpoints
+// if one is removed.
+func TestMembershipChangeMovesFewEndpoints(t *testing.T) {
 	list := members(5000)
 	drawn := func(l []subset.Member) map[string]bool {
 		ids := map[string]bool{}
@@ -86,31 +88,33 @@
 				moved++
 			}
 		}
-		assert.Assert(t, moved <= 2, "%d moved", moved)
+		assert.Assert(t, moved <= 2, "%d endpoints moved", moved)
 	}
 }
 
-// TestTrialIsInEverySubset: the endpoints of a version that comes in are few, and each
-// balancer sends them a part of its requests.
-func TestTrialIsInEverySubset(t *testing.T) {
+// TestNewVersionIsInEverySubset checks that each balancer has endpoints of the new version in its
+// subset during a rollout, however few they are, so that it can send them their share of the
+// requests.
+func TestNewVersionIsInEverySubset(t *testing.T) {
 	list := members(3000)
 	for i := range list {
-		list[i].Trial = i >= 1500 && i < 1575
-		list[i].Out = i >= 1575
+		list[i].NewVersion = i >= 1500 && i < 1575
+		list[i].Excluded = i >= 1575
 	}
 	for b := range 100 {
-		trial := 0
+		drawnNew := 0
 		for _, i := range subset.Draw(fmt.Sprint(b), list, subset.Size) {
-			assert.Assert(t, !list[i].Out)
-			if list[i].Trial {
-				trial++
+			assert.Assert(t, !list[i].Excluded)
+			if list[i].NewVersion {
+				drawnNew++
 			}
 		}
-		assert.Assert(t, trial >= 20, "%d", trial)
+		assert.Assert(t, drawnNew >= 20, "%d endpoints of the new version", drawnNew)
 	}
 }
 
-// BenchmarkDraw: 0.3 ms of 5,772, once for each change of the service's endpoints.
+// BenchmarkDraw measures one draw, which happens once for each change of a service's endpoints. It
+// took 0.3 ms with 5,772 endpoints.
 func BenchmarkDraw(b *testing.B) {
 	list := members(5772)
 	for b.Loop() {
