--- a/coord/pick/pick.go
+++ b/coord/pick/pick.go
@@ -1,12 +1,11 @@
-// Package pick chooses an endpoint when no home can be asked.
+// Package pick chooses an endpoint for a balancer that can reach no coordinator, and so knows only
+// its own requests in flight.
 //
-// A balancer that is on its own knows only what it has in flight itself. It
-// compares two endpoints chosen at random and takes the one with less in
-// flight (Mitzenmacher, "The power of two choices in randomized load
-// balancing", 1996), leaving out those that are leaving, ejected or already
-// tried.
+// It compares two endpoints chosen at random and takes the one with the lower load (Mitzenmacher,
+// "The power of two choices in randomized load balancing", 1996). Endpoints that are leaving,
+// ejected or already tried are left out.
 //
-// It owns no state; the caller's random numbers decide.
+// The package owns no state; the caller passes the source of random numbers.
 //
 // # Usage
 //
@@ -17,32 +16,36 @@
 	"math/rand/v2"
 )
 
-// Candidate is one endpoint as the balancer sees it.
+// Candidate is what the balancer knows of one endpoint.
 type Candidate struct {
-	Usable   bool // neither leaving, ejected nor tried
-	InFlight int  // own requests in flight
-	Slowness float64
+	Usable   bool    // neither leaving, ejected nor already tried
+	InFlight int     // requests that this balancer has in flight there
+	Slowness float64 // of its responses, as a multiple of the usual time
 }
 
-// TwoChoices returns the index of the chosen candidate.
+// TwoChoices returns the index of the less loaded of two usable candidates chosen at random, and
+// whether there is a usable one.
 func TwoChoices(list []Candidate, rng *rand.Rand) (int, bool) {
-	first, ok := random(list, -1, rng)
+	first, ok := randomUsable(list, -1, rng)
 	if !ok {
 		return 0, false
 	}
-	second, ok := random(list, first, rng)
+	second, ok := randomUsable(list, first, rng)
 	if ok && list[second].load() < list[first].load() {
 		return second, true
 	}
 	return first, true
 }
 
+// load returns the requests in flight including the next one, weighted by the slowness if that is
+// above 1.
 func (c Candidate) load() float64 {
 	return float64(c.InFlight+1) * max(c.Slowness, 1)
 }
 
-// random returns a usable candidate other than except, each equally likely.
-func random(list []Candidate, except int, rng *rand.Rand) (int, bool) {
+// randomUsable returns the index of a usable candidate other than except, each equally likely, and
+// whether there is one. It uses reservoir sampling.
+func randomUsable(list []Candidate, except int, rng *rand.Rand) (int, bool) {
 	chosen, seen := 0, 0
 	for i, c := range list {
 		if !c.Usable || i == except {
