--- a/direct/acquire.go
+++ b/direct/acquire.go
@@ -49,7 +49,7 @@
 		case selection.Refuse:
 			return placement.Grant{}, c.refuse(&s, d)
 		case selection.Wait:
-			c.waitForRetry(ctx, s.service, d.Pause)
+			c.pauseUntilWoken(ctx, s.service, d.Pause)
 		}
 	}
 }
@@ -160,9 +160,10 @@
 }
 
 // stateForRanking returns the state of a listed endpoint, and creates it if there is none. An
-// endpoint that appears after the others of its service has joined it, and is tried by as many
-// balancers as use each of the others. A new start under the ID of an earlier one has joined as
-// well: what was observed of the earlier start does not apply to it. c.mu must be held.
+// endpoint that appears after others of its service counts as joined (selection.NewJoined) with the
+// probability shareInUse, so that about as many balancers try it as use each of the others. A new
+// start under the ID of an earlier one is such an endpoint as well: what was observed of the
+// earlier start does not apply to it. c.mu must be held.
 func (c *Chooser) stateForRanking(s *search, members []int, listed *directory.Endpoint, now time.Time) *endpointState {
 	if e, ok := c.endpoints[listed.VM]; ok && e.start == listed.Start {
 		return e
--- a/direct/complete.go
+++ b/direct/complete.go
@@ -12,8 +12,8 @@
 // are gone.
 const defaultForgetInterval = time.Minute
 
-// Complete updates the state of the endpoint, and what is learned of kinds and services, from how a
-// request ended.
+// Complete updates the state of a request's endpoint, and what is learned about its kind and
+// service, from the result of the request.
 func (c *Chooser) Complete(g placement.Grant, r placement.Result) {
 	now := time.Now()
 	c.mu.Lock()
@@ -106,8 +106,8 @@
 	}
 }
 
-// RememberedCount returns the number of endpoints whose state is kept.
-func (c *Chooser) RememberedCount() int {
+// EndpointStateCount returns the number of endpoints whose state is kept.
+func (c *Chooser) EndpointStateCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.endpoints)
--- a/direct/direct_test.go
+++ b/direct/direct_test.go
@@ -29,6 +29,7 @@
 	probeCount map[string]int
 }
 
+// errNoResponse is the error of a probe of an address without a response in the table.
 var errNoResponse = errors.New("no response")
 
 func (p *fakeProber) Probe(_ context.Context, addr, _ string, _ time.Duration) (upstream.Report, error) {
@@ -438,9 +439,9 @@
 	}}, Whole: true}, time.Now().Add(-time.Hour))
 	r.directory.Apply(directory.Changes{At: 10}, time.Now())
 	r.Complete(other, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
-	assert.Equal(t, r.RememberedCount(), 1, "the endpoint that still holds a request")
+	assert.Equal(t, r.EndpointStateCount(), 1, "the endpoint that still holds a request")
 	r.Complete(held, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
-	assert.Equal(t, r.RememberedCount(), 0)
+	assert.Equal(t, r.EndpointStateCount(), 0)
 }
 
 // TestProbesBeyondNearlyFullEndpoint checks that a good endpoint with only its last slot free is
--- a/direct/pool_test.go
+++ b/direct/pool_test.go
@@ -29,9 +29,9 @@
 	for range 50 {
 		r.acquire(t)
 	}
-	assert.Assert(t, r.RememberedCount() < subset.Size*5/4, "%d", r.RememberedCount())
+	assert.Assert(t, r.EndpointStateCount() < subset.Size*5/4, "%d", r.EndpointStateCount())
 	r.Status() // must not create states
-	assert.Assert(t, r.RememberedCount() < subset.Size*5/4, "%d", r.RememberedCount())
+	assert.Assert(t, r.EndpointStateCount() < subset.Size*5/4, "%d", r.EndpointStateCount())
 }
 
 // TestSubsetFollowsDirectory checks that endpoints that have left are not chosen any more, and that
--- a/direct/probe.go
+++ b/direct/probe.go
@@ -81,7 +81,8 @@
 	return probeTarget{listed: s.listed[index], state: c.state(&s.listed[index])}, true
 }
 
-// errSuspended is the error of a probe whose response may be as old as the VM was suspended.
+// errSuspended is the error of a probe during which the VM was suspended: the response may be as
+// old as the suspension was long.
 var errSuspended = errors.New("direct: VM was suspended during the probe")
 
 // probeEndpoint probes one endpoint and updates its state from the response.
--- a/direct/probe_test.go
+++ b/direct/probe_test.go
@@ -30,7 +30,7 @@
 	listed := directory.Endpoint{Endpoint: placement.Endpoint{VM: "e0", Addr: "e0"}}
 	late := probeTarget{listed: listed, state: c.state(&listed)}
 	c.forgetUnlisted(time.Now())
-	assert.Equal(t, c.RememberedCount(), 0)
+	assert.Equal(t, c.EndpointStateCount(), 0)
 	c.probeEndpoint(context.Background(), late, "/health")
-	assert.Equal(t, c.RememberedCount(), 0)
+	assert.Equal(t, c.EndpointStateCount(), 0)
 }
--- a/direct/said.go
+++ b/direct/said.go
@@ -8,16 +8,16 @@
 	"github.com/lotuswing/lotuswing/directory"
 )
 
-// Said is what operators see of an endpoint that is leaving, or that has asked for no requests for
-// a while. The field names are also the JSON names.
+// Said is what operators see of an endpoint that is leaving, or that has asked balancers to send no
+// requests for a while. The field names are also the JSON names.
 type Said struct {
 	Endpoint string
 	Service  string
 	Zone     string
 	Leaving  bool          // as announced by the endpoint or the store, or because another instance answers at its address
-	Backoff  time.Duration // for how much longer it wants no requests from this balancer; 0 for none
+	Backoff  time.Duration // rest of the backoff that it requested from this balancer; 0 for none
 	Slow     bool          // it is in its slow start after a backoff
-	Hint     time.Duration // for how much longer it wants no requests from another balancer, as that one reported; 0 for none
+	Hint     time.Duration // rest of the backoff that another balancer published; 0 for none
 }
 
 // Said returns the endpoints that are leaving, backing off or in slow start, by service and ID.
--- a/direct/waiting.go
+++ b/direct/waiting.go
@@ -13,10 +13,10 @@
 // request.
 type waiters []chan struct{}
 
-// waitForRetry waits for d, or until an endpoint of the service ends a request of this process. Its
+// pauseUntilWoken waits for d, or until an endpoint of the service ends a request of this process. Its
 // response reports its load, as fresh as a probe's, and its free slot is most likely still free for
 // a request that is woken at once: balancers do not race each other for it.
-func (c *Chooser) waitForRetry(ctx context.Context, service string, d time.Duration) {
+func (c *Chooser) pauseUntilWoken(ctx context.Context, service string, d time.Duration) {
 	woken := make(chan struct{}, 1)
 	c.mu.Lock()
 	c.waiters[service] = append(c.waiters[service], woken)
