--- a/direct/acquire.go
+++ b/direct/acquire.go
@@ -17,19 +17,19 @@
 // search is the state of one request's search for an endpoint.
 type search struct {
 	request      placement.Request
-	service      string               // name without the tenant
+	service      string               // name without the tenant's prefix
 	listed       []directory.Endpoint // of the service, as of the last ranking
-	rolloutShare float64              // of the requests, for the new version during a rollout; 0 without a rollout
+	rolloutShare float64              // fraction of the requests that the new version gets during a rollout; 0 without a rollout
 	ranking      selection.Ranking
-	learned      selection.Usual // about the request kind and the service, as of the last ranking
+	learned      selection.Usual // usual values for the request kind and the service, as of the last ranking
 	random       uint32          // drawn once, so that each ranking of this request decides alike
-	probes       int             // sent for this request so far
+	probes       int             // number sent for this request so far
 	lastProbed   int             // index in listed of the endpoint probed last
 }
 
-// Acquire chooses an endpoint for a request. It ranks and probes endpoints, decides, and repeats
-// this after a pause, or as soon as an endpoint of the service ends a request of this process and
-// reports its load, until an endpoint is granted or the request is refused.
+// Acquire chooses an endpoint for a request. It ranks and probes endpoints, then decides to grant
+// the best endpoint, to refuse the request or to wait. A waiting request tries again after a pause,
+// or earlier if a request of this process to the same service completes with a load report.
 func (c *Chooser) Acquire(ctx context.Context, r placement.Request) (placement.Grant, *placement.Refusal) {
 	s := search{request: r, service: tenant.ServiceName(r.Service), random: rand.Uint32()}
 	giveUp := c.opts.GiveUpAt(r, time.Now())
@@ -54,9 +54,9 @@
 	}
 }
 
-// rankAndProbe ranks the endpoints and probes the best ones, one at a time, until one is good and
-// no better one is expected, no endpoint may be probed, or the number of rounds is used up. A best
-// candidate whose rate limit requires a permit costs a round to request it.
+// rankAndProbe ranks the endpoints and probes the best ones, one at a time. It stops when the best
+// one is good and a better one is not expected, when no endpoint may be probed, or after a limited
+// number of rounds. Requesting a permit for a best candidate with a rate limit also takes a round.
 func (c *Chooser) rankAndProbe(ctx context.Context, s *search) {
 	c.rank(s, time.Now())
 	for range selection.ProbeRounds(s.probes) {
@@ -64,7 +64,7 @@
 			c.rank(s, time.Now())
 			continue
 		}
-		if !c.opts.NeedsProbe(&s.ranking, &s.learned) || !c.probe(ctx, s, time.Now()) {
+		if !c.opts.NeedsProbe(&s.ranking, &s.learned) || !c.probeNext(ctx, s, time.Now()) {
 			return
 		}
 		s.probes++
@@ -76,14 +76,14 @@
 	}
 }
 
-// allEvacuated reports whether there are endpoints and an operator has evacuated the zones of all
-// of them.
+// allEvacuated reports whether the list is not empty and the zone of every endpoint in it is
+// evacuated.
 func allEvacuated(listed []directory.Endpoint) bool {
 	return len(listed) > 0 && !slices.ContainsFunc(listed, func(e directory.Endpoint) bool { return !e.Evacuated })
 }
 
-// recordProspect adds the estimate for the endpoint probed last to the prospects of its service,
-// provided that its load report arrived in time.
+// recordProspect records the estimate for the endpoint probed last, if it responded in time. The
+// recorded estimates predict how good the endpoints that have not been probed yet are.
 func (c *Chooser) recordProspect(s *search) {
 	lastProbed, ok := s.ranking.Find(s.lastProbed)
 	if !ok || lastProbed.Age > c.opts.ProbeFresh {
@@ -95,7 +95,7 @@
 }
 
 // rank ranks the endpoints that the request may go to. During a rollout these are the endpoints of
-// one version of the service.
+// one version of the service: of the preferred one, or of the other one if fallbackSide says so.
 func (c *Chooser) rank(s *search, now time.Time) {
 	snapshot := c.cfg.Directory.Snapshot()
 	s.listed, s.rolloutShare = snapshot.Endpoints[s.service], snapshot.Shares[s.service]
@@ -114,8 +114,8 @@
 	c.listed[s.service] = c.listed[s.service] || len(s.listed) > 0
 }
 
-// preferredSide returns which version of the service the request goes to: during a rollout, the new
-// one for the rollout's share of the requests.
+// preferredSide returns the version of the service for which the request is meant. During a rollout
+// that is the new version for a fraction rolloutShare of the requests.
 func (s *search) preferredSide() placement.Side {
 	switch {
 	case s.rolloutShare == 0:
@@ -126,10 +126,10 @@
 	return placement.OldSide
 }
 
-// fallbackSide returns the version that takes the request instead of its preferred one, and whether
-// there is one. A request for the new version falls back to the old one if no endpoint of the new
-// one has room, unless all requests belong to the new one. A request for the old version goes to
-// the new one only if the old one has no endpoint at all.
+// fallbackSide reports whether the request should go to the other version instead of its preferred
+// one, and returns that version. A request for the new version falls back to the old one if no
+// endpoint of the new version has room, unless rolloutShare is 1. A request for the old version
+// goes to the new one only if the request may go to no endpoint of the old version.
 func (s *search) fallbackSide(side placement.Side) (placement.Side, bool) {
 	switch {
 	case side == placement.NewSide && s.rolloutShare < 1 && (s.ranking.Len() == 0 || s.ranking.Best().Full):
@@ -142,14 +142,14 @@
 
 // rankSide ranks the endpoints of one version that the request may go to; c.mu must be held.
 func (c *Chooser) rankSide(s *search, side placement.Side, now time.Time) {
-	members := c.poolOf(s.service, s.listed)
-	s.ranking.Reset(len(members))
-	for _, i := range members {
+	indices := c.poolOf(s.service, s.listed)
+	s.ranking.Reset(len(indices))
+	for _, i := range indices {
 		e := &s.listed[i]
 		if side != placement.AnySide && e.Side != side || s.excludes(e) || !c.inRegion(s, e) {
 			continue
 		}
-		state, admitted := c.admission(s, members, i, now)
+		state, admitted := c.admission(s, indices, i, now)
 		if admitted.Access == admission.Never {
 			continue
 		}
@@ -160,25 +160,25 @@
 }
 
 // stateForRanking returns the state of a listed endpoint, and creates it if there is none. An
-// endpoint that appears after others of its service counts as joined (selection.NewJoined) with the
-// probability shareInUse, so that about as many balancers try it as use each of the others. A new
-// start under the ID of an earlier one is such an endpoint as well: what was observed of the
-// earlier start does not apply to it. c.mu must be held.
-func (c *Chooser) stateForRanking(s *search, members []int, listed *directory.Endpoint, now time.Time) *endpointState {
+// endpoint that appears after others of its service counts as joined (selection.NewJoined), which
+// makes this process try it, with the probability recentlyUsedFraction: then about as many
+// balancers try it as use each of the others. The same goes for an endpoint that restarted under
+// its ID, since what was observed before the restart does not apply to it. c.mu must be held.
+func (c *Chooser) stateForRanking(s *search, indices []int, listed *directory.Endpoint, now time.Time) *endpointState {
 	if e, ok := c.endpoints[listed.VM]; ok && e.start == listed.Start {
 		return e
 	}
-	if c.listed[s.service] && c.rng.Float64() < c.shareInUse(s.listed, members, now) {
+	if c.listed[s.service] && c.rng.Float64() < c.recentlyUsedFraction(s.listed, indices, now) {
 		return c.addState(listed, selection.NewJoined())
 	}
 	return c.addState(listed, selection.NewEndpoint())
 }
 
-// shareInUse returns the fraction of the endpoints with a state in this process's zone that this
-// process has used recently; c.mu must be held.
-func (c *Chooser) shareInUse(listed []directory.Endpoint, members []int, now time.Time) float64 {
+// recentlyUsedFraction returns which fraction of the pool's endpoints in this process's zone this
+// process has used recently. Endpoints without a state are left out. c.mu must be held.
+func (c *Chooser) recentlyUsedFraction(listed []directory.Endpoint, indices []int, now time.Time) float64 {
 	near, used := 0, 0
-	for _, i := range members {
+	for _, i := range indices {
 		e, ok := c.endpoints[listed[i].VM]
 		if !ok || listed[i].Zone != c.cfg.Zone {
 			continue
@@ -191,7 +191,8 @@
 	return float64(used) / float64(max(1, near))
 }
 
-// state returns the state of a listed endpoint, and creates it if there is none; c.mu must be held.
+// state returns the state of a listed endpoint, and creates it if there is none. Unlike
+// stateForRanking it never counts the endpoint as joined. c.mu must be held.
 func (c *Chooser) state(listed *directory.Endpoint) *endpointState {
 	if e, ok := c.endpoints[listed.VM]; ok && e.start == listed.Start {
 		return e
@@ -206,8 +207,8 @@
 	return e
 }
 
-// grantBest grants the request the best candidate. It returns false if the permit for an endpoint
-// with a rate limit has gone to another request in the meantime.
+// grantBest grants the best candidate to the request. It returns false if the candidate has a rate
+// limit and another request has taken the permit for it in the meantime.
 func (c *Chooser) grantBest(s *search, now time.Time) (grant placement.Grant, ok bool) {
 	best := s.ranking.Best()
 	target := &s.listed[best.Index]
@@ -232,5 +233,6 @@
 	}, true
 }
 
-// maxLoggedAge is the age from which a load report is logged as if there were none.
+// maxLoggedAge bounds the age of a load report in the log: a report of this age or older is logged
+// as -1, like a missing one.
 const maxLoggedAge = time.Hour
--- a/direct/admission_model_test.go
+++ b/direct/admission_model_test.go
@@ -22,19 +22,20 @@
 	t *testing.T
 	*fixture
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	revision uint64
-	starts   map[string]int64
-	left     map[placement.Incarnation]bool
-	until    map[placement.Incarnation]time.Time
-	granted  int
+	mu          sync.Mutex
+	rng         *rand.Rand
+	revision    uint64
+	starts      map[string]int64                    // current start of each endpoint
+	leaving     map[placement.Incarnation]bool      // whether the start announced that it is leaving
+	backoffEnds map[placement.Incarnation]time.Time // end of its last backoff
+	granted     int                                 // requests checked
 }
 
 const modelEndpoints = 5
 
-// list lists all endpoints as ready, whatever they announced: the store does not know of that.
-func (m *admissionModel) list(whole bool) {
+// listAll lists the current starts of all endpoints as ready, as the store does, which does not
+// know what they announced. If whole is set, they replace the earlier list.
+func (m *admissionModel) listAll(whole bool) {
 	m.revision++
 	c := directory.Changes{Whole: whole, At: m.revision}
 	for i := range modelEndpoints {
@@ -46,33 +47,34 @@
 	m.directory.Apply(c, time.Now())
 }
 
-// restart restarts a random endpoint under its ID.
-func (m *admissionModel) restart() {
+// restartRandom restarts a random endpoint under its ID.
+func (m *admissionModel) restartRandom() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.starts[fmt.Sprint("e", m.rng.IntN(modelEndpoints))]++
-	m.list(m.rng.IntN(2) == 0)
+	m.listAll(m.rng.IntN(2) == 0)
 }
 
-// check checks that the endpoint of a grant is neither leaving nor backing off.
-func (m *admissionModel) check(g placement.Grant, what string) {
+// checkAdmitted checks that the endpoint of a grant is neither leaving nor backing off.
+func (m *admissionModel) checkAdmitted(g placement.Grant, what string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	is := placement.Incarnation{VM: g.Endpoint.VM, Start: g.Choice.Start}
-	assert.Check(m.t, !m.left[is], "%s: %v is leaving", what, is)
-	assert.Check(m.t, !time.Now().Before(m.until[is]), "%s: %v backs off for another %v", what, is, time.Until(m.until[is]))
+	incarnation := placement.Incarnation{VM: g.Endpoint.VM, Start: g.Choice.Start}
+	assert.Check(m.t, !m.leaving[incarnation], "%s: %v is leaving", what, incarnation)
+	assert.Check(m.t, !time.Now().Before(m.backoffEnds[incarnation]), "%s: %v backs off for another %v", what, incarnation, time.Until(m.backoffEnds[incarnation]))
 	m.granted++
 }
 
-// answer makes an endpoint respond to a request after a while, with a random announcement.
-func (m *admissionModel) answer(g placement.Grant) {
+// respond makes the endpoint of a grant respond after a random time, with a random outcome and
+// announcement.
+func (m *admissionModel) respond(g placement.Grant) {
 	m.mu.Lock()
-	takes := time.Duration(m.rng.Int64N(int64(200 * time.Millisecond)))
+	took := time.Duration(m.rng.Int64N(int64(200 * time.Millisecond)))
 	draw := m.rng.IntN(40)
 	backoff := time.Duration(m.rng.Int64N(int64(3 * time.Second)))
 	m.mu.Unlock()
-	time.Sleep(takes)
-	is := placement.Incarnation{VM: g.Endpoint.VM, Start: g.Choice.Start}
+	time.Sleep(took)
+	incarnation := placement.Incarnation{VM: g.Endpoint.VM, Start: g.Choice.Start}
 	var w admission.Word
 	outcome := placement.Completed
 	switch {
@@ -87,18 +89,18 @@
 	report.Ran = outcome == placement.Completed
 	m.Hear(g, report)
 	m.mu.Lock()
-	if m.starts[is.VM] == is.Start {
-		m.left[is] = m.left[is] || w.Leaving
-		if end := time.Now().Add(w.Backoff); w.Backoff > 0 && end.After(m.until[is]) {
-			m.until[is] = end
+	if m.starts[incarnation.VM] == incarnation.Start {
+		m.leaving[incarnation] = m.leaving[incarnation] || w.Leaving
+		if end := time.Now().Add(w.Backoff); w.Backoff > 0 && end.After(m.backoffEnds[incarnation]) {
+			m.backoffEnds[incarnation] = end
 		}
 	}
 	m.mu.Unlock()
-	m.Complete(g, placement.Result{Outcome: outcome, Took: takes})
+	m.Complete(g, placement.Result{Outcome: outcome, Took: took})
 }
 
-// call sends requests one after the other until a time.
-func (m *admissionModel) call(end time.Time) {
+// sendRequests sends requests one after the other until end.
+func (m *admissionModel) sendRequests(end time.Time) {
 	for time.Now().Before(end) {
 		request := newRequest()
 		request.Target = 200 * time.Millisecond
@@ -107,45 +109,46 @@
 			time.Sleep(min(refused.RetryAfter, 100*time.Millisecond))
 			continue
 		}
-		m.check(g, "chosen")
+		m.checkAdmitted(g, "chosen")
 		m.mu.Lock()
-		connects := time.Duration(m.rng.Int64N(int64(20 * time.Millisecond)))
+		connectTime := time.Duration(m.rng.Int64N(int64(20 * time.Millisecond)))
 		m.mu.Unlock()
-		time.Sleep(connects)
+		time.Sleep(connectTime)
 		if !m.Admits(g, time.Now()) {
 			m.Complete(g, placement.Result{Outcome: placement.Unused})
 			continue
 		}
-		m.check(g, "sent")
-		m.answer(g)
+		m.checkAdmitted(g, "sent")
+		m.respond(g)
 	}
 }
 
-// TestAdmissionModel checks that no start of an endpoint gets a request after it announced that it
-// is leaving, or during its backoff, neither when it is chosen nor after a slow connection.
-// Endpoints leave, back off, fail and restart at random, while the store lists them as ready and
-// the whole list is read again.
+// TestAdmissionModel checks that an endpoint gets no request after it announced that it is leaving
+// or during its backoff, unless it has restarted since. This is checked when the endpoint is chosen
+// and again when the request is sent after a slow connection. Endpoints leave, back off, fail and
+// restart at random, while the store goes on to list them as ready and the whole list is read
+// again.
 func TestAdmissionModel(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			m := &admissionModel{
 				t: t, fixture: newFixture(0, selection.Options{}), rng: rand.New(rand.NewPCG(seed, 3)),
-				starts: map[string]int64{}, left: map[placement.Incarnation]bool{}, until: map[placement.Incarnation]time.Time{}, revision: 5,
+				starts: map[string]int64{}, leaving: map[placement.Incarnation]bool{}, backoffEnds: map[placement.Incarnation]time.Time{}, revision: 5,
 			}
 			for i := range modelEndpoints {
 				id := fmt.Sprint("e", i)
 				m.starts[id] = 1
 				m.prober.set(id, 0, 1)
 			}
-			m.list(true)
+			m.listAll(true)
 			end := time.Now().Add(20 * time.Second)
 			var callers sync.WaitGroup
 			for range 8 {
-				callers.Go(func() { m.call(end) })
+				callers.Go(func() { m.sendRequests(end) })
 			}
 			for time.Now().Before(end) {
 				time.Sleep(300 * time.Millisecond)
-				m.restart()
+				m.restartRandom()
 			}
 			callers.Wait()
 			assert.Assert(t, m.granted > 500, "seed %d: %d granted", seed, m.granted)
--- a/direct/admit.go
+++ b/direct/admit.go
@@ -10,9 +10,9 @@
 	"github.com/lotuswing/lotuswing/tenant"
 )
 
-// This file checks whether an endpoint may get a request: when it is chosen (admission), when the
-// request is written (Admits), and when it is probed other than to choose (Willing). The rules
-// are in coord/admission.
+// An endpoint is checked three times: whether it may be chosen for a request (Chooser.admission),
+// whether it may still get the request when that is about to be written (Admits), and whether it
+// may be probed by another package (Willing). The rules are in coord/admission.
 
 // excludes reports whether the request must not go to an endpoint: it has already been sent there,
 // or this start of the endpoint ended while it had the request.
@@ -20,15 +20,16 @@
 	return slices.Contains(s.request.Avoid, e.VM) || slices.Contains(s.request.Ended, placement.Incarnation{VM: e.VM, Start: e.Start})
 }
 
-// admission decides whether and from when a request may go to the endpoint at an index of s.listed,
-// and returns the endpoint's state, which is nil if the endpoint is not usable. c.mu must be held.
-func (c *Chooser) admission(s *search, members []int, index int, now time.Time) (*endpointState, admission.Decision) {
+// admission decides whether, and from when, a request may go to the endpoint at an index of
+// s.listed. It also returns the endpoint's state, nil if the endpoint is not usable. c.mu must be
+// held.
+func (c *Chooser) admission(s *search, indices []int, index int, now time.Time) (*endpointState, admission.Decision) {
 	e := &s.listed[index]
 	f := admission.Facts{Usable: e.Usable(now), Lot: s.randomFor(index), Priority: s.request.Priority}
 	if !f.Usable {
 		return nil, admission.Decide(f, now)
 	}
-	state := c.stateForRanking(s, members, e, now)
+	state := c.stateForRanking(s, indices, e, now)
 	f.State = state.admission
 	f.Limit, f.LimitOpens = c.limitStanding(e, now)
 	return state, admission.Decide(f, now)
@@ -37,11 +38,12 @@
 // randomFor returns a pseudorandom number in [0,1) for the endpoint at an index of s.listed. It is
 // the same in each ranking of the request.
 func (s *search) randomFor(index int) float64 {
-	const goldenRatio = 0x9e3779b9 // spreads neighboring indices
+	const goldenRatio = 0x9e3779b9 // 2^32 divided by the golden ratio; spreads neighboring indices
 	return float64((s.random^uint32(index+1)*goldenRatio)*goldenRatio) / (1 << 32)
 }
 
-// Admits reports whether the endpoint of a grant may still get the request.
+// Admits reports whether the endpoint of a grant may still get the request. It may not if,
+// since the grant, the endpoint has restarted, or announced that it is leaving or backing off.
 func (c *Chooser) Admits(g placement.Grant, now time.Time) bool {
 	listed, ok := c.cfg.Directory.Snapshot().Find(tenant.ServiceName(g.Service), g.Endpoint.VM)
 	if !ok || listed.Start != g.Choice.Start {
@@ -56,7 +58,8 @@
 	return admission.Willing(listed.Usable(now), state.admission, now)
 }
 
-// Willing reports whether the endpoint with an ID may be probed: it is not backing off.
+// Willing reports whether the endpoint with an ID may be probed, that is, whether it is not known
+// to be backing off.
 func (c *Chooser) Willing(id string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/direct/backoff_notes.go
+++ b/direct/backoff_notes.go
@@ -11,29 +11,30 @@
 )
 
 // BackoffTopic is the topic of the notes by which a balancer tells all others that an endpoint
-// wants no requests from it for a while. The others may still send requests there, but prefer other
-// endpoints. With hundreds of balancers each sends an endpoint less than one request during a
-// backoff, so none would learn of it from its own requests.
+// asked it for a backoff. The others may still send requests to the endpoint, but prefer other
+// endpoints. With hundreds of balancers, each sends less than one request to an endpoint during a
+// backoff, so most would not learn of the backoff from requests of their own.
 const BackoffTopic = relay.Brief + "backoff"
 
 // backoffNote is the payload of a note under BackoffTopic, as JSON.
 type backoffNote struct {
-	ID      string
-	Start   int64
+	ID      string // of the endpoint
+	Start   int64  // of the endpoint
 	Service string
-	For     time.Duration
+	For     time.Duration // length of the backoff in nanoseconds, from when the note was published
 }
 
-// maxHintedBackoff is the longest backoff that is accepted from another balancer.
-const maxHintedBackoff = time.Hour
+// maxBackoffFromNote is the longest backoff that is accepted from another balancer.
+const maxBackoffFromNote = time.Hour
 
-// errInvalidBackoffNote is returned for a note that cannot describe a current backoff.
+// errInvalidBackoffNote is returned for a note without an endpoint ID, or with a duration or an age
+// that is out of range.
 var errInvalidBackoffNote = errors.New("direct: backoff note has no endpoint ID, or an invalid duration or age")
 
-// publishBackoff tells all other balancers about a backoff, unless they know of it already or too
-// many were published.
+// publishBackoff tells all other balancers about a backoff, unless a note about it has been
+// published before or the balancers have published too many notes recently.
 func (c *Chooser) publishBackoff(e limits.Endpoint, d time.Duration, now time.Time) {
-	if c.cfg.Tell == nil || !c.reserveHint(e, d, now) {
+	if c.cfg.Tell == nil || !c.reserveBackoffNote(e, d, now) {
 		return
 	}
 	data, err := json.Marshal(backoffNote{ID: e.ID, Start: e.Start, Service: e.Service, For: d})
@@ -45,33 +46,35 @@
 	}
 }
 
-// reserveHint reports whether this balancer may tell the others about a backoff. If so, it counts
-// that, and stores the backoff in the endpoint's state as known to others.
-func (c *Chooser) reserveHint(e limits.Endpoint, d time.Duration, now time.Time) bool {
+// reserveBackoffNote reports whether this balancer may publish a note about a backoff. If so, it
+// counts the note against the limit on notes, and marks the backoff in the endpoint's state as
+// published.
+func (c *Chooser) reserveBackoffNote(e limits.Endpoint, d time.Duration, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state, ok := c.endpoints[e.ID]
-	if !ok || state.start != e.Start || !c.hints.Allow(state.admission, now) {
+	if !ok || state.start != e.Start || !c.backoffNotes.Allow(state.admission, now) {
 		return false
 	}
 	state.admission = state.admission.WithHint(d, now)
-	c.hints = c.hints.Told(now)
+	c.backoffNotes = c.backoffNotes.Told(now)
 	return true
 }
 
-// applyBackoffNote processes a note of another balancer under BackoffTopic.
+// applyBackoffNote applies another balancer's note under BackoffTopic to the endpoint's state. A
+// note about an endpoint or a start that is not listed only counts against the limit on notes.
 func (c *Chooser) applyBackoffNote(n relay.Note, now time.Time) error {
 	var note backoffNote
 	if err := json.Unmarshal(n.Data, &note); err != nil {
 		return fmt.Errorf("direct: decoding backoff note: %w", err)
 	}
-	if note.ID == "" || note.For <= 0 || note.For > maxHintedBackoff || n.Age < 0 {
+	if note.ID == "" || note.For <= 0 || note.For > maxBackoffFromNote || n.Age < 0 {
 		return errInvalidBackoffNote
 	}
 	listed, ok := c.cfg.Directory.Snapshot().Find(note.Service, note.ID)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hints = c.hints.Heard(now)
+	c.backoffNotes = c.backoffNotes.Heard(now)
 	if ok && listed.Start == note.Start {
 		state := c.state(listed)
 		state.admission = state.admission.WithHint(note.For, now.Add(-n.Age))
--- a/direct/backoff_notes_test.go
+++ b/direct/backoff_notes_test.go
@@ -45,7 +45,7 @@
 		}
 		began := time.Now()
 		assert.Equal(t, grant(t, o).Endpoint.VM, first.Endpoint.VM, "no other endpoint has room")
-		assert.Equal(t, time.Since(began), time.Duration(0), "another balancer's backoff does not delay requests")
+		assert.Equal(t, time.Since(began), time.Duration(0), "a backoff from a note delays no request")
 	})
 }
 
@@ -67,8 +67,8 @@
 	})
 }
 
-// TestInvalidBackoffNotes checks that notes that are malformed are rejected, and that notes about
-// unknown endpoints change nothing.
+// TestInvalidBackoffNotes checks that malformed notes are rejected, and that notes about endpoints
+// or starts that are not listed change nothing.
 func TestInvalidBackoffNotes(t *testing.T) {
 	var sent publisher
 	r := newPublishingFixture(2, &sent)
@@ -80,7 +80,7 @@
 	}
 	assert.Equal(t, grant(t, r).Endpoint.VM, "e0")
 	r.requestBackoff(grant(t, r))
-	assert.Equal(t, len(sent.notes), 1, "no note about this backoff was accepted")
+	assert.Equal(t, len(sent.notes), 1, "the rejected notes do not count as published")
 	var s admission.State
 	assert.Assert(t, !s.WithHint(-time.Second, time.Now()).Hinted(time.Now()))
 }
--- a/direct/backoff_test.go
+++ b/direct/backoff_test.go
@@ -22,9 +22,9 @@
 	r.Complete(g, placement.Result{Outcome: placement.Shed})
 }
 
-// TestBackingOffEndpointGetsNothing checks that an endpoint gets no requests, no request granted
-// before and no probes during its backoff, while the others serve, and that it is not ejected as if
-// it had failed.
+// TestBackingOffEndpointGetsNothing checks that during its backoff an endpoint gets no requests,
+// even if they were granted before, and no probes, while the other endpoints serve. The endpoint
+// must not be ejected as if it had failed.
 func TestBackingOffEndpointGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFixture(3, selection.Options{})
@@ -48,8 +48,8 @@
 	})
 }
 
-// TestRefusesWhileAllBackOff checks that requests are refused at once, with retry times no earlier
-// than the end of the first backoff, and spread after it.
+// TestRefusesWhileAllBackOff checks that requests are refused at once while all endpoints back off.
+// The retry times must be spread, and none may be before the end of the first backoff.
 func TestRefusesWhileAllBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFixture(2, selection.Options{})
@@ -114,8 +114,8 @@
 	})
 }
 
-// TestBackoffOutlivesDirectoryEntry checks that a backoff still applies if the endpoint's directory
-// entry expires and comes back, as it does while the store is unavailable.
+// TestBackoffOutlivesDirectoryEntry checks that a backoff still applies after the endpoint's
+// directory entry has expired and come back, as happens when the store is unavailable for a while.
 func TestBackoffOutlivesDirectoryEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFixtureForgetting(1, selection.Options{}, time.Nanosecond)
@@ -135,9 +135,10 @@
 	})
 }
 
-// TestRetriesAreSpread checks that refused callers retry at different times after the end of the
-// first backoff, even if many endpoints end theirs at once and one of them accepts requests right
-// then.
+// TestRetriesAreSpread checks that refused callers are told to retry later than the end of the
+// first backoff, by at least an eighth of the target, even if many endpoints end their backoffs at
+// once and one of them accepts requests right then. Otherwise all callers would retry at that
+// moment.
 func TestRetriesAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const endpoints = 40
--- a/direct/complete.go
+++ b/direct/complete.go
@@ -8,12 +8,11 @@
 	"github.com/lotuswing/lotuswing/tenant"
 )
 
-// defaultForgetInterval is the default time between two searches for the states of endpoints that
-// are gone.
+// defaultForgetInterval is the default of Config.ForgetInterval.
 const defaultForgetInterval = time.Minute
 
-// Complete updates the state of a request's endpoint, and what is learned about its kind and
-// service, from the result of the request.
+// Complete processes the result of a request. It updates the state of the endpoint, and what is
+// learned about the request's kind and service.
 func (c *Chooser) Complete(g placement.Grant, r placement.Result) {
 	now := time.Now()
 	c.mu.Lock()
@@ -21,7 +20,7 @@
 	defer c.forgetUnlisted(now)
 	e, ok := c.endpoints[g.Endpoint.VM]
 	if !ok || e.start != g.Choice.Start {
-		return // the start of the endpoint that got the request is gone
+		return // the endpoint has restarted, or its state was dropped
 	}
 	e.observed = e.observed.WithEnded(r.Load, now)
 	if r.Load.Known {
@@ -34,12 +33,12 @@
 		return
 	}
 	if g.Choice.Cold {
-		c.recordWarming(tenant.ServiceName(g.Service), r.Outcome, now)
+		c.recordWarmupOutcome(tenant.ServiceName(g.Service), r.Outcome, now)
 	}
 	if r.Outcome == placement.Completed {
 		c.learnServiceTime(g, r.Took, e.observed.Load().Slots(g.Endpoint.Slots))
 	}
-	c.reportEvidence(g, r, now)
+	c.reportRolloutOutcome(g, r, now)
 	e.observed = e.observed.WithOutcome(r.Outcome, c.serviceTimeRatio(g, r.Took), now)
 	if r.Outcome == placement.Failed && e.observed.Health().Ejected(now) {
 		c.cfg.Log.Info("endpoint", "id", g.Endpoint.VM, "service", tenant.ServiceName(g.Service), "state", "ejected",
@@ -47,12 +46,13 @@
 	}
 }
 
-// slowFactor is how many times its estimate a request must take to count as slow.
+// slowFactor is the multiple of its estimate beyond which the time of a request counts as slow.
 const slowFactor = 3
 
-// reportEvidence reports the outcome of a request during a rollout of its service. Requests at
-// endpoints that were warming up are left out, since those of a new version warm up first.
-func (c *Chooser) reportEvidence(g placement.Grant, r placement.Result, now time.Time) {
+// reportRolloutOutcome reports the outcome of a request that ran during a rollout of its service.
+// Requests at endpoints that were warming up are left out: the endpoints of a new version start
+// cold, which would make it look slow.
+func (c *Chooser) reportRolloutOutcome(g placement.Grant, r placement.Result, now time.Time) {
 	side := g.Choice.Side
 	ran := r.Outcome == placement.Completed || r.Outcome == placement.Failed
 	if c.cfg.Evidence == nil || !ran || g.Choice.Cold || side != placement.OldSide && side != placement.NewSide {
@@ -64,14 +64,15 @@
 	}, now)
 }
 
-// recordWarming records how a request ended at an endpoint that was warming up; c.mu must be held.
-func (c *Chooser) recordWarming(service string, o placement.Outcome, now time.Time) {
+// recordWarmupOutcome records the outcome of a request at an endpoint that was warming up; c.mu
+// must be held.
+func (c *Chooser) recordWarmupOutcome(service string, o placement.Outcome, now time.Time) {
 	c.warming[service] = c.warming[service].WithOutcome(o, c.warmupRate(service), now)
 }
 
-// serviceTimeRatio returns the time of a completion divided by the usual time of its kind. It is 1
-// for an endpoint that was warming up, which does not count as slow for taking longer. c.mu must be
-// held.
+// serviceTimeRatio returns the service time of a request divided by the usual one of its kind. It
+// returns 1 if the endpoint was warming up, so that the endpoint does not count as slow for that.
+// c.mu must be held.
 func (c *Chooser) serviceTimeRatio(g placement.Grant, took time.Duration) float64 {
 	if g.Choice.Cold {
 		return 1
@@ -79,8 +80,8 @@
 	return c.workloads[g.Kind].Ratio(took)
 }
 
-// learnServiceTime updates the usual service time of the request's kind and the crowding of its
-// service from the time of a completion; c.mu must be held.
+// learnServiceTime updates the usual service time of the request's kind, and how much requests of
+// its service slow down as slots fill up, from the time of a completed request; c.mu must be held.
 func (c *Chooser) learnServiceTime(g placement.Grant, took time.Duration, slots int) {
 	service := tenant.ServiceName(g.Service)
 	c.workloads[g.Kind], c.crowding[service] = selection.Learn(c.workloads[g.Kind], c.crowding[service], g.Choice, took, slots)
--- a/direct/direct.go
+++ b/direct/direct.go
@@ -2,8 +2,8 @@
 // coordinator that tracks the requests of all balancers.
 //
 // For each request the most promising endpoint is probed for its load just before the choice, so
-// the choice relies on figures that are a millisecond or two old. It needs no state shared among
-// balancers, so nothing has to be agreed on, or recovered when some of them fail.
+// the choice relies on figures that are a millisecond or two old. Balancers share no state that
+// they would have to agree on, or to recover when some balancers fail.
 //
 // If a service has more endpoints than one choice should consider, each balancer chooses among a
 // subset of its own (pool.go). The rules are in coord/selection and coord/subset. This package
@@ -43,7 +43,7 @@
 
 // Config configures a Chooser.
 type Config struct {
-	ID        string // of the process; starts the IDs of its requests
+	ID        string // of the process; prefix of its request IDs
 	Zone      string
 	Regions   map[string]string // region of each availability zone
 	Directory *directory.Directory
@@ -59,16 +59,15 @@
 	// Tell publishes data to all other balancers under a topic; nil if there are none.
 	Tell func(topic string, data []byte) error
 
-	// Shortened by tests; zero values select the defaults.
+	// Set by tests; zero values select the defaults.
 	Options        selection.Options
 	PoolSize       int           // endpoints of a service among which this process chooses; default subset.Size
-	ForgetInterval time.Duration // between two searches for the states of endpoints that are gone; default 1 min
+	ForgetInterval time.Duration // time between two removals of the states of endpoints that are gone; default 1 min
 }
 
 // Evidence records the outcomes of requests at both versions of a service during a rollout.
 type Evidence interface {
-	// Note records a request that an endpoint ran, or may have run: whether it failed, and whether
-	// it took several times its estimate.
+	// Note records the outcome of a request that an endpoint ran, or may have run.
 	Note(t Trial, now time.Time)
 }
 
@@ -80,15 +79,15 @@
 	Probed(e limits.Endpoint, a limit.Answer)
 	// Quiet reports whether no endpoint has named a limit.
 	Quiet() bool
-	// Standing returns whether a request may go to an endpoint and, if not, how much longer that is
-	// known to be so; 0 if that is not known.
+	// Standing returns whether a request may go to an endpoint under its limit. If not, it also
+	// returns after how long that may change, or 0 if this is not known.
 	Standing(e limits.Endpoint, now time.Time) (limit.Standing, time.Duration)
-	// Seek requests a permit from the owner of an endpoint's limit, and waits for the response at
-	// most as long as within. mayProbe says that the endpoint may be probed to find out whether its
-	// limit still applies.
+	// Seek requests a permit from the balancer that owns an endpoint's limit, and waits for its
+	// response at most as long as within. mayProbe reports whether the endpoint may be probed to
+	// find out whether its limit still applies.
 	Seek(ctx context.Context, e limits.Endpoint, within time.Duration) (mayProbe bool)
-	// Use takes the permit for a request that is about to be sent. It reports whether the request
-	// may be sent.
+	// Use takes a permit for a request that is about to be sent, if the endpoint's limit requires
+	// one. It reports whether the request may be sent.
 	Use(e limits.Endpoint, now time.Time) bool
 }
 
@@ -96,7 +95,7 @@
 type Trial struct {
 	Service, Kind string
 	Newer         bool // it ran at an endpoint of the new version
-	Failed, Slow  bool
+	Failed, Slow  bool // slow: it took more than slowFactor times its estimate
 }
 
 // Prober probes an endpoint for its load.
@@ -106,33 +105,34 @@
 
 // Chooser chooses endpoints. It is safe for concurrent use.
 type Chooser struct {
-	cfg            Config
-	opts           selection.Options
-	sequence       atomic.Uint64
-	startNanos     int64 // start of the process in Unix nanoseconds, part of request IDs
-	probes         metrics.Counter
-	unwantedSends  unwantedSends
-	leavingReports metrics.Counter // endpoints that announced that they are leaving
-	unread         *unreadHeaders
-
-	mu         sync.Mutex
-	endpoints  map[string]*endpointState     // by VM
-	lastForget time.Time                     // when the states of endpoints that are gone were last dropped
-	workloads  map[string]selection.Workload // by request kind
-	crowding   map[string]selection.Crowding // by service
-	prospects  map[string]selection.Prospect // by service
-	warming    map[string]selection.Warming  // by service
-	waiters    map[string]waiters            // by service
-	listed     map[string]bool               // services that had listed endpoints in an earlier ranking
-	pools      map[string]pool               // by service
-	hints      admission.Hints
-	rng        *rand.Rand
-}
-
-// endpointState is what this process knows of one start of an endpoint. Its fields are replaced
-// with Chooser.mu held.
+	cfg              Config
+	opts             selection.Options
+	sequence         atomic.Uint64 // number of the last request ID
+	startNanos       int64         // start of the process in Unix nanoseconds, part of request IDs
+	probes           metrics.Counter
+	unwantedSends    unwantedSends
+	leavingEndpoints metrics.Counter // endpoints that announced that they are leaving
+	unsupported      *unsupportedHeaders
+
+	mu           sync.Mutex
+	endpoints    map[string]*endpointState     // by VM
+	lastForget   time.Time                     // when the states of endpoints that are gone were last dropped
+	workloads    map[string]selection.Workload // usual service times, by request kind
+	crowding     map[string]selection.Crowding // how much requests slow down as slots fill up, by service
+	prospects    map[string]selection.Prospect // estimates for recently probed endpoints, by service
+	warming      map[string]selection.Warming  // outcomes of requests at cold endpoints, by service
+	waiters      map[string]waiters            // by service
+	listed       map[string]bool               // by service: whether it had endpoints in an earlier ranking
+	pools        map[string]pool               // by service
+	backoffNotes admission.Hints               // recent backoff notes
+	rng          *rand.Rand
+}
+
+// endpointState is what this process knows of one start of an endpoint, that is, of one run of its
+// server: an endpoint that restarts keeps its ID and gets another state. Chooser.mu must be held to
+// read or replace the fields.
 type endpointState struct {
-	start     int64              // identifies the start
+	start     int64              // as listed in the directory
 	observed  selection.Endpoint // its load and health
 	admission admission.State
 	probes    selection.ProbeBudget
@@ -144,26 +144,27 @@
 	cfg.ForgetInterval = cmp.Or(cfg.ForgetInterval, defaultForgetInterval)
 	cfg.PoolSize = cmp.Or(cfg.PoolSize, subset.Size)
 	return &Chooser{
-		cfg:            cfg,
-		opts:           cfg.Options.WithDefaults(),
-		startNanos:     now,
-		probes:         metrics.GetOrRegisterCounter("probes", cfg.Metrics),
-		unwantedSends:  newUnwantedSends(cfg.Metrics),
-		leavingReports: metrics.GetOrRegisterCounter("endpoints_said_leaving", cfg.Metrics),
-		unread:         newUnreadHeaders(cfg.Log, cfg.Metrics),
-		endpoints:      map[string]*endpointState{},
-		workloads:      map[string]selection.Workload{},
-		crowding:       map[string]selection.Crowding{},
-		prospects:      map[string]selection.Prospect{},
-		warming:        map[string]selection.Warming{},
-		waiters:        map[string]waiters{},
-		listed:         map[string]bool{},
-		pools:          map[string]pool{},
-		rng:            rand.New(rand.NewPCG(uint64(now), rand.Uint64())),
+		cfg:              cfg,
+		opts:             cfg.Options.WithDefaults(),
+		startNanos:       now,
+		probes:           metrics.GetOrRegisterCounter("probes", cfg.Metrics),
+		unwantedSends:    newUnwantedSends(cfg.Metrics),
+		leavingEndpoints: metrics.GetOrRegisterCounter("endpoints_said_leaving", cfg.Metrics),
+		unsupported:      newUnsupportedHeaders(cfg.Log, cfg.Metrics),
+		endpoints:        map[string]*endpointState{},
+		workloads:        map[string]selection.Workload{},
+		crowding:         map[string]selection.Crowding{},
+		prospects:        map[string]selection.Prospect{},
+		warming:          map[string]selection.Warming{},
+		waiters:          map[string]waiters{},
+		listed:           map[string]bool{},
+		pools:            map[string]pool{},
+		rng:              rand.New(rand.NewPCG(uint64(now), rand.Uint64())),
 	}
 }
 
-// Resume ages the states of endpoints after the VM was suspended for the duration slept.
+// Resume adjusts the states of endpoints after the VM was suspended for the duration slept, so that
+// reports are that much older and backoffs end that much sooner.
 func (c *Chooser) Resume(slept time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,8 +190,8 @@
 	return route, code
 }
 
-// Service returns the configuration of a service, and 0: how many balancers share its connections
-// is not known here.
+// Service returns the configuration of a service. The second result, the number of balancers that
+// share the service's connections, is always 0, since a Chooser does not know it.
 func (c *Chooser) Service(_, service string) (tenant.Service, int) {
 	return c.serviceConfig(service), 0
 }
--- a/direct/direct_test.go
+++ b/direct/direct_test.go
@@ -43,7 +43,7 @@
 	return answer, nil
 }
 
-// set sets the running requests and the pace that the endpoint at an address reports.
+// set sets the number of running requests and the pace that the endpoint at an address reports.
 func (p *fakeProber) set(addr string, running int, pace float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,7 +112,7 @@
 	return placement.Request{ID: "id", Service: "t/s", Kind: "k", Accepted: now, Target: time.Hour, Deadline: now.Add(2 * time.Hour)}
 }
 
-// learn makes the chooser learn that requests of the kind take a millisecond.
+// learn makes the chooser learn that requests of newRequest's kind take a millisecond.
 func (r *fixture) learn(t *testing.T) {
 	t.Helper()
 	g, refused := r.Acquire(context.Background(), newRequest())
@@ -120,12 +120,11 @@
 	r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 }
 
-// overdueRequest returns a request whose target has passed, so that it does not wait for an
-// endpoint.
+// overdueRequest returns a request whose target has passed, so that Acquire does not wait.
 func overdueRequest() placement.Request {
-	a := newRequest()
-	a.Target = time.Nanosecond
-	return a
+	request := newRequest()
+	request.Target = time.Nanosecond
+	return request
 }
 
 // TestSlowAndFullEndpointsAreNotChosen checks that slow and full endpoints get no request while
@@ -159,8 +158,8 @@
 	}
 }
 
-// TestRefusesIfNoEndpointIsInTime checks the reason and the search summary of a request that no
-// endpoint can answer in time.
+// TestRefusesIfNoEndpointIsInTime checks that a request that no endpoint can answer in time is
+// refused, with which reason and with which summary of the search.
 func TestRefusesIfNoEndpointIsInTime(t *testing.T) {
 	r := newFixture(2, selection.Options{})
 	r.prober.set("e0", 3, 1)
@@ -210,23 +209,23 @@
 }
 
 // TestJoinedEndpointGetsRequests checks that a new endpoint is tried although the known ones are
-// good. Time is virtual.
+// good.
 func TestJoinedEndpointGetsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFixture(2, selection.Options{ProbeBurst: 1e6})
-		use := func() string {
+		serveOne := func() string {
 			time.Sleep(time.Second)
 			g, refused := r.Acquire(context.Background(), newRequest())
 			assert.Assert(t, refused == nil)
 			r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 			return g.Endpoint.VM
 		}
-		assert.Equal(t, use(), "e0", "the only one in the own zone")
+		assert.Equal(t, serveOne(), "e0", "the only one in the own zone")
 		r.prober.set("new", 0, 1)
 		r.directory.Apply(directory.Changes{At: 9, Entries: []directory.Entry{{
 			Endpoint: directory.Endpoint{Endpoint: placement.Endpoint{VM: "new", Addr: "new", Zone: "near", Slots: 3}, Service: "s"}, Revision: 9,
 		}}}, time.Now())
-		assert.Equal(t, use(), "new")
+		assert.Equal(t, serveOne(), "new")
 	})
 }
 
@@ -237,7 +236,7 @@
 	r := newFixture(1, selection.Options{RefuseShare: 1e-12, ProbeFresh: time.Nanosecond, ProbeBurst: 1000})
 	r.prober.set("e0", 0, 5)
 	_, refused := r.Acquire(context.Background(), newRequest())
-	assert.Assert(t, refused != nil, "five times a third of the target exceeds the target")
+	assert.Assert(t, refused != nil, "the first estimate is a third of the target, and the endpoint's pace multiplies it by five")
 	_, refused = r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
 }
@@ -261,13 +260,13 @@
 // and is refused once it has tried all.
 func TestTriedEndpointsAreAvoided(t *testing.T) {
 	r := newFixture(2, selection.Options{})
-	a := newRequest()
-	a.Avoid = []string{"e0"}
-	g, refused := r.Acquire(context.Background(), a)
+	request := newRequest()
+	request.Avoid = []string{"e0"}
+	g, refused := r.Acquire(context.Background(), request)
 	assert.Assert(t, refused == nil)
 	assert.Equal(t, g.Endpoint.VM, "e1")
-	a.Avoid = []string{"e0", "e1"}
-	_, refused = r.Acquire(context.Background(), a)
+	request.Avoid = []string{"e0", "e1"}
+	_, refused = r.Acquire(context.Background(), request)
 	assert.Equal(t, refused.Reason, reason.NoEndpoint)
 }
 
@@ -355,8 +354,8 @@
 	assert.Equal(t, r.prober.probeCount["e0"], 5)
 }
 
-// TestReadyNeedsConfigurationAndEndpoints checks Ready, Route and Status with and without a
-// configuration and endpoints.
+// TestReadyNeedsConfigurationAndEndpoints checks that Ready and Route fail without a configuration,
+// and that Ready, Route and Status succeed with a configuration and an endpoint.
 func TestReadyNeedsConfigurationAndEndpoints(t *testing.T) {
 	d := directory.New()
 	f := direct.New(direct.Config{Directory: d, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
@@ -373,8 +372,8 @@
 	assert.Equal(t, r.Status().Endpoints[0].ID, "e0")
 }
 
-// TestConcurrentRequests makes requests share the endpoint states concurrently. It is of use with
-// -race.
+// TestConcurrentRequests sends requests concurrently, for the race detector to find unguarded
+// access to the endpoint states.
 func TestConcurrentRequests(t *testing.T) {
 	r := newFixture(3, selection.Options{ProbeBurst: 1e6, ProbeFresh: time.Nanosecond})
 	var all sync.WaitGroup
@@ -394,8 +393,8 @@
 	assert.Assert(t, granted.Load() > 0)
 }
 
-// TestMissingEndpointsAreUsedBriefly checks that endpoints that go missing from the store all at
-// once are used as a last resort for some seconds, and no longer.
+// TestMissingEndpointsAreUsedBriefly checks that if all endpoints go missing from the store at
+// once, they are still used as a last resort for some seconds, and no longer.
 func TestMissingEndpointsAreUsedBriefly(t *testing.T) {
 	r := newFixture(2, selection.Options{})
 	r.directory.Apply(directory.Changes{Whole: true, At: 9}, time.Now())
@@ -408,8 +407,8 @@
 }
 
 // BenchmarkAcquire measures one choice, probes included, among endpoints that are at their usual
-// pace. Among 5,772 it took 2.4 ms and 387 KB when each choice considered all of them. It takes as
-// much as among 185 now that each choice considers a subset.
+// pace. Among 5,772 it took 2.4 ms and 387 KB when each choice considered all of them. Now that
+// each choice considers a subset, it takes as much among 5,772 endpoints as among 185.
 func BenchmarkAcquire(b *testing.B) {
 	for _, endpoints := range []int{10, 40, 185, 5772} {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
@@ -445,11 +444,11 @@
 }
 
 // TestProbesBeyondNearlyFullEndpoint checks that a good endpoint with only its last slot free is
-// not taken while most of those probed recently were idle, and is taken when they are as busy.
+// not chosen while most endpoints probed recently were idle, and is chosen once they are as busy.
 func TestProbesBeyondNearlyFullEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFixture(8, selection.Options{ProbeBurst: 1000})
-		take := func() placement.Grant {
+		serveOne := func() placement.Grant {
 			time.Sleep(time.Second) // all reports are outdated
 			g, refused := r.Acquire(context.Background(), newRequest())
 			assert.Assert(t, refused == nil)
@@ -457,23 +456,23 @@
 			return g
 		}
 		for range 20 {
-			assert.Equal(t, take().Choice.Probes, 1)
+			assert.Equal(t, serveOne().Choice.Probes, 1)
 		}
 		for range 30 { // the endpoint taken last is among the first to be probed
-			last := take().Endpoint.VM
+			last := serveOne().Endpoint.VM
 			r.prober.set(last, 2, 1)
-			assert.Assert(t, take().Endpoint.VM != last)
+			assert.Assert(t, serveOne().Endpoint.VM != last)
 			r.prober.set(last, 0, 1)
-			for range 6 { // so that most of those probed recently are idle
-				take()
+			for range 6 { // so that most endpoints probed recently were idle
+				serveOne()
 			}
 		}
 		for i := range 8 {
 			r.prober.set(fmt.Sprint("e", i), 2, 1)
 		}
 		for range 30 {
-			take()
+			serveOne()
 		}
-		assert.Equal(t, take().Choice.Probes, 1, "no other endpoint is expected to be better")
+		assert.Equal(t, serveOne().Choice.Probes, 1, "no other endpoint is expected to be better")
 	})
 }
--- a/direct/evacuation_test.go
+++ b/direct/evacuation_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// evacuate evacuates zones, or ends their evacuation.
+// evacuate evacuates zones, or ends their evacuation if ended is set.
 func (r *fixture) evacuate(revision uint64, ended bool, zones ...string) {
 	var evacuations []directory.Evacuation
 	for _, zone := range zones {
@@ -60,5 +60,5 @@
 	assert.Assert(t, refused.RetryAfter > 0)
 	assert.Equal(t, r.prober.probesTo("e0", "e1", "e2", "e3"), 0)
 	ready, _ := r.Ready()
-	assert.Assert(t, ready, "another balancer could not serve it either")
+	assert.Assert(t, ready, "another balancer could not serve the request either")
 }
--- a/direct/leaving.go
+++ b/direct/leaving.go
@@ -11,8 +11,8 @@
 )
 
 // LeavingTopic is the topic of the notes by which a balancer tells all others that an endpoint has
-// announced that it is leaving. The store may list the endpoint a while longer, and a balancer
-// without a request there would send it one before it knew.
+// announced that it is leaving. The store may list the endpoint for a while longer, and without a
+// note each balancer would find out only from the response to a request that it sends there.
 const LeavingTopic = "leaving"
 
 // sourceNote is the logged source of an announcement that another balancer passed on.
@@ -20,8 +20,8 @@
 
 // leavingNote is the payload of a note under LeavingTopic, as JSON.
 type leavingNote struct {
-	ID      string
-	Start   int64
+	ID      string // of the endpoint
+	Start   int64  // of the endpoint
 	Service string
 }
 
@@ -29,7 +29,7 @@
 var errNoEndpointID = errors.New("direct: leaving note has no endpoint ID")
 
 // handleLeaving marks an endpoint that has announced that it is leaving, and tells all other
-// balancers unless this was known.
+// balancers unless the endpoint was known to be leaving.
 func (c *Chooser) handleLeaving(e limits.Endpoint, source string, now time.Time) {
 	if !c.markLeaving(e, source, now) || c.cfg.Tell == nil {
 		return
@@ -43,7 +43,8 @@
 	}
 }
 
-// markLeaving marks an endpoint as leaving in the directory. It returns false if that was known.
+// markLeaving marks an endpoint as leaving in the directory. It returns false if the
+// endpoint is marked already.
 func (c *Chooser) markLeaving(e limits.Endpoint, source string, now time.Time) bool {
 	listed := "unknown"
 	if current, ok := c.cfg.Directory.Endpoint(e.ID); ok {
@@ -52,7 +53,7 @@
 	if !c.cfg.Directory.MarkLeaving(e.ID, e.Start, now) {
 		return false
 	}
-	c.leavingReports.Inc(1)
+	c.leavingEndpoints.Inc(1)
 	c.cfg.Log.Info("endpoint announced that it is leaving", "id", e.ID, "service", e.Service, "from", source, "listed", listed)
 	return true
 }
--- a/direct/leaving_test.go
+++ b/direct/leaving_test.go
@@ -19,13 +19,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// reportWith returns a report that has just arrived with a Word.
+// reportWith returns a report that has just arrived, with an endpoint's announcement.
 func reportWith(w admission.Word) upstream.Report {
 	now := time.Now()
 	return upstream.Report{Asked: now, Heard: now, Word: w}
 }
 
-// leaving announces that an endpoint is leaving.
+// leaving is an endpoint's announcement that it is leaving.
 var leaving = admission.Word{Leaving: true}
 
 // publisher records the notes that a chooser publishes.
@@ -53,9 +53,9 @@
 	return g
 }
 
-// TestLeavingEndpointGetsNothing checks that an endpoint gets no requests, no request granted
-// before and no probes from the moment it announces that it is leaving, and that requests are
-// refused at once if no other is left.
+// TestLeavingEndpointGetsNothing checks that once an endpoint announces that it is leaving, it gets
+// no requests, even if they were granted before, and no probes. Requests are refused at once if
+// there is no other endpoint.
 func TestLeavingEndpointGetsNothing(t *testing.T) {
 	r := newFixture(2, selection.Options{})
 	first := grant(t, r)
--- a/direct/limits.go
+++ b/direct/limits.go
@@ -10,14 +10,15 @@
 	"github.com/lotuswing/lotuswing/limits"
 )
 
-// An endpoint may name how many requests a second it accepts from all balancers together. It then
-// gets a request only with a permit, which the owner of its limit grants (package limits).
+// An endpoint may name a rate limit: how many requests a second it accepts from all balancers
+// together. A balancer then needs a permit for each request to the endpoint, granted by the
+// balancer that owns the limit (package limits).
 
 // permitWait is how long a request waits for a permit. It covers a round trip to another zone and
-// an owner that is busy.
+// a limit owner that is busy.
 const permitWait = 25 * time.Millisecond
 
-// limitsEndpoint converts a listed endpoint to the type of package limits.
+// limitsEndpoint converts a listed endpoint to a limits.Endpoint.
 func limitsEndpoint(e *directory.Endpoint) limits.Endpoint {
 	return limits.Endpoint{ID: e.VM, Start: e.Start, Service: e.Service, Zone: e.Zone}
 }
@@ -31,14 +32,14 @@
 	return c.cfg.Limits.Standing(limitsEndpoint(e), now)
 }
 
-// usePermit takes the permit for a request at an endpoint. It returns false if the endpoint's limit
-// requires one and there is none.
+// usePermit takes a permit for a request to an endpoint. It returns false if the endpoint's limit
+// requires a permit and there is none.
 func (c *Chooser) usePermit(e *directory.Endpoint, now time.Time) bool {
 	return c.cfg.Limits == nil || c.cfg.Limits.Use(limitsEndpoint(e), now)
 }
 
-// requestPermit requests a permit for the best candidate, if its limit requires that. It returns
-// false if no request was made.
+// requestPermit asks the limit's owner for a permit for the best candidate, if that needs one. It
+// reports whether it has asked.
 func (c *Chooser) requestPermit(ctx context.Context, s *search) bool {
 	if s.ranking.Len() == 0 || ctx.Err() != nil {
 		return false
@@ -54,8 +55,9 @@
 	return true
 }
 
-// refreshLimit probes an endpoint with a low limit, to find out whether the limit still applies. It
-// does not wait for the response.
+// refreshLimit probes an endpoint, to find out whether its limit still applies, and does not wait
+// for the response. The limit's owner allows this for low limits: their few requests seldom show
+// whether the limit still applies.
 func (c *Chooser) refreshLimit(ctx context.Context, e directory.Endpoint) {
 	path := c.probePath(e.Service)
 	if path == "" {
--- a/direct/limits_test.go
+++ b/direct/limits_test.go
@@ -17,21 +17,21 @@
 
 // fakeLimits is a Limits that answers from tables, by endpoint.
 type fakeLimits struct {
-	mu         sync.Mutex
-	standing   map[string]limit.Standing
-	opens      map[string]time.Time    // when a withheld endpoint may be asked for a permit again
-	grants     map[string]bool         // whether Seek brings a permit
-	lost       map[string]int          // how many more permits go to other requests
-	requested  []string                // calls of Seek in order
-	used       []string                // successful calls of Use in order
-	allowProbe bool                    // result of Seek
-	probed     map[string]limit.Answer // arguments of Probed
-	answered   map[string]limit.Answer // arguments of Answered
+	mu            sync.Mutex
+	standing      map[string]limit.Standing
+	withheldUntil map[string]time.Time    // when a permit for a withheld endpoint may be requested again
+	grants        map[string]bool         // whether Seek brings a permit
+	lostPermits   map[string]int          // how many more permits go to other requests
+	requested     []string                // calls of Seek in order
+	used          []string                // successful calls of Use in order
+	allowProbe    bool                    // result of Seek
+	probed        map[string]limit.Answer // arguments of Probed
+	answered      map[string]limit.Answer // arguments of Answered
 }
 
 func newFakeLimits() *fakeLimits {
 	return &fakeLimits{
-		standing: map[string]limit.Standing{}, opens: map[string]time.Time{}, grants: map[string]bool{}, lost: map[string]int{}, probed: map[string]limit.Answer{}, answered: map[string]limit.Answer{},
+		standing: map[string]limit.Standing{}, withheldUntil: map[string]time.Time{}, grants: map[string]bool{}, lostPermits: map[string]int{}, probed: map[string]limit.Answer{}, answered: map[string]limit.Answer{},
 	}
 }
 
@@ -52,11 +52,11 @@
 func (f *fakeLimits) Standing(e limits.Endpoint, now time.Time) (limit.Standing, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at, ok := f.opens[e.ID]; ok && !now.Before(at) {
+	if at, ok := f.withheldUntil[e.ID]; ok && !now.Before(at) {
 		f.standing[e.ID] = limit.Askable
-		delete(f.opens, e.ID)
+		delete(f.withheldUntil, e.ID)
 	}
-	return f.standing[e.ID], max(0, f.opens[e.ID].Sub(now))
+	return f.standing[e.ID], max(0, f.withheldUntil[e.ID].Sub(now))
 }
 
 func (f *fakeLimits) Seek(_ context.Context, e limits.Endpoint, _ time.Duration) bool {
@@ -73,8 +73,8 @@
 func (f *fakeLimits) Use(e limits.Endpoint, _ time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lost[e.ID] > 0 {
-		f.lost[e.ID]--
+	if f.lostPermits[e.ID] > 0 {
+		f.lostPermits[e.ID]--
 		f.standing[e.ID] = limit.Askable
 		return false
 	}
@@ -82,18 +82,19 @@
 	return f.standing[e.ID] != limit.Withheld
 }
 
-// withhold withholds endpoints for a duration; 0 for an unknown one.
+// withhold makes permits for endpoints unavailable for a duration, or for an unknown time if d is
+// 0.
 func (f *fakeLimits) withhold(d time.Duration, ids ...string) {
 	for _, id := range ids {
 		f.standing[id] = limit.Withheld
 		if d > 0 {
-			f.opens[id] = time.Now().Add(d)
+			f.withheldUntil[id] = time.Now().Add(d)
 		}
 	}
 }
 
 // TestEndpointAtItsLimitGetsNothing checks that an endpoint at its limit gets no requests and no
-// probes, and that requests do not wait for it.
+// probes, and that no permit is requested for it, while other endpoints have room.
 func TestEndpointAtItsLimitGetsNothing(t *testing.T) {
 	f := newFakeLimits()
 	r := newLimitedFixture(4, f)
@@ -131,14 +132,15 @@
 func TestLostPermitIsRequestedAgain(t *testing.T) {
 	f := newFakeLimits()
 	r := newLimitedFixture(1, f)
-	f.standing["e0"], f.grants["e0"], f.lost["e0"] = limit.Askable, true, 2
+	f.standing["e0"], f.grants["e0"], f.lostPermits["e0"] = limit.Askable, true, 2
 	_, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
 	assert.DeepEqual(t, f.requested, []string{"e0", "e0", "e0"})
 }
 
-// TestAllEndpointsAtTheirLimits checks that a request that cannot be served in time is refused at
-// once, with when there may be room, and that a request that can waits for room.
+// TestAllEndpointsAtTheirLimits checks a request while all endpoints are at their limits. If
+// permits become available too late for it, it is refused at once, with a retry time of when they
+// do. If they become available in time, it waits.
 func TestAllEndpointsAtTheirLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeLimits()
@@ -182,9 +184,9 @@
 	})
 }
 
-// TestProbesReportLimits checks that limits in the responses to probes are processed, also for a
-// probe that was sent only to find out whether a limit still applies, but not those in the response
-// of another instance.
+// TestProbesReportLimits checks that a limit in the response to a probe is processed, even if the
+// probe was sent only to find out whether the limit still applies. A limit in the response of
+// another instance at the endpoint's address is ignored.
 func TestProbesReportLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeLimits()
--- a/direct/pool.go
+++ b/direct/pool.go
@@ -9,7 +9,7 @@
 // pool is the subset of a service's endpoints among which this process chooses.
 type pool struct {
 	source  []directory.Endpoint // the list that the pool was drawn from
-	members []int                // indices in source
+	indices []int                // of the endpoints of the pool in source
 }
 
 // drawnFrom reports whether the pool was drawn from a list. Lists are never changed, only replaced.
@@ -17,18 +17,18 @@
 	return len(p.source) == len(listed) && (len(listed) == 0 || &p.source[0] == &listed[0])
 }
 
-// poolOf returns the pool of a service as indices in listed, and draws a new one if the list has
-// changed; c.mu must be held.
+// poolOf returns the indices in listed of the endpoints in a service's pool. It draws a new pool if
+// the list has changed. c.mu must be held.
 func (c *Chooser) poolOf(service string, listed []directory.Endpoint) []int {
 	p, ok := c.pools[service]
 	if !ok || !p.drawnFrom(listed) {
-		p = pool{source: listed, members: c.drawPool(listed)}
+		p = pool{source: listed, indices: c.drawPool(listed)}
 		c.pools[service] = p
 	}
-	return p.members
+	return p.indices
 }
 
-// drawPool draws a pool from a list, and returns its indices.
+// drawPool draws a pool from a list, and returns the indices of the pool's endpoints in the list.
 func (c *Chooser) drawPool(listed []directory.Endpoint) []int {
 	members := make([]subset.Member, len(listed))
 	for i := range listed {
--- a/direct/pool_test.go
+++ b/direct/pool_test.go
@@ -14,8 +14,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// acquire acquires a grant and completes its request at once.
-func (r *fixture) acquire(t testing.TB) placement.Grant {
+// acquireAndComplete acquires a grant and completes its request at once.
+func (r *fixture) acquireAndComplete(t testing.TB) placement.Grant {
 	g, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
 	r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
@@ -27,7 +27,7 @@
 func TestKeepsStateOfSubsetOnly(t *testing.T) {
 	r := newFixture(6000, selection.Options{})
 	for range 50 {
-		r.acquire(t)
+		r.acquireAndComplete(t)
 	}
 	assert.Assert(t, r.EndpointStateCount() < subset.Size*5/4, "%d", r.EndpointStateCount())
 	r.Status() // must not create states
@@ -38,7 +38,7 @@
 // their replacements are.
 func TestSubsetFollowsDirectory(t *testing.T) {
 	r := newFixture(1000, selection.Options{})
-	r.acquire(t)
+	r.acquireAndComplete(t)
 	var fresh []directory.Entry
 	for i := range 300 {
 		id := fmt.Sprintf("f%d", i)
@@ -50,14 +50,14 @@
 	r.directory.Apply(directory.Changes{At: 9, Whole: true, Entries: fresh}, time.Now().Add(-time.Hour))
 	r.directory.Apply(directory.Changes{At: 10}, time.Now())
 	for range 50 {
-		assert.Equal(t, r.acquire(t).Endpoint.VM[0], byte('f'))
+		assert.Equal(t, r.acquireAndComplete(t).Endpoint.VM[0], byte('f'))
 	}
 }
 
-// TestRolloutShare checks that in the first stage of a rollout a twentieth of the requests goes to
-// one of the ten endpoints of the new version, and none to the other nine. Before it has begun, and
-// once it is rolled back, the old version gets all requests, and once it has completed, the new one
-// does.
+// TestRolloutShare checks which version gets the requests during a rollout. Before the rollout
+// begins the old version gets all of them. In the first stage a twentieth goes to a single one of
+// the ten endpoints of the new version. After a rollback the old version gets all requests again,
+// and after the rollout has completed, the new version does.
 func TestRolloutShare(t *testing.T) {
 	r := newFixture(0, selection.Options{ProbeBurst: 100000})
 	var entries []directory.Entry
@@ -71,14 +71,14 @@
 	order := directory.RolloutOrder{Service: "s", Version: "v2", Duration: time.Minute, Revision: 2}
 	r.directory.Apply(directory.Changes{At: 2, Entries: entries, Rollouts: []directory.RolloutOrder{order}}, time.Now())
 	for range 50 {
-		assert.Equal(t, r.acquire(t).Choice.Side, placement.OldSide, "the rollout has not begun")
+		assert.Equal(t, r.acquireAndComplete(t).Choice.Side, placement.OldSide, "the rollout has not begun")
 	}
 	r.applyRolloutStatus(t, rollout.Status{State: rollout.Running, Stage: 0}, 3)
 	used := map[string]int{}
 	newer := 0
 	const requests = 2000
 	for range requests {
-		g := r.acquire(t)
+		g := r.acquireAndComplete(t)
 		if g.Choice.Side == placement.NewSide {
 			newer++
 			used[g.Endpoint.VM]++
@@ -88,15 +88,16 @@
 	assert.Equal(t, len(used), 1, "%v", used)
 	r.applyRolloutStatus(t, rollout.Status{State: rollout.RolledBack}, 4)
 	for range 50 {
-		assert.Equal(t, r.acquire(t).Choice.Side, placement.OldSide)
+		assert.Equal(t, r.acquireAndComplete(t).Choice.Side, placement.OldSide)
 	}
 	r.applyRolloutStatus(t, rollout.Status{State: rollout.Completed}, 5)
 	for range 50 {
-		assert.Equal(t, r.acquire(t).Endpoint.VM[:2], "v2")
+		assert.Equal(t, r.acquireAndComplete(t).Endpoint.VM[:2], "v2")
 	}
 }
 
-// applyRolloutStatus applies a status of the rollout with revision 2 to the directory.
+// applyRolloutStatus applies a status of the rollout that was ordered at revision 2 of the store to
+// the directory. The parameter revision is the one at which the status was stored.
 func (r *fixture) applyRolloutStatus(t *testing.T, s rollout.Status, revision uint64) {
 	t.Helper()
 	value := fmt.Appendf(nil, `{"order":2,"version":"v2","state":%q,"stage":%d}`, s.State, s.Stage)
--- a/direct/probe.go
+++ b/direct/probe.go
@@ -15,18 +15,18 @@
 	// probeWait is how long a request waits for the response to a probe. A later response still
 	// updates the endpoint's state.
 	probeWait = 12 * time.Millisecond
-	// probeTimeout is when a probe is abandoned.
+	// probeTimeout is the time after which a probe is abandoned.
 	probeTimeout = 250 * time.Millisecond
 )
 
-// probe probes the next endpoint for its load and waits for the response at most as long as
+// probeNext probes the next endpoint for its load and waits for the response at most as long as
 // probeWait. It returns false if no endpoint may be probed.
-func (c *Chooser) probe(ctx context.Context, s *search, now time.Time) bool {
+func (c *Chooser) probeNext(ctx context.Context, s *search, now time.Time) bool {
 	path := c.probePath(s.service)
 	if path == "" {
 		return false
 	}
-	next, ok := c.nextProbe(s, now)
+	next, ok := c.nextProbeTarget(s, now)
 	if !ok {
 		return false
 	}
@@ -58,15 +58,17 @@
 	return cfg.Services[service]
 }
 
-// probeTarget is an endpoint to probe. A probe may outlast the search that sent it, and even the
-// state of its endpoint: its response does not restore a state that was dropped.
+// probeTarget is an endpoint to probe, and its state when the probe was sent. The response may
+// arrive after that state was dropped from the Chooser. It then updates the dropped state, and so
+// does not bring it back.
 type probeTarget struct {
 	listed directory.Endpoint
 	state  *endpointState
 }
 
-// nextProbe returns the endpoint to probe next, and charges the probe to the endpoint's budget.
-func (c *Chooser) nextProbe(s *search, now time.Time) (probeTarget, bool) {
+// nextProbeTarget returns the endpoint to probe next, and charges the probe to the endpoint's
+// budget.
+func (c *Chooser) nextProbeTarget(s *search, now time.Time) (probeTarget, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	index, ok := c.opts.NextProbe(&s.ranking, func(index int) (may bool) {
@@ -81,17 +83,17 @@
 	return probeTarget{listed: s.listed[index], state: c.state(&s.listed[index])}, true
 }
 
-// errSuspended is the error of a probe during which the VM was suspended: the response may be as
-// old as the suspension was long.
+// errSuspended is the error of a probe during which the VM was suspended. The response is not used,
+// since it may have arrived before the suspension and be outdated.
 var errSuspended = errors.New("direct: VM was suspended during the probe")
 
 // probeEndpoint probes one endpoint and updates its state from the response.
 func (c *Chooser) probeEndpoint(ctx context.Context, t probeTarget, path string) {
 	c.probes.Inc(1)
 	id, e := t.listed.VM, t.state
-	suspendedBefore := c.cfg.Suspensions.Check()
+	suspensionBefore := c.cfg.Suspensions.Check()
 	answer, err := c.cfg.Client.Probe(ctx, t.listed.Addr, path, probeTimeout)
-	if suspendedBefore != c.cfg.Suspensions.Check() {
+	if suspensionBefore != c.cfg.Suspensions.Check() {
 		err = cmp.Or(err, errSuspended)
 	}
 	now := time.Now()
--- a/direct/refuse.go
+++ b/direct/refuse.go
@@ -10,8 +10,8 @@
 	"github.com/lotuswing/lotuswing/coord/selection"
 )
 
-// refuse returns the refusal of a request, with what was known of the endpoints, and counts it for
-// the request's kind.
+// refuse returns the refusal of a request, with a summary of the search. It also counts the
+// refusal, which lowers the first estimate for a request kind that has no completion yet.
 func (c *Chooser) refuse(s *search, d selection.Decision) *placement.Refusal {
 	c.mu.Lock()
 	c.workloads[s.request.Kind] = c.workloads[s.request.Kind].WithRefusal()
@@ -23,8 +23,9 @@
 	}
 }
 
-// retryAfter returns after how long the caller of a refused request should retry. Callers that wait
-// for the same backoff to end are spread over the time after it.
+// retryAfter returns how long the caller of a refused request should wait before it retries.
+// Callers that wait for the end of the same backoff are spread over a time after it, so that they
+// do not all retry at once.
 func retryAfter(d selection.Decision, target time.Duration) time.Duration {
 	spread := retry.AfterNoEndpoint(target, rand.Float64())
 	if d.Reason == reason.EndpointsBackingOff {
--- a/direct/regions_test.go
+++ b/direct/regions_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestRequestsStayInTheirRegions checks that endpoints outside the regions of a request are neither
-// chosen nor probed, however good they are. Even endpoints are in the region "west", odd ones in
-// "east".
+// chosen nor probed, however good they are. Endpoints with even numbers are in the region
+// "west", those with odd numbers in "east".
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	for name, c := range map[string]struct {
 		regions []string
--- a/direct/responses.go
+++ b/direct/responses.go
@@ -11,14 +11,14 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Sources of what an endpoint announces about itself, as they are logged.
+// Values of the log key "from": where an endpoint's announcement was read.
 const (
 	sourceResponse = "answer" // the response to a request
 	sourceProbe    = "probe"
 )
 
-// Hear processes what the response to an attempt says about its endpoint. It is called as soon as
-// the response header has arrived, whatever the status.
+// Hear processes what the response to a request says about the endpoint. It must be called as soon
+// as the response header has arrived, whatever the status.
 func (c *Chooser) Hear(g placement.Grant, r upstream.Report) {
 	if r.None() {
 		return
@@ -47,7 +47,7 @@
 
 // observe processes what the response to a request or a probe says about the endpoint.
 func (c *Chooser) observe(e limits.Endpoint, r upstream.Report, source string) {
-	c.unread.record(e, r.Unread)
+	c.unsupported.record(e, r.Unread)
 	if r.Word.Silent() {
 		return
 	}
@@ -60,8 +60,8 @@
 	}
 }
 
-// updateAdmission adds what a response says to the admission state of its endpoint. It returns the
-// state before and after, both zero if no state of this start is kept.
+// updateAdmission updates the admission state of an endpoint from a response. It returns the state
+// before and after, or two zero values if the Chooser has no state for this start of the endpoint.
 func (c *Chooser) updateAdmission(e limits.Endpoint, r upstream.Report) (before, after admission.State) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,8 +74,8 @@
 	return before, state.admission
 }
 
-// recordTrialRun records that an endpoint ran a request after its backoff, so that it no longer
-// gets just one at a time.
+// recordTrialRun records that an endpoint ran a request after its backoff. The endpoint then no
+// longer gets just one request at a time.
 func (c *Chooser) recordTrialRun(e limits.Endpoint, r upstream.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,8 +94,8 @@
 	log("endpoint wants no requests", "id", e.ID, "service", e.Service, "for", r.Word.Backoff.String(), "from", source)
 }
 
-// countUnwantedSend counts a request that is sent to an endpoint although it is leaving or backing
-// off; c.mu must be held.
+// countUnwantedSend counts a request that is about to be sent, if its endpoint is leaving or
+// backing off; c.mu must be held.
 func (c *Chooser) countUnwantedSend(e *endpointState, now time.Time) {
 	if e.admission.Leaving() {
 		c.unwantedSends.leaving.Inc(1)
@@ -105,8 +105,7 @@
 	}
 }
 
-// unwantedSends counts the requests sent to endpoints that had announced that they were leaving or
-// backing off.
+// unwantedSends counts the requests sent to endpoints that were leaving or backing off.
 type unwantedSends struct {
 	leaving, backingOff metrics.Counter
 }
--- a/direct/said.go
+++ b/direct/said.go
@@ -15,9 +15,9 @@
 	Service  string
 	Zone     string
 	Leaving  bool          // as announced by the endpoint or the store, or because another instance answers at its address
-	Backoff  time.Duration // rest of the backoff that it requested from this balancer; 0 for none
+	Backoff  time.Duration // time left of the backoff that it requested from this balancer; 0 for none
 	Slow     bool          // it is in its slow start after a backoff
-	Hint     time.Duration // rest of the backoff that another balancer published; 0 for none
+	Hint     time.Duration // time left of the backoff that another balancer published; 0 for none
 }
 
 // Said returns the endpoints that are leaving, backing off or in slow start, by service and ID.
@@ -41,8 +41,8 @@
 	return list
 }
 
-// noticeOf returns the backoff, slow start and hint of a listed endpoint, and whether there is any
-// of these; c.mu must be held.
+// noticeOf returns the backoff, slow start and published backoff of a listed endpoint, and whether
+// it has any of these; c.mu must be held.
 func (c *Chooser) noticeOf(e *directory.Endpoint, now time.Time) (notice Said, found bool) {
 	state, ok := c.endpoints[e.VM]
 	if !ok || state.start != e.Start {
--- a/direct/split_test.go
+++ b/direct/split_test.go
@@ -17,8 +17,8 @@
 )
 
 // TestSplitKeepsItsWeights checks that a traffic split keeps its weights while one of its services
-// is full: requests for that service are refused and not moved to the other one. The shares may
-// differ from the weights by a tenth.
+// is full: requests for that service are refused and not moved to the other one. The shares of the
+// requests may differ from those of the weights by 0.1.
 func TestSplitKeepsItsWeights(t *testing.T) {
 	const requests, tolerance = 2000, 0.1
 	prober := &fakeProber{answers: map[string]upstream.Report{}, probeCount: map[string]int{}}
--- a/direct/start_test.go
+++ b/direct/start_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// restart applies the directory entry of another start of an endpoint.
+// restart lists another start of an endpoint in the directory.
 func (r *fixture) restart(id string, start int64, revision uint64) {
 	r.directory.Apply(directory.Changes{Entries: []directory.Entry{{
 		Endpoint: directory.Endpoint{
@@ -22,8 +22,9 @@
 }
 
 // TestRestartResetsState checks that what was observed of an endpoint before it restarted does not
-// apply to the new start: neither its failures nor the requests it held nor that it was leaving.
-// The end of an earlier request does not change the state of the new start.
+// apply to the new start: neither its failures, nor the requests it held, nor the discovery that
+// another instance answers at its address. The end of a request that was sent before the restart
+// does not change the state of the new start.
 func TestRestartResetsState(t *testing.T) {
 	r := newFixture(1, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
 	r.restart("e0", 1, 2)
@@ -53,7 +54,8 @@
 }
 
 // TestAloneRequestGoesToIdleEndpoint checks that a request that should run alone goes to an idle
-// endpoint even if a busy one is cheaper, and to a busy one if none is idle.
+// endpoint even if a busy one in the own zone would be preferred otherwise, and to a busy one if
+// none is idle.
 func TestAloneRequestGoesToIdleEndpoint(t *testing.T) {
 	r := newFixture(2, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
 	r.learn(t)
@@ -89,7 +91,8 @@
 }
 
 // TestEndedStartGetsNoRetry checks that a request does not return to a start of an endpoint that
-// ended under it, however long that is listed, but may go to another start of the endpoint.
+// ended while it had the request, however long this start stays listed. The request may go to
+// another start of the endpoint.
 func TestEndedStartGetsNoRetry(t *testing.T) {
 	r := newFixture(1, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
 	r.restart("e0", 7, 2)
--- a/direct/status.go
+++ b/direct/status.go
@@ -13,10 +13,10 @@
 	ID        string
 	Zone      string
 	Ready     bool
-	Why       string `json:",omitempty"`
-	Version   uint64 // of the configuration
-	Revision  uint64 // of the store
-	Routes    int
+	Why       string   `json:",omitempty"` // reason why it is not ready
+	Version   uint64   // of the configuration
+	Revision  uint64   // of the store
+	Routes    int      // number of configured routes
 	Evacuated []string `json:",omitempty"` // availability zones that are being evacuated
 	Endpoints []EndpointStatus
 }
--- a/direct/unsupported_headers.go
+++ b/direct/unsupported_headers.go
@@ -8,28 +8,28 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// maxUnreadNames bounds how many different header names are logged, over all services.
-const maxUnreadNames = 256
+// maxUnsupportedHeaders is the maximum number of pairs of service and header name that are logged.
+const maxUnsupportedHeaders = 256
 
-// unreadHeaders counts the response headers that this version does not know or cannot parse, and
-// logs each name once for each service: an endpoint may ask for something that this version does
-// not support.
-type unreadHeaders struct {
+// unsupportedHeaders counts the response headers that this version does not know or cannot parse,
+// and logs each name once for each service, since an endpoint may use such a header to ask for
+// something that this version does not support.
+type unsupportedHeaders struct {
 	log   hclog.Logger
 	count metrics.Counter
 
 	mu   sync.Mutex
-	seen map[unreadHeader]bool
+	seen map[unsupportedHeader]bool
 }
 
-type unreadHeader struct{ service, name string }
+type unsupportedHeader struct{ service, name string }
 
-func newUnreadHeaders(log hclog.Logger, r metrics.Registry) *unreadHeaders {
-	return &unreadHeaders{log: log, count: metrics.GetOrRegisterCounter("headers_unread", r), seen: map[unreadHeader]bool{}}
+func newUnsupportedHeaders(log hclog.Logger, r metrics.Registry) *unsupportedHeaders {
+	return &unsupportedHeaders{log: log, count: metrics.GetOrRegisterCounter("headers_unread", r), seen: map[unsupportedHeader]bool{}}
 }
 
 // record counts the header names of one response, and logs those that are new.
-func (u *unreadHeaders) record(e limits.Endpoint, names []string) {
+func (u *unsupportedHeaders) record(e limits.Endpoint, names []string) {
 	if len(names) == 0 {
 		return
 	}
@@ -37,8 +37,8 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, name := range names {
-		key := unreadHeader{e.Service, name}
-		if u.seen[key] || len(u.seen) >= maxUnreadNames {
+		key := unsupportedHeader{e.Service, name}
+		if u.seen[key] || len(u.seen) >= maxUnsupportedHeaders {
 			continue
 		}
 		u.seen[key] = true
--- a/direct/waiting.go
+++ b/direct/waiting.go
@@ -8,14 +8,15 @@
 	"github.com/lotuswing/lotuswing/internal/pause"
 )
 
-// waiters are the requests of a service that found no good endpoint and wait for their next
-// ranking, the longest waiting first. A message on its channel, which has a buffer of one, wakes a
-// request.
+// waiters has a channel for each request of a service that found no good endpoint and waits for its
+// next ranking, in the order in which they began to wait. A value sent to the channel, which has a
+// buffer of one, wakes the request.
 type waiters []chan struct{}
 
-// pauseUntilWoken waits for d, or until an endpoint of the service ends a request of this process. Its
-// response reports its load, as fresh as a probe's, and its free slot is most likely still free for
-// a request that is woken at once: balancers do not race each other for it.
+// pauseUntilWoken waits for d, or until wakeNext wakes the request. That happens when a request of
+// this process to the same service has completed. The response reports the endpoint's load, as
+// fresh as a response to a probe, and the slot that has become free is most likely still free for a
+// request that is woken at once: balancers do not race each other for it.
 func (c *Chooser) pauseUntilWoken(ctx context.Context, service string, d time.Duration) {
 	woken := make(chan struct{}, 1)
 	c.mu.Lock()
@@ -34,7 +35,8 @@
 	return len(c.waiters[service])
 }
 
-// wakeNext wakes the request of a service that has waited longest; c.mu must be held.
+// wakeNext wakes the request that has waited longest for an endpoint of a service; c.mu must be
+// held.
 func (c *Chooser) wakeNext(service string) {
 	if w := c.waiters[service]; len(w) > 0 {
 		w[0] <- struct{}{}
--- a/direct/warmup_test.go
+++ b/direct/warmup_test.go
@@ -21,8 +21,9 @@
 	p.answers[addr] = answer
 }
 
-// TestProbeReportsWarmup checks that an endpoint that reports in response to a probe that it is
-// cold again gets one request at a time, and that the time this takes is not learned for the kind.
+// TestProbeReportsWarmup checks that an endpoint that responds to a probe that it is cold again
+// gets one request at a time, and that the time of that request does not count towards the usual
+// service time of its kind.
 func TestProbeReportsWarmup(t *testing.T) {
 	r := newFixture(2, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
 	r.learn(t)
@@ -36,17 +37,17 @@
 	_, refused = r.Acquire(context.Background(), overdueRequest())
 	assert.Assert(t, refused != nil, "it still runs the first request")
 
-	usual := r.Status()
+	before := r.Status()
 	r.Complete(first, placement.Result{Outcome: placement.Completed, Took: time.Minute})
-	assert.Equal(t, r.Status().Endpoints[0].Slowness, usual.Endpoints[0].Slowness)
+	assert.Equal(t, r.Status().Endpoints[0].Slowness, before.Endpoints[0].Slowness)
 	r.prober.setWarmup("e0", 0)
 	again, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
 	assert.Assert(t, again.Choice.Estimate < time.Second, "%v, as if requests took a minute", again.Choice.Estimate)
 }
 
-// TestColdEndpointsAreAvoidedAfterRefusal checks that the refusal of one cold endpoint makes the
-// balancer avoid the cold endpoints of its service for a while.
+// TestColdEndpointsAreAvoidedAfterRefusal checks that after one cold endpoint has refused a
+// request, the balancer avoids all cold endpoints of the service for a while.
 func TestColdEndpointsAreAvoidedAfterRefusal(t *testing.T) {
 	r := newFixture(2, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
 	for _, e := range []string{"e0", "e1"} {
