--- a/coord/pick/pick.go
+++ b/coord/pick/pick.go
@@ -19,8 +19,8 @@
 // Candidate is what the balancer knows of one endpoint.
 type Candidate struct {
 	Usable   bool    // neither leaving, ejected nor already tried
-	InFlight int     // requests that this balancer has in flight there
-	Slowness float64 // of its responses, as a multiple of the usual time
+	InFlight int     // requests that this balancer has in flight at the endpoint
+	Slowness float64 // service time of the endpoint's requests as a multiple of the usual one; below 1 counts as 1
 }
 
 // TwoChoices returns the index of the less loaded of two usable candidates chosen at random, and
--- a/coord/subset/subset.go
+++ b/coord/subset/subset.go
@@ -3,8 +3,8 @@
 //
 // Each balancer draws its subset without coordination: a hash of the IDs of balancer and endpoint
 // decides whether the endpoint is in it. So each endpoint is in about as many subsets as any other
-// in its availability zone, and one that joins or leaves affects the others only by the small
-// change of the probability with which each is drawn.
+// in its availability zone, and when an endpoint joins or leaves, the probability of each other one
+// to be drawn changes only slightly.
 //
 // The package owns no state and relies on no other package of this module.
 //
@@ -23,11 +23,13 @@
 	// Size is the approximate number of endpoints in a subset. A choice ranks all of them again
 	// after each probe. With 984 balancers, each of 5,772 endpoints is in some 33 subsets.
 	Size = 192
-	// sameZoneShare is the share of a subset, apart from the new version, that is in the balancer's
-	// own availability zone if there are so many: requests leave the zone only if it has no room.
+	// sameZoneShare is the least share of endpoints in the balancer's own availability zone among
+	// those in a subset that do not run the new version, provided that the zone has that many. It
+	// is high since requests leave the zone only if it has no room.
 	sameZoneShare = 0.75
-	// newVersionShare is the share of endpoints of the new version during a rollout: they get their
-	// share of the requests however few they are.
+	// newVersionShare is the least share of endpoints of the new version in a subset during a
+	// rollout, provided that there are that many. Each balancer needs some of them, since the new
+	// version gets its fraction of the requests however few endpoints it has.
 	newVersionShare = 0.25
 )
 
@@ -39,8 +41,8 @@
 	Excluded   bool // must not be drawn
 }
 
-// Draw returns the indices of the members in a balancer's subset. These are all eligible members if
-// there are no more than size, and about size of them otherwise.
+// Draw returns the indices of the members in a balancer's subset. These are all members that are
+// not excluded if there are no more than size, and about size of them otherwise.
 func Draw(balancer string, members []Member, size int) []int {
 	var sameZone, otherZone, newVersion int
 	for i := range members {
@@ -82,7 +84,7 @@
 	return drawn
 }
 
-// eligible returns the indices of all eligible members.
+// eligible returns the indices of all members that are not excluded.
 func eligible(members []Member) []int {
 	drawn := make([]int, 0, len(members))
 	for i := range members {
@@ -93,8 +95,8 @@
 	return drawn
 }
 
-// drawProbability returns the probability with which to draw each of a number of members, so that
-// wanted of them are drawn on average. It may exceed 1.
+// drawProbability returns the probability of drawing each of a number of members with which wanted
+// of them are drawn on average. It exceeds 1 if more are wanted than there are.
 func drawProbability(wanted float64, members int) float64 {
 	if members == 0 {
 		return 0
--- a/coord/subset/subset_test.go
+++ b/coord/subset/subset_test.go
@@ -33,38 +33,38 @@
 }
 
 // TestEveryEndpointIsInEnoughSubsets checks for several sizes of services and fleets that no
-// endpoint is in the subsets of just a few balancers or in several times as many as the others.
+// endpoint is in far fewer or far more subsets than the others in its availability zone.
 func TestEveryEndpointIsInEnoughSubsets(t *testing.T) {
 	for _, c := range []struct{ balancers, endpoints int }{{300, 1000}, {984, 1488}, {984, 5772}, {1968, 11544}} {
 		list := members(c.endpoints)
-		in := make([]int, c.endpoints)
-		near := c.balancers / zones
+		subsetCounts := make([]int, c.endpoints)
+		balancersInZone := c.balancers / zones
 		smallest, largest := c.endpoints, 0
-		for b := range near { // balancers in zone 0
+		for b := range balancersInZone { // balancers in zone 0
 			drawn := subset.Draw(fmt.Sprintf("vm-%d", b), list, subset.Size)
 			smallest, largest = min(smallest, len(drawn)), max(largest, len(drawn))
 			for _, i := range drawn {
-				in[i]++
+				subsetCounts[i]++
 			}
 		}
-		own := 0
-		least, most := near, 0
+		totalCount := 0
+		least, most := balancersInZone, 0
 		for i := range list {
 			if list[i].SameZone {
-				own += in[i]
-				least, most = min(least, in[i]), max(most, in[i])
+				totalCount += subsetCounts[i]
+				least, most = min(least, subsetCounts[i]), max(most, subsetCounts[i])
 			}
 		}
-		t.Logf("%d balancers, %d endpoints: subsets of %d to %d; an endpoint is in %d to %d of %d of its zone", c.balancers, c.endpoints, smallest, largest, least, most, near)
+		t.Logf("%d balancers, %d endpoints: subsets of %d to %d; an endpoint is in %d to %d of %d of its zone", c.balancers, c.endpoints, smallest, largest, least, most, balancersInZone)
 		assert.Assert(t, smallest > subset.Size*3/4 && largest < subset.Size*5/4)
-		mean := own / (c.endpoints/zones + 1)
+		mean := totalCount / (c.endpoints/zones + 1)
 		assert.Assert(t, least >= mean/4, "an endpoint is in %d subsets, %d on average", least, mean)
 		assert.Assert(t, most <= 3*mean)
 	}
 }
 
-// TestMembershipChangeMovesFewEndpoints checks that a subset changes by at most two other endpoints
-// if one is removed.
+// TestMembershipChangeMovesFewEndpoints checks that if one endpoint of a service is removed, at
+// most two others join or leave a subset.
 func TestMembershipChangeMovesFewEndpoints(t *testing.T) {
 	list := members(5000)
 	drawn := func(l []subset.Member) map[string]bool {
