--- a/direct/pool.go
+++ b/direct/pool.go
@@ -6,35 +6,35 @@
 	"github.com/lotuswing/lotuswing/directory"
 )
 
-// pool is the endpoints of a service among which this process chooses, by their indices in
-// the list that it was drawn from.
+// pool is the subset of a service's endpoints among which this process chooses.
 type pool struct {
-	from    []directory.Endpoint
-	members []int
+	source  []directory.Endpoint // the list that the pool was drawn from
+	indices []int                // of the endpoints of the pool in source
 }
 
-// isOf reports whether a pool was drawn from a list. Lists are never changed, only replaced.
-func (p pool) isOf(listed []directory.Endpoint) bool {
-	return len(p.from) == len(listed) && (len(listed) == 0 || &p.from[0] == &listed[0])
+// drawnFrom reports whether the pool was drawn from a list. Lists are never changed, only replaced.
+func (p pool) drawnFrom(listed []directory.Endpoint) bool {
+	return len(p.source) == len(listed) && (len(listed) == 0 || &p.source[0] == &listed[0])
 }
 
-// poolOf returns the pool of a service, drawn anew where its list has changed; c.mu is held.
+// poolOf returns the indices in listed of the endpoints in a service's pool. It draws a new pool if
+// the list has changed. c.mu must be held.
 func (c *Chooser) poolOf(service string, listed []directory.Endpoint) []int {
 	p, ok := c.pools[service]
-	if !ok || !p.isOf(listed) {
-		p = pool{from: listed, members: c.draw(listed)}
+	if !ok || !p.drawnFrom(listed) {
+		p = pool{source: listed, indices: c.drawPool(listed)}
 		c.pools[service] = p
 	}
-	return p.members
+	return p.indices
 }
 
-// draw draws a pool from a list.
-func (c *Chooser) draw(listed []directory.Endpoint) []int {
+// drawPool draws a pool from a list, and returns the indices of the pool's endpoints in the list.
+func (c *Chooser) drawPool(listed []directory.Endpoint) []int {
 	members := make([]subset.Member, len(listed))
 	for i := range listed {
 		e := &listed[i]
 		members[i] = subset.Member{
-			ID: e.VM, Near: e.Zone == c.cfg.Zone, Trial: e.Side == placement.NewSide, Out: e.Evacuated || e.Side == placement.HeldSide,
+			ID: e.VM, SameZone: e.Zone == c.cfg.Zone, NewVersion: e.Side == placement.NewSide, Excluded: e.Evacuated || e.Side == placement.HeldSide,
 		}
 	}
 	return subset.Draw(c.cfg.ID, members, c.cfg.PoolSize)
--- /dev/null
+++ b/direct/responses.go
@@ -0,0 +1,117 @@
+package direct
+
+import (
+	"time"
+
+	"github.com/lotuswing/lotuswing/coord/admission"
+	"github.com/lotuswing/lotuswing/coord/placement"
+	"github.com/lotuswing/lotuswing/limits"
+	"github.com/lotuswing/lotuswing/tenant"
+	"github.com/lotuswing/lotuswing/upstream"
+	"github.com/rcrowley/go-metrics"
+)
+
+// Values of the log key "from": where an endpoint's announcement was read.
+const (
+	sourceResponse = "answer" // the response to a request
+	sourceProbe    = "probe"
+)
+
+// Hear processes what the response to a request says about the endpoint. It must be called as soon
+// as the response header has arrived, whatever the status.
+func (c *Chooser) Hear(g placement.Grant, r upstream.Report) {
+	if r.None() {
+		return
+	}
+	e := limits.Endpoint{ID: g.Endpoint.VM, Start: g.Choice.Start, Service: tenant.ServiceName(g.Service), Zone: g.Endpoint.Zone}
+	if c.cfg.Limits != nil {
+		c.cfg.Limits.Answered(e, r.Limit)
+	}
+	c.observe(e, r, sourceResponse)
+	if r.Ran && g.Choice.Trial {
+		c.recordTrialRun(e, r)
+	}
+}
+
+// observeProbe processes what the response to a probe says about its endpoint. The response of
+// another instance at the same address says nothing about this endpoint and is ignored.
+func (c *Chooser) observeProbe(e limits.Endpoint, r upstream.Report) {
+	if r.OfAnother(e.ID) {
+		return
+	}
+	if c.cfg.Limits != nil {
+		c.cfg.Limits.Probed(e, r.Limit)
+	}
+	c.observe(e, r, sourceProbe)
+}
+
+// observe processes what the response to a request or a probe says about the endpoint.
+func (c *Chooser) observe(e limits.Endpoint, r upstream.Report, source string) {
+	c.unsupported.record(e, r.Unread)
+	if r.Word.Silent() {
+		return
+	}
+	if r.Word.Leaving {
+		c.handleLeaving(e, source, r.Heard)
+	}
+	if before, after := c.updateAdmission(e, r); after.Until() != before.Until() {
+		c.logBackoff(e, r, before.BackingOff(r.Heard), source)
+		c.publishBackoff(e, r.Word.Backoff, r.Heard)
+	}
+}
+
+// updateAdmission updates the admission state of an endpoint from a response. It returns the state
+// before and after, or two zero values if the Chooser has no state for this start of the endpoint.
+func (c *Chooser) updateAdmission(e limits.Endpoint, r upstream.Report) (before, after admission.State) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state, ok := c.endpoints[e.ID]
+	if !ok || state.start != e.Start {
+		return before, after
+	}
+	before = state.admission
+	state.admission = before.With(r.Word, r.Heard)
+	return before, state.admission
+}
+
+// recordTrialRun records that an endpoint ran a request after its backoff. The endpoint then no
+// longer gets just one request at a time.
+func (c *Chooser) recordTrialRun(e limits.Endpoint, r upstream.Report) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if state, ok := c.endpoints[e.ID]; ok && state.start == e.Start {
+		state.admission = state.admission.WithRun(r.Asked)
+	}
+}
+
+// logBackoff logs that an endpoint requested a backoff, at debug level if an earlier backoff still
+// lasts.
+func (c *Chooser) logBackoff(e limits.Endpoint, r upstream.Report, repeated bool, source string) {
+	log := c.cfg.Log.Info
+	if repeated {
+		log = c.cfg.Log.Debug
+	}
+	log("endpoint wants no requests", "id", e.ID, "service", e.Service, "for", r.Word.Backoff.String(), "from", source)
+}
+
+// countUnwantedSend counts a request that is about to be sent, if its endpoint is leaving or
+// backing off; c.mu must be held.
+func (c *Chooser) countUnwantedSend(e *endpointState, now time.Time) {
+	if e.admission.Leaving() {
+		c.unwantedSends.leaving.Inc(1)
+	}
+	if e.admission.BackingOff(now) {
+		c.unwantedSends.backingOff.Inc(1)
+	}
+}
+
+// unwantedSends counts the requests sent to endpoints that were leaving or backing off.
+type unwantedSends struct {
+	leaving, backingOff metrics.Counter
+}
+
+func newUnwantedSends(r metrics.Registry) unwantedSends {
+	return unwantedSends{
+		leaving: metrics.GetOrRegisterCounter("sent_after_leaving", r), backingOff: metrics.GetOrRegisterCounter("sent_while_backing_off", r),
+	}
+}
--- a/direct/waiting.go
+++ b/direct/waiting.go
@@ -8,16 +8,16 @@
 	"github.com/lotuswing/lotuswing/internal/pause"
 )
 
-// waiters are the requests of a service that found no good endpoint and will look
-// again, the one that looked longest ago first. Each has a channel of one place, which
-// wakes it.
+// waiters has a channel for each request of a service that found no good endpoint and waits for its
+// next ranking, in the order in which they began to wait. A value sent to the channel, which has a
+// buffer of one, wakes the request.
 type waiters []chan struct{}
 
-// await waits for d, or until an endpoint of the service has ended a request of this
-// process. Its response tells its load, as fresh as a probe's, and the slot that has
-// become free is most likely still there for who is told at once: the balancers do not
-// race each other for it.
-func (c *Chooser) await(ctx context.Context, service string, d time.Duration) {
+// pauseUntilWoken waits for d, or until wakeNext wakes the request. That happens when a request of
+// this process to the same service has completed. The response reports the endpoint's load, as
+// fresh as a response to a probe, and the slot that has become free is most likely still free for a
+// request that is woken at once: balancers do not race each other for it.
+func (c *Chooser) pauseUntilWoken(ctx context.Context, service string, d time.Duration) {
 	woken := make(chan struct{}, 1)
 	c.mu.Lock()
 	c.waiters[service] = append(c.waiters[service], woken)
@@ -28,15 +28,16 @@
 	c.waiters[service] = slices.DeleteFunc(c.waiters[service], func(o chan struct{}) bool { return o == woken })
 }
 
-// Waiting returns how many requests of a service wait to look again.
+// Waiting returns the number of requests of a service that wait for their next ranking.
 func (c *Chooser) Waiting(service string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.waiters[service])
 }
 
-// wake lets the request look again that looked longest ago; c.mu is held.
-func (c *Chooser) wake(service string) {
+// wakeNext wakes the request that has waited longest for an endpoint of a service; c.mu must be
+// held.
+func (c *Chooser) wakeNext(service string) {
 	if w := c.waiters[service]; len(w) > 0 {
 		w[0] <- struct{}{}
 		c.waiters[service] = w[1:]
