--- a/access/access.go
+++ b/access/access.go
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// checkTeam returns an error if a team is invalid on its own. Its name is sent in a header of each
-// request, and its keys in a header of the caller.
+// checkTeam returns an error if a team is invalid on its own. Its name and its keys are sent in
+// request headers, and have to be valid there.
 func checkTeam(team Team) error {
 	switch {
 	case !isVisibleASCII(team.Name):
@@ -139,8 +139,8 @@
 	return text != "" && !strings.ContainsFunc(text, func(c rune) bool { return c <= ' ' || c > '~' })
 }
 
-// maxWithdrawn limits how many withdrawn keys are remembered, at 16 bytes each. From this number on,
-// only the keys of the previous version are added to a new set.
+// maxWithdrawn limits how many withdrawn keys are remembered, at 16 bytes each. Once a table has as
+// many, its successor forgets them and remembers only those withdrawn since.
 const maxWithdrawn = 1 << 16
 
 // After returns the table that also remembers which keys of the previous table, and of those before
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestDoubtsAreBounded checks that the first time of a key is kept, and forgotten once too many
-// unknown keys are sent.
+// TestDoubtsAreBounded checks that the time at which an unknown key was first sent is remembered, and
+// is forgotten once too many unknown keys are sent.
 func TestDoubtsAreBounded(t *testing.T) {
 	var d access.Doubts
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -143,7 +143,7 @@
 	assert.Equal(t, d.Since(first, now.Add(time.Minute)), now.Add(time.Minute), "the key is forgotten after thousands of others")
 }
 
-// TestDigestDoesNotRevealKey checks that no format of a digest shows the key.
+// TestDigestDoesNotRevealKey checks that a formatted digest does not contain the key.
 func TestDigestDoesNotRevealKey(t *testing.T) {
 	d := access.DigestOf("key-of-medina")
 	assert.Equal(t, len(d.String()), 8)
--- a/access/doubts.go
+++ b/access/doubts.go
@@ -45,9 +45,9 @@
 	ComeBack
 )
 
-// Judge decides on a request with a key of standing s that was first sent at since. Configuration
-// changes take effect within the duration within. inTouch reports whether this balancer receives
-// them; one that does not cannot distinguish a new key from a wrong one.
+// Judge decides on a request with a key of standing s that was first sent at since. A configuration
+// change takes at most the duration within to take effect. inTouch tells whether this balancer
+// receives configuration changes; one that does not cannot distinguish a new key from a wrong one.
 func Judge(s Standing, since time.Time, within time.Duration, inTouch bool, now time.Time) Verdict {
 	switch s {
 	case Held:
--- a/coord/quota/fleet_test.go
+++ b/coord/quota/fleet_test.go
@@ -23,7 +23,7 @@
 	limit       Limit
 	nodes       []*simNode
 	zones       int
-	loss        float64
+	loss        float64                  // fraction of messages that are lost
 	partitioned func(a, b *simNode) bool // no message passes between a and b now
 	// returnedFraction is the fraction of admitted requests that are returned after simQueueWait.
 	returnedFraction float64
@@ -33,6 +33,7 @@
 	calls   int         // reports sent between nodes
 }
 
+// simNode is a simulated balancer.
 type simNode struct {
 	index      int
 	addr       string
@@ -40,7 +41,7 @@
 	limiter    *Limiter
 	down       bool // stopped, or paused
 	nextReport time.Time
-	inFlight   bool
+	inFlight   bool // a report awaits its answer
 	// waiting holds the requests that wait for a snapshot.
 	waiting []func()
 }
@@ -183,13 +184,14 @@
 	}
 }
 
-// send has requests of the team arrive at the picked nodes, at a rate and between two times.
+// send has requests of the team "team" arrive between two times, at perSecond on average, each at a
+// node that pick chooses.
 func (f *fleet) send(perSecond float64, from, to time.Duration, pick func() *simNode) {
-	f.sendOf("team", perSecond, from, to, pick)
+	f.sendTeam("team", perSecond, from, to, pick)
 }
 
-// sendOf is like send for a named team; only requests of "team" are counted.
-func (f *fleet) sendOf(team string, perSecond float64, from, to time.Duration, pick func() *simNode) {
+// sendTeam is like send for any team. Requests of teams other than "team" are not counted.
+func (f *fleet) sendTeam(team string, perSecond float64, from, to time.Duration, pick func() *simNode) {
 	var next func()
 	next = func() {
 		if f.Elapsed() >= to {
@@ -274,8 +276,8 @@
 	return float64(window.Most(f.sent, length)) / ((l.Rate*length.Seconds()+l.Burst)*1.1 + 20)
 }
 
-// refusedByOneBucket returns how many of the requests a single bucket for all balancers would have
-// refused that was initially as full as those of the fleet.
+// refusedByOneBucket returns how many of all requests would have been refused by a single bucket that
+// all balancers share. Its initial level is that of the fleet's buckets.
 func (f *fleet) refusedByOneBucket() int {
 	all := slices.SortedFunc(maps.Keys(f.arrivals()), time.Time.Compare)
 	tokens, at, refused := initialFill*f.limit.Burst, simStart, 0
@@ -340,11 +342,11 @@
 }
 
 // assertKeepsQuota runs a scenario with fleets of all sizes and checks that the team never gets more
-// than the operators tolerate. more are seeds that failed before.
-func assertKeepsQuota(t *testing.T, run func(f *fleet), more ...uint64) {
+// than the operators tolerate. extraSeeds are further seeds, which have failed in the past.
+func assertKeepsQuota(t *testing.T, run func(f *fleet), extraSeeds ...uint64) {
 	t.Helper()
 	for _, s := range fleetSizes {
-		for _, seed := range append([]uint64{0, 1, 2}[:min(3, seedCount(s.nodes))], more...) {
+		for _, seed := range append([]uint64{0, 1, 2}[:min(3, seedCount(s.nodes))], extraSeeds...) {
 			f := newFleet(seed, s.nodes, s.zones, s.limit)
 			run(f)
 			t.Logf("%d balancers: worst window %.2f", s.nodes, f.worstRatio(s.limit))
@@ -353,7 +355,8 @@
 	}
 }
 
-// testHotTeam runs a team that sends a multiple of its quota for five seconds.
+// testHotTeam runs a team that sends a multiple of its quota for five seconds, and 0.62 of its quota
+// before and after.
 func testHotTeam(t *testing.T, seed uint64, nodes, zones int, limit Limit, factor float64) {
 	t.Run(fmt.Sprint(nodes, " balancers, ", factor, " times"), func(t *testing.T) {
 		f := newFleet(seed, nodes, zones, limit)
@@ -500,7 +503,7 @@
 	t.Parallel()
 	assertKeepsQuota(t, func(f *fleet) {
 		f.partitionThird(time.Second, 13*time.Second)
-		f.sendOf("another", 5*float64(len(f.nodes)), 0, 16*time.Second, f.randomOf(len(f.nodes)))
+		f.sendTeam("another", 5*float64(len(f.nodes)), 0, 16*time.Second, f.randomOf(len(f.nodes)))
 		f.send(5*f.limit.Rate, 7*time.Second, 16*time.Second, f.randomOf(len(f.nodes)))
 		f.Run(18 * time.Second)
 	}, 18, 25)
@@ -508,9 +511,9 @@
 
 // TestReturnedRequestsKeepQuota checks a team that sends many times its quota, and half of whose
 // admitted requests are returned later because no endpoint has a free slot. In use such a team got
-// 1.13 of what is allowed: the totals of balancers that returned more than they took fell, and a
-// relay attributed what had been reported before the last report to another relay, so that it
-// returned those tokens twice.
+// 1.13 of what is allowed: the totals of balancers that gave back more tokens than they took fell
+// below tally.Count.Told. The relay concluded that another relay had taken the difference into
+// account already, and gave back those tokens twice.
 func TestReturnedRequestsKeepQuota(t *testing.T) {
 	t.Parallel()
 	assertKeepsQuota(t, func(f *fleet) {
@@ -521,8 +524,8 @@
 	})
 }
 
-// TestRelayRestartsKeepQuota checks a team that sends at four times its quota while the relays
-// restart one after the other and messages are lost.
+// TestRelayRestartsKeepQuota checks a team that sends at four times its quota while the relays of all
+// zones stop and restart, four times in all, and messages are lost.
 func TestRelayRestartsKeepQuota(t *testing.T) {
 	t.Parallel()
 	assertKeepsQuota(t, func(f *fleet) {
@@ -533,8 +536,8 @@
 	})
 }
 
-// TestRestartOfFleetKeepsQuota checks a team that sends at four times its quota all the while that
-// all balancers stop together and start again.
+// TestRestartOfFleetKeepsQuota checks a team that sends at four times its quota before, while and
+// after all balancers stop together and start again.
 func TestRestartOfFleetKeepsQuota(t *testing.T) {
 	t.Parallel()
 	for _, s := range fleetSizes {
--- a/coord/quota/isolated_test.go
+++ b/coord/quota/isolated_test.go
@@ -8,8 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestIsolatedBalancerDeductsTakenTokens checks that a balancer that gets no more snapshots may use
-// its share of the last one and of the tokens added since, less what it has taken of it already.
+// TestIsolatedBalancerDeductsTakenTokens checks that a balancer that gets no more snapshots may take
+// its share of the tokens in the last snapshot and of those added since, less the tokens that it has
+// taken since that snapshot.
 func TestIsolatedBalancerDeductsTakenTokens(t *testing.T) {
 	l := Limit{Rate: 100, Burst: 100, Spare: testSpare}
 	a := NewAccount(l, simStart).WithSnapshot(l, Snapshot{Tokens: 80, Part: 0.1}, 0, 0.5, simStart)
@@ -31,12 +32,12 @@
 }
 
 // TestBurstOfSilentBalancersIsDeducted checks that the fraction of the burst that silent balancers
-// hold is deducted from a relay's bucket, and returned once they report again.
+// hold is deducted from a relay's bucket, and given back once they report again.
 func TestBurstOfSilentBalancersIsDeducted(t *testing.T) {
 	l := Limit{Rate: 100, Burst: 100}
-	a := Account{}.AsRelay(l, 0, simStart, simStart).WithTaken(70) // 10 of 80 are left
+	a := Account{}.AsRelay(l, 0, simStart, simStart).WithUncheckedTake(70) // 10 of 80 are left
 	for _, c := range []struct{ silentRate, want float64 }{{20, 10 - 0.2*85}, {20, 10 - 0.2*85}, {0, 10}, {50, 10 - 0.5*85}} {
 		a = a.AsRelay(l, c.silentRate, simStart, simStart)
-		assert.Assert(t, math.Abs(a.tokens-c.want) < 1e-9, "%v not silent: %v tokens, want %v", 100-c.silentRate, a.tokens, c.want)
+		assert.Assert(t, math.Abs(a.tokens-c.want) < 1e-9, "balancers with %v of 100 requests/s are not silent: %v tokens, want %v", 100-c.silentRate, a.tokens, c.want)
 	}
 }
--- a/coord/quota/limiter.go
+++ b/coord/quota/limiter.go
@@ -13,15 +13,15 @@
 // teamPrefix begins the keys that count the requests of teams. The name of the team follows.
 const teamPrefix = "team/"
 
-// returnedPrefix begins the keys that count returned requests. They are counted separately so that
-// no total ever falls: a relay takes a total below an earlier one as a sign that the balancer has
-// reported to another relay meanwhile.
+// returnedPrefix begins the keys that count requests whose tokens were given back. They are counted
+// separately so that no total ever falls. If the total that a relay knows is below tally.Count.Told,
+// the relay concludes that the balancer has reported the difference to another relay.
 const returnedPrefix = "returned/"
 
 // Answer is a relay's answer to a report. Package gob sends the field names.
 type Answer struct {
 	Taken bool          // the receiver is a relay and has applied the report
-	Words []Snapshot    // for the teams that the report named
+	Words []Snapshot    // snapshots of the buckets of the teams that the report named
 	Pause time.Duration // minimum interval between two reports of the sender
 	// Members is how many balancers in all zones the relay has heard from lately; 0 from earlier
 	// versions.
@@ -42,13 +42,13 @@
 	limits       map[string]Limit // by team, as of its last request
 	minInterval  time.Duration    // between two reports, set by the relay
 	members      int              // balancers in the fleet, as reported by the relay; 0 if unknown
-	failingSince time.Time        // when the first of the failed reports failed; zero after an answered one
+	failingSince time.Time        // when reports began to fail; zero if the last one was answered
 	relayLost    bool             // reports have failed for relayLostAfter
 	rng          *rand.Rand
 }
 
-// NewLimiter returns a limiter without accounts. incarnation is a random number that distinguishes
-// this run of a balancer from other runs at the same address.
+// NewLimiter returns a limiter without accounts. from is the link address of the balancer, and
+// incarnation a random number that distinguishes this run of it from other runs at the same address.
 func NewLimiter(from, zone string, incarnation uint64) *Limiter {
 	return &Limiter{
 		from: from, zone: zone, incarnation: incarnation, counter: tally.NewCounter(from, zone, incarnation), aggregator: tally.NewAggregator(from, zone, incarnation),
@@ -85,17 +85,17 @@
 	if !ok {
 		return // the team has no quota
 	}
-	q.accounts[team] = a.WithTaken(1)
+	q.accounts[team] = a.WithUncheckedTake(1)
 	q.counter.Add(teamPrefix+team, 1, now)
 }
 
-// Return returns the token of a request that was not sent.
+// Return gives back the token of a request that was not sent.
 func (q *Limiter) Return(team string, now time.Time) {
 	a, ok := q.accounts[team]
 	if !ok {
 		return // the team had no quota
 	}
-	q.accounts[team] = a.WithTaken(-1)
+	q.accounts[team] = a.WithUncheckedTake(-1)
 	q.counter.Add(returnedPrefix+team, 1, now)
 }
 
@@ -122,10 +122,11 @@
 	return a
 }
 
-// unusedSince returns since when a team that nobody has reported to this relay is known to have sent
-// nothing. While a balancer is silent, that is only since now.
+// unusedSince returns from which time on this relay can assume that a team without an account has
+// sent nothing: from when it became a relay, or from now on if a silent balancer may have admitted
+// requests of the team.
 func (q *Limiter) unusedSince(now time.Time) time.Time {
-	if q.aggregator.AllHeard(now) {
+	if q.aggregator.NoneSilent(now) {
 		return q.relaySince
 	}
 	return now
@@ -138,12 +139,12 @@
 }
 
 const (
-	// nearFull is the fraction of the burst from which on a bucket is reported at the normal
-	// interval.
+	// nearFull is the level, as a fraction of the burst, from which on a bucket counts as nearly
+	// full. Below it, requests are reported at the urgent interval.
 	nearFull = 0.7
 	// normalInterval and urgentInterval are the minimum intervals between two reports. A team that
-	// begins to send at four times its rate uses up a burst of one second's rate within 0.3 s, so
-	// that all balancers report often before that.
+	// begins to send at four times its rate uses up a burst of one second's rate within 0.3 s; with
+	// these intervals all balancers report more than once before that.
 	normalInterval = 250 * time.Millisecond
 	urgentInterval = 100 * time.Millisecond
 	// immediateInterval is the same for a balancer that has used up its share of the last snapshot.
@@ -181,7 +182,7 @@
 		return
 	}
 	q.relay, q.relaySince = relay, now
-	q.incarnation++ // earlier totals went to other relays
+	q.incarnation++ // the zone's totals start at 0: its balancers reported to another relay meanwhile
 	q.aggregator = tally.NewAggregator(q.from, q.zone, q.incarnation)
 	for team, a := range q.accounts {
 		if relay {
@@ -195,8 +196,8 @@
 // IsRelay reports whether this balancer is a relay.
 func (q *Limiter) IsRelay() bool { return q.relay }
 
-// Report returns the report of a follower to its relay. From then on the accounts that it names
-// await a snapshot.
+// Report returns the report of a follower to its relay. The accounts of the teams that the report
+// names then await a snapshot.
 func (q *Limiter) Report(now time.Time) tally.Report {
 	r := q.counter.Report(now)
 	for _, c := range r.Counts {
@@ -222,15 +223,15 @@
 	for _, s := range answer.Words {
 		team := strings.TrimPrefix(s.Key, teamPrefix)
 		if l, ok := q.limits[team]; ok && !q.relay {
-			q.accounts[team] = q.accounts[team].WithSnapshot(l, s, float64(q.unreported(team)), q.rng.Float64(), now)
+			q.accounts[team] = q.accounts[team].WithSnapshot(l, s, float64(q.unacknowledged(team)), q.rng.Float64(), now)
 		}
 	}
 }
 
-// unreported returns how many requests of a team were taken here, less the returned ones, that no
+// unacknowledged returns how many tokens of a team were taken here, less those given back, that no
 // relay has acknowledged.
-func (q *Limiter) unreported(team string) int64 {
-	return q.counter.Unreported(teamPrefix+team) - q.counter.Unreported(returnedPrefix+team)
+func (q *Limiter) unacknowledged(team string) int64 {
+	return q.counter.Unacknowledged(teamPrefix+team) - q.counter.Unacknowledged(returnedPrefix+team)
 }
 
 // Status is the state of a team's bucket as known to one balancer, for operators.
--- a/coord/quota/quota.go
+++ b/coord/quota/quota.go
@@ -7,9 +7,9 @@
 // them. Between two snapshots a balancer extrapolates: its own requests take tokens, and the other
 // balancers are assumed to take tokens at the same rate as before. An isolated balancer, which gets
 // no snapshots, keeps to the share of the rate that its last snapshot gave it, and the relays deduct
-// the shares of silent balancers from their buckets. So the sum stays within the quota on either
-// side of a partition. Where a balancer's share is only a request or two, its next request waits for
-// a fresh snapshot (Limiter.RefreshIfStale).
+// the shares of silent balancers from their buckets. So both sides of a partition together stay
+// within the quota. Where a balancer's share is only a request or two, its next request waits for a
+// fresh snapshot (Limiter.RefreshIfStale).
 //
 // An Account is what one balancer, relay or not, knows of one team's bucket. It is an immutable
 // value; the Limiter holds those of all teams. Neither is safe for concurrent use.
@@ -32,15 +32,15 @@
 // Limit is the quota of a team.
 type Limit struct {
 	Rate  float64 // requests per second; 0 for no limit
-	Burst float64 // requests beyond the rate that may be sent at once
+	Burst float64 // requests beyond the rate that may be sent at once, saved up while fewer are sent
 	// Spare is how many requests above rate and burst the operators tolerate, because balancers
 	// cannot know of each other's latest requests. A team that sends few requests through many
 	// balancers is refused only beyond it.
 	Spare float64
 }
 
-// capacity returns the number of tokens in a full bucket for a share, between 0 and 1, of the quota.
-// It is at least 1.
+// capacity returns how many tokens the bucket for a share of the quota can hold: at least 1. The
+// share is a fraction from 0 to 1.
 func (l Limit) capacity(share float64) float64 { return max(1, share*(usableBurst*l.Burst+l.Spare)) }
 
 // usableBurst is the fraction of the burst that buckets give out. The rest is for admitted requests
@@ -55,8 +55,8 @@
 	// snapshot takes one round trip within the zone; a call takes this long only when it fails.
 	isolatedAfter = 400 * time.Millisecond
 	// othersRateValidFor is how long the rate of the others in a snapshot is extrapolated: twice the
-	// normal report interval. A balancer that the team does not use gets no more snapshots, and the
-	// high rate in its last one would have it refuse the next request.
+	// normal report interval. A balancer that the team does not use gets no more snapshots, and a
+	// high rate in its last one, from a busy moment, would make it refuse the next request.
 	othersRateValidFor = 500 * time.Millisecond
 	// staleAfter is the age of a snapshot from which on the bucket is assumed to hold at least
 	// initialTokens, so that the next request is sent and its report brings another snapshot.
@@ -71,8 +71,8 @@
 	// initialFill is the fraction of the burst in a bucket whose earlier level is unknown: before a
 	// restart of the whole fleet it may have been empty or full.
 	initialFill = 0.8
-	// newRelayFor is how long a new relay without earlier snapshots takes those of its peers into
-	// account.
+	// newRelayFor is how long a new relay asks its peers for snapshots of a bucket for which it never
+	// had one, and adopts lower levels from them.
 	newRelayFor = time.Second
 	// nearFullAllowance is the least number of requests between two snapshots while the bucket is
 	// nearly full: the share of a balancer that a small team seldom uses is less than one request.
@@ -105,7 +105,7 @@
 	snapshotTokens  float64   // tokens in the last snapshot
 	takenSince      float64   // requests taken since the last snapshot, or not reported when it was made
 	jitter          float64   // random number in [0, 1) drawn with each snapshot; rounds fractions of a token up or down
-	coverage        float64   // on a relay, fraction of the quota whose users are not silent; 1 elsewhere
+	coverage        float64   // on a relay, fraction of the quota that silent balancers do not use; 1 elsewhere
 	newRelayUntil   time.Time // until then peers of this relay may know the bucket better
 	relay           bool      // this balancer is a relay, which receives the counts of others
 	synced          bool      // a snapshot was received, or this balancer is or was a relay
@@ -120,7 +120,7 @@
 }
 
 // isolated reports whether the balancer has to decide without a relay: it had no snapshot yet, or
-// waits for one for too long.
+// has waited for one for longer than isolatedAfter.
 func (a Account) isolated(now time.Time) bool {
 	return !a.synced || !a.awaitingSince.IsZero() && now.Sub(a.awaitingSince) > isolatedAfter
 }
@@ -139,7 +139,7 @@
 			a.tokens = min(a.tokens, max(1, a.allowance(l, now))-a.takenSince)
 		}
 	} else {
-		a.tokens += l.Rate*dt - a.othersRate*a.othersDuration(now).Seconds()
+		a.tokens += l.Rate*dt - a.othersRate*a.extrapolationTime(now).Seconds()
 		if now.Sub(a.syncedAt) > staleAfter {
 			a.tokens = max(a.tokens, initialTokens)
 		}
@@ -149,9 +149,9 @@
 	return a
 }
 
-// othersDuration returns for how much of the time since the last update the others are assumed to
-// take tokens at the rate of the last snapshot.
-func (a Account) othersDuration(now time.Time) time.Duration {
+// extrapolationTime returns for how much of the time since the last update the other balancers are
+// assumed to take tokens at othersRate.
+func (a Account) extrapolationTime(now time.Time) time.Duration {
 	end := a.syncedAt.Add(othersRateValidFor)
 	if now.Before(end) {
 		end = now
@@ -174,8 +174,8 @@
 // withinAllowance reports whether one more request is within what a balancer may take before its
 // next snapshot: its share of the tokens in the last snapshot and of those added since. All
 // balancers see the same tokens; if each took all of them, many times the quota would be sent. For a
-// team that sends little the share is less than one request, but then hardly any other balancer
-// wants the same tokens meanwhile.
+// team that sends little the share is less than one request. The balancer may then take more than
+// its share, because hardly any other balancer wants the same tokens meanwhile.
 func (a Account) withinAllowance(l Limit, now time.Time) bool {
 	if a.syncedAt.IsZero() || a.isolated(now) || a.relay {
 		return true
@@ -192,9 +192,9 @@
 	return a.takenSince+a.jitter <= mine
 }
 
-// WithTaken returns the account after n tokens were taken by requests that were not checked here; a
-// negative n returns tokens.
-func (a Account) WithTaken(n float64) Account {
+// WithUncheckedTake returns the account after n tokens were taken by requests that were not checked
+// here, such as those of other balancers. A negative n gives tokens back.
+func (a Account) WithUncheckedTake(n float64) Account {
 	a.tokens -= n
 	return a
 }
@@ -214,26 +214,26 @@
 	return a.share * (max(0, a.snapshotTokens) + l.Rate*now.Sub(a.syncedAt).Seconds())
 }
 
-// confidentRate returns a rate reduced by two standard deviations of the number of requests in one
+// rateLowerBound returns a rate reduced by two standard deviations of the number of requests in one
 // second, so that a few requests that coincide by chance are not extrapolated.
-func confidentRate(perSecond float64) float64 {
+func rateLowerBound(perSecond float64) float64 {
 	return max(0, perSecond-2*math.Sqrt(max(0, perSecond)))
 }
 
-// WithSnapshot returns the account after a snapshot from a relay. unreported is how many requests
-// were counted here since the answered report. jitter is a random number in [0, 1).
-func (a Account) WithSnapshot(l Limit, s Snapshot, unreported, jitter float64, now time.Time) Account {
+// WithSnapshot returns the account after a snapshot from a relay. unacknowledged is how many tokens
+// were taken here since the answered report. jitter is a random number in [0, 1).
+func (a Account) WithSnapshot(l Limit, s Snapshot, unacknowledged, jitter float64, now time.Time) Account {
 	return Account{
-		tokens: s.Tokens - unreported, updatedAt: now, othersRate: confidentRate(s.Others), share: s.Part, coverage: 1, synced: true, syncedAt: now,
+		tokens: s.Tokens - unacknowledged, updatedAt: now, othersRate: rateLowerBound(s.Others), share: s.Part, coverage: 1, synced: true, syncedAt: now,
 		othersPerReport: s.Others * urgentInterval.Seconds(),
-		snapshotTokens:  s.Tokens, takenSince: unreported, jitter: jitter,
+		snapshotTokens:  s.Tokens, takenSince: unacknowledged, jitter: jitter,
 	}.advance(l, now)
 }
 
 // AsRelay returns the account of a relay, which receives the counts of others as they happen.
 // silentRate is the rate per second of the silent balancers. Their fraction of the burst is deducted
-// from the bucket, and returned once they report again. A bucket without any earlier snapshot starts
-// at initialFill and has been filling since the given time.
+// from the bucket, and given back once they report again. An account without any earlier snapshot
+// starts with initialFill of the burst at the time since.
 func (a Account) AsRelay(l Limit, silentRate float64, since, now time.Time) Account {
 	if !a.synced {
 		a = Account{tokens: initialFill * l.Burst, updatedAt: since, coverage: 1, synced: true, syncedAt: now, newRelayUntil: now.Add(newRelayFor)}
@@ -269,6 +269,6 @@
 	return time.Duration(missing / l.Rate * float64(time.Second))
 }
 
-// retrySpreadSeconds is the time over which retries of refused requests are spread: one request for
-// each token that is added meanwhile, if all tokens go to them.
+// retrySpreadSeconds is the time, in seconds, over which retries of refused requests are spread. Each
+// token that is added meanwhile admits one of them, if no other request takes it.
 const retrySpreadSeconds = 0.5
--- a/coord/quota/refresh.go
+++ b/coord/quota/refresh.go
@@ -12,8 +12,8 @@
 	MaxRefreshWait = 25 * time.Millisecond
 	// freshFor is the age up to which a snapshot needs no refresh.
 	freshFor = urgentInterval
-	// smallShareRequests is the number of requests, in one second with the burst, below which a
-	// balancer's share of a quota counts as small: the balancer then seldom sees the team.
+	// smallShareRequests is the number of requests below which a balancer's share of a quota (the
+	// burst and one second of the rate) counts as small: the balancer then seldom sees the team.
 	smallShareRequests = 2
 )
 
@@ -39,7 +39,7 @@
 	return q.members == 0 || l.Rate+l.Burst < smallShareRequests*float64(q.members)
 }
 
-// refreshOverdue reports whether a snapshot has been awaited for longer than requests wait.
+// refreshOverdue reports whether a snapshot has been awaited for longer than MaxRefreshWait.
 func (a Account) refreshOverdue(now time.Time) bool {
 	return !a.awaitingSince.IsZero() && now.Sub(a.awaitingSince) > MaxRefreshWait
 }
--- a/coord/quota/relay.go
+++ b/coord/quota/relay.go
@@ -42,7 +42,7 @@
 	q.counter.Acknowledge(r)
 }
 
-// applySilentRates has the buckets deduct what silent balancers may be taking.
+// applySilentRates deducts from all buckets the tokens that silent balancers may be taking.
 func (q *Limiter) applySilentRates(isRelay tally.IsRelay, now time.Time) {
 	for team, a := range q.accounts {
 		l := q.limits[team]
@@ -80,7 +80,7 @@
 
 // applyChange takes tokens from a team's bucket for requests that others have counted.
 func (q *Limiter) applyChange(c tally.Change, limitOf func(string) (Limit, bool), now time.Time) {
-	team, by, ok := tokenChange(c)
+	team, by, ok := tokensTaken(c)
 	if !ok {
 		return
 	}
@@ -88,16 +88,16 @@
 	if !ok || l.Unlimited() {
 		return
 	}
-	a := q.account(team, l, now).WithTaken(float64(by))
+	a := q.account(team, l, now).WithUncheckedTake(float64(by))
 	q.accounts[team] = a
 	if q.isUrgent(a, l, now) {
 		q.aggregator.MarkUrgent()
 	}
 }
 
-// tokenChange returns how many tokens of a team a change takes; a negative number returns tokens. ok
+// tokensTaken returns how many tokens of a team a change takes, negative if it gives tokens back. ok
 // is false for counts that have no quota.
-func tokenChange(c tally.Change) (team string, by int64, ok bool) {
+func tokensTaken(c tally.Change) (team string, by int64, ok bool) {
 	if team, ok = strings.CutPrefix(c.Key, teamPrefix); ok {
 		return team, c.By, true
 	}
--- a/coord/quota/relaylost.go
+++ b/coord/quota/relaylost.go
@@ -2,11 +2,13 @@
 
 import "time"
 
-// A balancer that has lost its relay gives out little to teams for which it never had a snapshot.
-// Relays deduct the shares of silent balancers only for teams that these have reported.
+// A balancer that has lost its relay gives out little to teams for which it never had a snapshot. It
+// has never reported these teams, so relays only estimate what it gives out to them, and only for
+// some seconds (tally.Aggregator.UnreportedShare).
 
-// relayLostShare is the share of a quota that all balancers in that state give out together, while
-// the other balancers may give out the whole quota.
+// relayLostShare is the share of a quota that all balancers would give out together if each of them
+// had lost its relay and never had a snapshot. At the same time the other balancers may give out
+// the whole quota.
 const relayLostShare = 0.25
 
 // relayLostAfter is how long reports fail before the relay counts as lost. When a relay stops,
@@ -15,7 +17,7 @@
 const relayLostAfter = 4 * time.Second
 
 // newAccount returns the account of a team for which there was no snapshot yet. A balancer that has
-// lost its relay will get none, and no relay deducts what it gives out. Its share is then
+// lost its relay will get none, and no relay learns what it gives out. Its share is then
 // relayLostShare divided by the number of all known balancers, however many of them have lost their
 // relay too.
 func (q *Limiter) newAccount(l Limit, now time.Time) Account {
--- a/coord/tally/aggregator.go
+++ b/coord/tally/aggregator.go
@@ -9,8 +9,8 @@
 	// silentAfter is how long after its last report a balancer counts as silent, unless it is idle.
 	// An active balancer reports at least twice in this time.
 	silentAfter = time.Second
-	// extrapolateFor is how long after its last report a silent balancer is assumed to count on at
-	// its fallback rate.
+	// extrapolateFor is how long after its last report a silent balancer is assumed to continue
+	// counting at its fallback rate.
 	extrapolateFor = 15 * time.Second
 	// goneRelayExtrapolateFor is the same for a relay that is no longer registered: after this time
 	// its balancers report to another relay.
@@ -31,10 +31,10 @@
 // reporter is the state of one sender of reports: one incarnation of a balancer of the own zone, or
 // of the relay of another zone.
 type reporter struct {
-	incarnation, number uint64
+	incarnation, number uint64 // of its last report
 	relay               bool
 	zone                string
-	members             int
+	members             int // balancers of its zone; set for relays only
 	lastReport          time.Time
 	idle                bool // its last report said that it sends no further one until it counts again
 	counts              map[string]*keyState
@@ -46,7 +46,7 @@
 	rate         rate
 	silentRate   float64   // rate per second of silent balancers in its zone; set for relays only
 	reportedAt   time.Time // when the key was last reported
-	fallbackRate float64   // rate per second at which it may count on while it is silent
+	fallbackRate float64   // rate per second at which it may continue to count while it is silent
 }
 
 // NewAggregator returns the empty aggregator of a relay. from is its link address, and incarnation a
@@ -63,14 +63,14 @@
 	if r.Number <= rep.number {
 		return nil
 	}
-	silent := min(now.Sub(rep.lastReport), extrapolateFor) - silentAfter
+	extrapolatedFor := min(now.Sub(rep.lastReport), extrapolateFor) - silentAfter
 	if rep.idle {
-		silent = 0
+		extrapolatedFor = 0
 	}
 	rep.number, rep.lastReport, rep.idle, rep.zone, rep.members = r.Number, now, r.Rests, r.Zone, r.Members
 	var changes []Change
 	for _, c := range r.Counts {
-		by := rep.add(c, silent, now)
+		by := rep.add(c, extrapolatedFor, now)
 		if by == 0 {
 			continue
 		}
@@ -101,22 +101,23 @@
 	return rep
 }
 
-// add records a total and returns the increase: what no relay has taken into account before, less
-// what was already added for the reporter at its fallback rate while it was silent. A balancer that
-// returns from another relay has reported its interim counts there.
-func (rep *reporter) add(c Count, silent time.Duration, now time.Time) int64 {
-	n, known := rep.counts[c.Key]
+// add records the total of one key and returns its increase, without the part that another relay has
+// already taken into account (Count.Told: a balancer may have followed another relay meanwhile), and
+// without the part that was extrapolated. extrapolatedFor is for how long the silent reporter was
+// assumed to count at its fallback rate.
+func (rep *reporter) add(c Count, extrapolatedFor time.Duration, now time.Time) int64 {
+	k, known := rep.counts[c.Key]
 	if !known {
-		n = &keyState{total: c.Told, rate: rate{at: now}}
-		rep.counts[c.Key] = n
+		k = &keyState{total: c.Told, rate: rate{at: now}}
+		rep.counts[c.Key] = k
 	}
 	if !rep.relay {
-		n.total = max(n.total, c.Told)
+		k.total = max(k.total, c.Told)
 	}
-	by := c.Total - n.total
-	n.total, n.silentRate, n.reportedAt = c.Total, c.Unheard, now
-	n.rate = n.rate.updated(by, now)
-	if extrapolated := int64(n.fallbackRate * silent.Seconds()); extrapolated > 0 && by > 0 {
+	by := c.Total - k.total
+	k.total, k.silentRate, k.reportedAt = c.Total, c.Unheard, now
+	k.rate = k.rate.updated(by, now)
+	if extrapolated := int64(k.fallbackRate * extrapolatedFor.Seconds()); extrapolated > 0 && by > 0 {
 		by = max(0, by-extrapolated)
 	}
 	return by
@@ -141,8 +142,8 @@
 // ones included.
 func (a *Aggregator) Rates(key, from string, now time.Time) (own, others float64) {
 	if rep, ok := a.reporters[from]; ok {
-		if n, ok := rep.counts[key]; ok {
-			own = n.rate.perSecond
+		if k, ok := rep.counts[key]; ok {
+			own = k.rate.perSecond
 		}
 	}
 	return own, max(0, a.totalRate(key, now)-own)
@@ -159,8 +160,8 @@
 	}
 	total := 0.0
 	for _, rep := range a.reporters {
-		if n, ok := rep.counts[key]; ok && now.Sub(rep.lastReport) <= extrapolateFor {
-			total += n.rate.perSecond + n.currentSilentRate(now)
+		if k, ok := rep.counts[key]; ok && now.Sub(rep.lastReport) <= extrapolateFor {
+			total += k.rate.perSecond + k.currentSilentRate(now)
 		}
 	}
 	a.rates[key] = rate{perSecond: total, at: now}
@@ -168,8 +169,8 @@
 }
 
 // ZoneDue returns when the next report to the relays of other zones is due.
-func (a *Aggregator) ZoneDue(p Intervals, now time.Time) (at time.Time, ok bool) {
-	return a.zoneCounter.Due(p, now)
+func (a *Aggregator) ZoneDue(intervals Intervals, now time.Time) (at time.Time, ok bool) {
+	return a.zoneCounter.Due(intervals, now)
 }
 
 // MarkUrgent makes the next report to the relays of other zones due after the urgent interval.
--- a/coord/tally/counter.go
+++ b/coord/tally/counter.go
@@ -35,7 +35,7 @@
 type keyTotal struct {
 	total        int64
 	acknowledged int64 // total in the last report that a relay acknowledged
-	handedOn     int64 // total in the acknowledged report before it, which the relay has passed on since
+	passedOn     int64 // total in the acknowledged report before it, which the relay has passed on since
 	changed      time.Time
 }
 
@@ -45,7 +45,7 @@
 	return &Counter{from: from, zone: zone, incarnation: incarnation, counts: map[string]*keyTotal{}}
 }
 
-// Add adds n to the total under a key; a negative n takes back an earlier count.
+// Add adds n to the total under a key; a negative n undoes an earlier count.
 func (c *Counter) Add(key string, n int64, now time.Time) {
 	k, ok := c.counts[key]
 	if !ok {
@@ -70,8 +70,8 @@
 // MarkImmediate makes the next report due after the immediate interval, once something was counted.
 func (c *Counter) MarkImmediate() { c.immediate = true }
 
-// Unreported returns how much of the total under a key no relay has acknowledged.
-func (c *Counter) Unreported(key string) int64 {
+// Unacknowledged returns how much of the total under a key no relay has acknowledged.
+func (c *Counter) Unacknowledged(key string) int64 {
 	k, ok := c.counts[key]
 	if !ok {
 		return 0
@@ -95,14 +95,14 @@
 }
 
 // Due returns when the next report is due; ok is false while there is nothing to report.
-func (c *Counter) Due(p Intervals, now time.Time) (at time.Time, ok bool) {
+func (c *Counter) Due(intervals Intervals, now time.Time) (at time.Time, ok bool) {
 	switch {
 	case c.immediate && c.dirty:
-		return c.reported.Add(p.Immediate), true
+		return c.reported.Add(intervals.Immediate), true
 	case c.urgent && c.dirty:
-		return c.reported.Add(p.Urgent), true
+		return c.reported.Add(intervals.Urgent), true
 	case c.dirty:
-		return c.reported.Add(p.Normal), true
+		return c.reported.Add(intervals.Normal), true
 	case c.active(now), !c.idle && !c.reported.IsZero():
 		return c.reported.Add(heartbeatInterval), true
 	}
@@ -127,8 +127,8 @@
 	c.idle = !c.active(now)
 	r := Report{From: c.from, Zone: c.zone, Life: c.incarnation, Number: c.number, Rests: c.idle}
 	for key, k := range c.counts {
-		if now.Sub(k.changed) <= activeFor || k.total != k.handedOn {
-			r.Counts = append(r.Counts, Count{Key: key, Total: k.total, Told: k.handedOn})
+		if now.Sub(k.changed) <= activeFor || k.total != k.passedOn {
+			r.Counts = append(r.Counts, Count{Key: key, Total: k.total, Told: k.passedOn})
 		}
 	}
 	slices.SortFunc(r.Counts, func(a, b Count) int { return strings.Compare(a.Key, b.Key) })
@@ -141,7 +141,7 @@
 func (c *Counter) Acknowledge(r Report) {
 	for _, told := range r.Counts {
 		if k, ok := c.counts[told.Key]; ok {
-			k.handedOn, k.acknowledged = k.acknowledged, told.Total
+			k.passedOn, k.acknowledged = k.acknowledged, told.Total
 		}
 	}
 }
--- a/coord/tally/silent.go
+++ b/coord/tally/silent.go
@@ -6,22 +6,22 @@
 
 // currentSilentRate returns the rate per second at which silent balancers of the reporter's zone may
 // be counting, as last reported; 0 if that report is older than twice silentAfter.
-func (n *keyState) currentSilentRate(now time.Time) float64 {
-	if now.Sub(n.reportedAt) > 2*silentAfter {
+func (k *keyState) currentSilentRate(now time.Time) float64 {
+	if now.Sub(k.reportedAt) > 2*silentAfter {
 		return 0
 	}
-	return n.silentRate
+	return k.silentRate
 }
 
 // IsRelay reports whether an address is that of a registered relay.
 type IsRelay func(addr string) bool
 
-// SetFallbackRate sets the rate per second at which a balancer may count on while it is silent. The
-// balancer has been told its share of the quota, and keeps to it.
+// SetFallbackRate sets the rate per second at which a balancer may continue to count while it is
+// silent. The balancer has been told its share of the quota, and keeps to it.
 func (a *Aggregator) SetFallbackRate(key, from string, perSecond float64) {
 	if rep, ok := a.reporters[from]; ok {
-		if n, ok := rep.counts[key]; ok {
-			n.fallbackRate = perSecond
+		if k, ok := rep.counts[key]; ok {
+			k.fallbackRate = perSecond
 		}
 	}
 }
@@ -32,21 +32,23 @@
 const fallbackFrozenAfter = 300 * time.Millisecond
 
 // SetRelayFallbackRates sets the fallback rates of the relays of other zones that have reported
-// lately. perSecond is a rate of the whole fleet; each relay gets its zone's share of it.
+// within fallbackFrozenAfter. perSecond is a rate of the whole fleet; each relay gets its zone's
+// share of it.
 func (a *Aggregator) SetRelayFallbackRates(key string, perSecond float64, now time.Time) {
 	total := a.totalRate(key, now)
 	_, members := a.Members(now)
 	for _, rep := range a.reporters {
-		if n, ok := rep.counts[key]; ok && rep.relay && now.Sub(rep.lastReport) <= fallbackFrozenAfter {
-			n.fallbackRate = perSecond * Share(n.rate.perSecond+n.currentSilentRate(now), total, rep.members, members)
+		if k, ok := rep.counts[key]; ok && rep.relay && now.Sub(rep.lastReport) <= fallbackFrozenAfter {
+			k.fallbackRate = perSecond * Share(k.rate.perSecond+k.currentSilentRate(now), total, rep.members, members)
 		}
 	}
 }
 
-// Share returns the fraction of the total count that a group of balancers is entitled to while it is
-// partitioned from the others: the mean of its fraction of all balancers and its fraction of the
-// total rate. Instantaneous rates alone add up to more than the total at one moment and to less at
-// the next, and a balancer that has counted nothing yet may have to count later.
+// Share returns the fraction of a fleet-wide limit that a group of balancers is entitled to while it
+// is partitioned from the others: the mean of its fraction of all balancers (members of all) and its
+// fraction of the total rate (own of total). Instantaneous rates alone add up to more than the total
+// at one moment and to less at the next, and a balancer that has counted nothing yet may have to
+// count later.
 func Share(own, total float64, members, all int) float64 {
 	share := float64(members) / float64(max(1, all))
 	if total > 0 {
@@ -59,25 +61,25 @@
 // the own zone, and in all zones.
 func (a *Aggregator) SilentRates(key string, isRelay IsRelay, now time.Time) (own, all float64) {
 	for addr, rep := range a.reporters {
-		n, ok := rep.counts[key]
+		k, ok := rep.counts[key]
 		if !ok || rep.idle {
 			continue
 		}
 		age := now.Sub(rep.lastReport)
 		switch {
 		case rep.relay && age <= silentAfter:
-			all += n.currentSilentRate(now)
+			all += k.currentSilentRate(now)
 		case rep.relay && (isRelay(addr) && age <= extrapolateFor || age <= goneRelayExtrapolateFor):
-			all += n.fallbackRate
+			all += k.fallbackRate
 		case !rep.relay && age > silentAfter && age <= extrapolateFor:
-			own += n.fallbackRate
+			own += k.fallbackRate
 		}
 	}
 	return own, own + all
 }
 
-// UnreportedShare returns the fraction of the total under a key that silent balancers may count
-// which have never reported that key.
+// UnreportedShare returns the share (see Share) of those silent balancers that have never reported a
+// key, but may be counting under it.
 func (a *Aggregator) UnreportedShare(key string, isRelay IsRelay, now time.Time) (share float64) {
 	members := 0
 	for addr, rep := range a.reporters {
@@ -99,8 +101,8 @@
 	return Share(0, a.totalRate(key, now), members, all)
 }
 
-// AllHeard reports whether no known balancer or relay is silent. Idle ones do not count as silent.
-func (a *Aggregator) AllHeard(now time.Time) bool {
+// NoneSilent reports whether no known balancer or relay is silent. Idle ones do not count as silent.
+func (a *Aggregator) NoneSilent(now time.Time) bool {
 	for _, rep := range a.reporters {
 		if !rep.idle && now.Sub(rep.lastReport) > silentAfter {
 			return false
--- a/coord/tally/silent_test.go
+++ b/coord/tally/silent_test.go
@@ -26,7 +26,7 @@
 		reportsUntil time.Duration
 		silentRate   float64
 	}{
-		"rests":        {time.Minute, 0},
+		"idle":         {time.Minute, 0},
 		"falls silent": {time.Second, 5},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -60,21 +60,21 @@
 // TestUnreportedShare checks the share of silent balancers that have never reported a key and may
 // begin to count under it.
 func TestUnreportedShare(t *testing.T) {
-	apply := func(l *Aggregator, from string, relay bool, members int, rests bool, age time.Duration, key string) {
-		l.Apply(Report{From: from, Zone: from, Life: 1, Number: 1, Relay: relay, Members: members, Rests: rests, Counts: []Count{{Key: key, Total: 1}}}, start.Add(-age))
+	apply := func(a *Aggregator, from string, relay bool, members int, idle bool, age time.Duration, key string) {
+		a.Apply(Report{From: from, Zone: from, Life: 1, Number: 1, Relay: relay, Members: members, Rests: idle, Counts: []Count{{Key: key, Total: 1}}}, start.Add(-age))
 	}
-	l := NewAggregator("10.0.0.1:1", "medina", 1)
-	apply(l, "10.0.0.2:1", false, 0, false, 2*time.Second, "other")
-	apply(l, "10.0.0.3:1", false, 0, false, 0, "other")
-	apply(l, "10.0.0.4:1", false, 0, true, 2*time.Second, "other")
-	apply(l, "10.0.0.5:1", false, 0, false, 20*time.Second, "other")
-	apply(l, "10.0.0.6:1", true, 5, false, 6*time.Second, "other")
-	apply(l, "10.0.0.7:1", true, 2, false, 2*time.Second, "other")
+	a := NewAggregator("10.0.0.1:1", "medina", 1)
+	apply(a, "10.0.0.2:1", false, 0, false, 2*time.Second, "other")
+	apply(a, "10.0.0.3:1", false, 0, false, 0, "other")
+	apply(a, "10.0.0.4:1", false, 0, true, 2*time.Second, "other")
+	apply(a, "10.0.0.5:1", false, 0, false, 20*time.Second, "other")
+	apply(a, "10.0.0.6:1", true, 5, false, 6*time.Second, "other")
+	apply(a, "10.0.0.7:1", true, 2, false, 2*time.Second, "other")
 	all := 1.0 + 1 + 1 + 5 + 2 // the balancer that is silent for 20 s is no longer counted
 	isRegistered := func(addr string) bool { return addr == "10.0.0.6:1" }
 	check := func(key string, isRelay IsRelay, want float64) {
 		t.Helper()
-		got := l.UnreportedShare(key, isRelay, start)
+		got := a.UnreportedShare(key, isRelay, start)
 		assert.Assert(t, math.Abs(got-want) < 1e-9, "%v, want %v", got, want) // summed in map order
 	}
 	check("team", isRegistered, (1+5+2)/all)
@@ -85,10 +85,10 @@
 // TestFallbackRateOfSilentZoneIsFrozen checks that the fallback rate of a silent zone is the one of
 // its last report, whatever other zones count afterwards.
 func TestFallbackRateOfSilentZoneIsFrozen(t *testing.T) {
-	l := NewAggregator("10.0.0.1:1", "medina", 1)
+	a := NewAggregator("10.0.0.1:1", "medina", 1)
 	report := func(from string, number uint64, total int64, at time.Time) {
-		l.Apply(Report{From: from, Zone: from, Life: 1, Number: number, Relay: true, Members: 10, Counts: []Count{{Key: "team", Total: total}}}, at)
-		l.SetRelayFallbackRates("team", 100, at)
+		a.Apply(Report{From: from, Zone: from, Life: 1, Number: number, Relay: true, Members: 10, Counts: []Count{{Key: "team", Total: total}}}, at)
+		a.SetRelayFallbackRates("team", 100, at)
 	}
 	report("silent", 1, 10, start)
 	report("flooded", 1, 10, start)
@@ -96,6 +96,6 @@
 		report("flooded", i+2, 10+1000*int64(i), start.Add(time.Duration(i+4)*100*time.Millisecond))
 	}
 	isRegistered := func(string) bool { return true }
-	_, silentRate := l.SilentRates("team", isRegistered, start.Add(1100*time.Millisecond))
+	_, silentRate := a.SilentRates("team", isRegistered, start.Add(1100*time.Millisecond))
 	assert.Equal(t, silentRate, 50.0, "half of 100 per second, from before the other zone was flooded")
 }
--- a/coord/tally/tally.go
+++ b/coord/tally/tally.go
@@ -9,7 +9,7 @@
 // new incarnation, whose totals start at 0.
 //
 // A balancer whose reports stop may be gone, or may be partitioned from the relay and still
-// counting. For a while the relay assumes that it counts on at its fallback rate
+// counting. For a while the relay assumes that it continues to count at its fallback rate
 // (Aggregator.SilentRates).
 //
 // Nothing here is safe for concurrent use, and the current time is always an argument. Packages
--- a/coord/window/window.go
+++ b/coord/window/window.go
@@ -11,7 +11,7 @@
 import "time"
 
 // Most returns the highest number of events in any window of the given length. A window includes its
-// first event and excludes the moment a length later. The events must be sorted.
+// start and excludes its end. The events must be sorted.
 func Most(events []time.Time, length time.Duration) int {
 	most, first := 0, 0
 	for i, at := range events {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -3,8 +3,8 @@
 //
 // A Keeper wraps one quota.Limiter with a lock and the wall clock. Its loop reports to the relay
 // that the balancer follows or, on a relay, to the relays of other zones. The rules are in
-// coord/quota and coord/tally. A Carrier makes the calls; without one the balancer counts as the
-// whole fleet.
+// coord/quota and coord/tally. A Carrier makes the calls; without one the balancer is assumed to be
+// the only one of the fleet.
 //
 // # Usage
 //
@@ -58,9 +58,9 @@
 // concurrent use.
 type Keeper struct {
 	cfg     Config
-	refused metrics.Counter
-	awaited metrics.Counter
-	wake    chan struct{} // capacity 1; ends the wait of the loop in Run
+	refused metrics.Counter // requests refused by a quota
+	awaited metrics.Counter // requests that needed a fresh snapshot
+	wake    chan struct{}   // capacity 1; ends the wait of the loop in Run
 
 	mu         sync.Mutex
 	carrier    Carrier // nil before Run, and without other balancers
@@ -99,7 +99,8 @@
 }
 
 // refreshIfStale reports whether the next request of a team needs a fresh snapshot of its quota, and
-// if so makes a report due. The channel is closed when that report was answered or has failed.
+// if so makes a report due. The channel is closed when the next report is answered or fails, which
+// may be one that is in progress.
 func (k *Keeper) refreshIfStale(team string, l quota.Limit, now time.Time) (answered <-chan struct{}, stale bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -130,7 +131,7 @@
 	k.limiter.Repeat(team, now)
 }
 
-// Return returns the token of a request that was not sent.
+// Return gives back the token of a request that was not sent.
 func (k *Keeper) Return(team string, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -119,8 +119,8 @@
 	})
 }
 
-// TestSmallTeamRequestAwaitsSnapshot checks that a balancer without a snapshot of a team, of whose
-// quota each balancer's share is small, learns what others have taken before it admits a request.
+// TestSmallTeamRequestAwaitsSnapshot checks that, for a team whose quota is small, a balancer without
+// a snapshot learns what others have taken before it admits a request.
 func TestSmallTeamRequestAwaitsSnapshot(t *testing.T) {
 	n := start(t)
 	taken := 0
@@ -159,7 +159,8 @@
 	n.keepers["b1"].Await(ended, "team", limit)
 }
 
-// TestSingleBalancerKeepsQuota checks that a balancer without others gives out the whole quota.
+// TestSingleBalancerKeepsQuota checks that a balancer without others gives out the whole bucket, which
+// is initially filled to 80% of the burst.
 func TestSingleBalancerKeepsQuota(t *testing.T) {
 	k := newKeeper("")
 	k.Run(context.Background(), nil)
--- a/fleet/run.go
+++ b/fleet/run.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// updateRole makes the limiter a relay or a follower, as this balancer is now.
+// updateRole sets the role of the limiter, relay or follower, to the current one of this balancer.
 func (k *Keeper) updateRole(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
