--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -12,11 +12,11 @@
 	"go.opentelemetry.io/otel/attribute"
 )
 
-// This file makes one attempt: it chooses an endpoint and sends the request there.
+// This file contains one attempt: choosing an endpoint and sending the request there.
 
-// makeAttempt makes one attempt; number is 1 for the first. An endpoint that stops accepting
-// requests between being chosen and having a connection gets nothing. Another one is then chosen
-// within the same attempt, up to retry.MaxRefusals in all.
+// makeAttempt makes one attempt; number is 1 for the first. If the chosen endpoint stops accepting
+// requests before there is a connection to it, nothing is sent and another endpoint is chosen
+// within the same attempt. At most retry.MaxAttemptsNotRun endpoints are chosen for one attempt.
 func (b *Balancer) makeAttempt(ctx context.Context, x *exchange, number int) (attempt, error) {
 	for choices := 1; ; choices++ {
 		grant, err := b.acquireEndpoint(ctx, x, number)
@@ -28,7 +28,7 @@
 		}
 		a := b.send(ctx, x, number, grant)
 		a.suspended = x.applySuspension(b.cfg.Suspensions.Check())
-		if a.result.Withdrawn && x.body.Replayable() && choices < retry.MaxRefusals {
+		if a.result.Withdrawn && x.body.Replayable() && choices < retry.MaxAttemptsNotRun {
 			b.cfg.Chooser.Complete(grant, placement.Result{Outcome: placement.Unused})
 			x.tried = append(x.tried, grant.Endpoint.VM)
 			b.endTrial(x)
@@ -118,8 +118,9 @@
 }
 
 // sendUpstream sends a request over a suitable connection. A non-repeatable request whose endpoint
-// has just answered a load probe reuses the connection of the probe if it is still idle; otherwise
-// it goes out on a new connection.
+// has just answered a load probe reuses the connection of the probe if that has been idle for at
+// most Policy.ProvedAlive. Otherwise the client of the route sends the request, on a new connection
+// if it is non-repeatable and the policy has FreshConnections.
 func (b *Balancer) sendUpstream(ctx context.Context, route tenant.Route, grant placement.Grant, r upstream.Request) upstream.Result {
 	if b.mayUseProbeConnection(route, grant.Choice) {
 		reused := r
--- a/balancer/authenticate.go
+++ b/balancer/authenticate.go
@@ -81,14 +81,13 @@
 		return nil
 	case x.route.Kind.Public:
 		x.team = team.Name // empty if no team holds the key any more
-		x.setTeamHeader(b.cfg.Policy.Dialect.Team)
+		x.replaceKeyWithTeam(b.cfg.Policy.Dialect.Team)
 		return nil
 	}
 	return b.keyRefusal(x.key, access.Withdrawn, now)
 }
 
-// allowedRegions returns the regions in which the request may be served, those allowed by both its
-// route and its team.
+// allowedRegions returns the regions that both the route and the team of the request allow.
 func (x *exchange) allowedRegions(table *access.Table) placement.Regions {
 	regions := x.route.Kind.Regions
 	if table == nil || x.team == "" {
@@ -108,10 +107,11 @@
 	return team.Priority
 }
 
-// setTeamHeader removes the caller's key and, in the header with the given name, replaces what the
-// caller sent by the name of the team. An empty name means no team header. Without teams in the
+// replaceKeyWithTeam removes the caller's key from the headers and sets the given header to the
+// name of the team. A value that the caller sent in that header is removed, also if there is no
+// team. An empty header name means that endpoints do not get the team. Without teams in the
 // configuration, nothing changes.
-func (x *exchange) setTeamHeader(header string) {
+func (x *exchange) replaceKeyWithTeam(header string) {
 	if !x.teamsConfigured {
 		return
 	}
--- a/balancer/authenticate_test.go
+++ b/balancer/authenticate_test.go
@@ -30,7 +30,7 @@
 
 func (f *fakeTeams) InTouch(time.Time) bool { return !f.disconnected }
 
-// setTeams activates another version.
+// setTeams replaces the teams.
 func (f *fakeTeams) setTeams(t assert.TestingT, teams ...access.Team) {
 	table, err := access.NewTable(teams)
 	assert.NilError(t, err)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -2,7 +2,7 @@
 // team and kind, gets an endpoint for it, sends it there and forwards the response.
 //
 // A request goes through a chain of go-kit endpoints, each with a trace span:
-// route (find the team and kind), authenticate (check the caller's key), deadline
+// findRoute (find the team and kind), authenticate (check the caller's key), setDeadline
 // (set the time limit), enforceQuota (apply the team's quota), then serve (choose an
 // endpoint, send, evaluate the result, and retry or respond). Start reading in serve.go.
 //
@@ -47,7 +47,7 @@
 type Chooser interface {
 	// NextID returns a request ID that is unique among all balancers.
 	NextID() string
-	// Route finds the team and kind of a request. Without a route the code is the reason.
+	// Route finds the team and kind of a request. If there is no route, the code says why.
 	Route(host, method, path string) (tenant.Route, reason.Code)
 	// Service returns a service and the number of balancers that share its connections.
 	Service(tenantName, service string) (tenant.Service, int)
@@ -93,11 +93,11 @@
 	// enough to admit the team's next request.
 	Await(ctx context.Context, team string, l quota.Limit)
 	// Take charges a request to a team's quota. If the quota is used up, ok is false and
-	// retryAfter is when there may be room.
+	// retryAfter is the time until it may admit a request again.
 	Take(team string, l quota.Limit, now time.Time) (ok bool, retryAfter time.Duration)
 	// Repeat charges a retry that follows an attempt which may have run.
 	Repeat(team string, now time.Time)
-	// Return refunds a request that was not sent.
+	// Return refunds a request that no endpoint ran or may have run.
 	Return(team string, now time.Time)
 }
 
@@ -147,7 +147,7 @@
 		retries: retryBudgets{window: cfg.Policy.Retries, byService: map[string]retryBudget{}},
 		timers:  timers{registry: cfg.Metrics, byName: map[string]metrics.Timer{}},
 	}
-	b.chain = endpoint.Chain(b.withSpan("accept"), b.route, b.withSpan("route"), b.authenticate, b.deadline, b.enforceQuota, b.withSpan("serve"))(b.serve)
+	b.chain = endpoint.Chain(b.withSpan("accept"), b.findRoute, b.withSpan("route"), b.authenticate, b.setDeadline, b.enforceQuota, b.withSpan("serve"))(b.serve)
 	return b
 }
 
@@ -192,8 +192,8 @@
 	}
 }
 
-// SetRetryLimit changes the limit on retries. Counts so far are kept if the length of the window
-// is the same.
+// SetRetryLimit changes the limit of sliding windows. Counts so far are kept if the length of the
+// window is the same. Existing token buckets are unchanged.
 func (b *Balancer) SetRetryLimit(limit retry.WindowLimit) { b.retries.setLimit(limit) }
 
 // CloseIdle closes idle connections to endpoints.
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -43,7 +43,7 @@
 	maxGrants int
 
 	// onAcquire, if set, is called by each Acquire with the number of grants before it.
-	onAcquire func(acquired int)
+	onAcquire func(granted int)
 	// acquireStarted and callerLeft, if set, make Acquire wait until the caller disconnects.
 	acquireStarted, callerLeft chan struct{}
 
@@ -67,7 +67,7 @@
 
 func (f *fakeChooser) Ready() (bool, string) { return true, "" }
 
-func (f *fakeChooser) Acquire(ctx context.Context, a placement.Request) (placement.Grant, *placement.Refusal) {
+func (f *fakeChooser) Acquire(ctx context.Context, r placement.Request) (placement.Grant, *placement.Refusal) {
 	if f.refusal != nil {
 		return placement.Grant{}, f.refusal
 	}
@@ -85,7 +85,7 @@
 		f.mu.Unlock()
 		f.onAcquire(before)
 	}
-	if !time.Now().Before(a.Deadline) {
+	if !time.Now().Before(r.Deadline) {
 		return placement.Grant{}, &placement.Refusal{Reason: reason.Expired}
 	}
 	f.mu.Lock()
@@ -96,11 +96,11 @@
 		return placement.Grant{}, &placement.Refusal{Reason: reason.TooLate}
 	}
 	for _, e := range f.endpoints {
-		if !strings.Contains(strings.Join(a.Avoid, " "), e.VM) {
-			return placement.Grant{ID: a.ID, Service: a.Service, Endpoint: e}, nil
+		if !strings.Contains(strings.Join(r.Avoid, " "), e.VM) {
+			return placement.Grant{ID: r.ID, Service: r.Service, Endpoint: e}, nil
 		}
 	}
-	return placement.Grant{ID: a.ID, Service: a.Service, Endpoint: f.endpoints[0]}, nil
+	return placement.Grant{ID: r.ID, Service: r.Service, Endpoint: f.endpoints[0]}, nil
 }
 
 func (f *fakeChooser) Admits(g placement.Grant, _ time.Time) bool {
@@ -121,10 +121,10 @@
 	report upstream.Report
 }
 
-func (f *fakeChooser) Complete(_ placement.Grant, e placement.Result) {
+func (f *fakeChooser) Complete(_ placement.Grant, r placement.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.results = append(f.results, e)
+	f.results = append(f.results, r)
 }
 
 // awaitResult waits for the result of attempt i, which is reported after the caller has the
@@ -291,8 +291,8 @@
 	assert.Equal(t, b.ran("filing"), 1)
 }
 
-// TestNonRepeatableIsNotRetriedAfterUnknownOutcome: the request may have run, so the verdict says
-// so and it is not sent again.
+// TestNonRepeatableIsNotRetriedAfterUnknownOutcome: the request may have run, so the caller gets
+// that verdict and the request is not sent again.
 func TestNonRepeatableIsNotRetriedAfterUnknownOutcome(t *testing.T) {
 	b := newHarness(t, 2)
 	b.endpoints[0].Set(rawendpoint.CloseAfterRead)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -13,7 +13,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// This file writes all log lines and metrics of requests. telemetry.Events documents
+// This file contains all log lines and metrics of requests. telemetry.Events documents
 // the fields.
 
 // logAdmitted logs a request that has a route, a team if it needs one, and a deadline.
@@ -24,8 +24,8 @@
 }
 
 // logChosen logs the choice of an endpoint before the request is sent, so that the log shows where
-// it went even if this process dies. For a non-repeatable request the line is written even above
-// the rate limit of the log.
+// the request went even if this process dies. For a non-repeatable request the line is written even
+// above the rate limit of the log.
 func (x *exchange) logChosen(number int, g placement.Grant, now time.Time) {
 	age := int64(-1)
 	if g.Choice.Age >= 0 {
@@ -50,7 +50,7 @@
 		Millis("best_ms", r.Search.Best).Int("probes", int64(r.Search.Probes)).Millis("waited_ms", now.Sub(x.searchStart)).Done()
 }
 
-// logAttempt logs the result of an attempt and starts the clock for the next search.
+// logAttempt logs the result of an attempt and sets the start time of the next search.
 func (x *exchange) logAttempt(a *attempt, now time.Time) {
 	status := 0
 	if a.result.Response != nil {
--- a/balancer/exchange.go
+++ b/balancer/exchange.go
@@ -44,7 +44,7 @@
 	pass               quarantine.Pass
 	quarantineNotified bool               // a result was reported to the quarantine since it last admitted the request
 	quarantineReq      quarantine.Request // built on first use by quarantineRequest
-	suspendedFor       time.Duration      // total suspension of the VM that the times here already include
+	suspendedFor       time.Duration      // total suspension of the VM as of the last applySuspension
 	turnWait           time.Duration      // time spent waiting for earlier requests on its connection
 
 	// The response to the caller.
@@ -87,7 +87,8 @@
 	suspended bool // the VM was suspended during it, so its duration and the age of the response are unknown
 }
 
-// recordFailure records a failed attempt.
+// recordFailure records whether a failed attempt may have run, and its VM, which later attempts
+// avoid.
 func (x *exchange) recordFailure(a *attempt) {
 	x.mayHaveRun = x.mayHaveRun || a.result.Verdict != verdict.NotRun
 	x.tried = append(x.tried, a.grant.Endpoint.VM)
--- a/balancer/forward.go
+++ b/balancer/forward.go
@@ -13,10 +13,10 @@
 	"github.com/lotuswing/lotuswing/upstream"
 )
 
-// Errors of forwarding a response.
+// Errors that forward returns; awaitTurn returns only errCallerLeft.
 var (
 	errTruncated  = errors.New("balancer: response truncated by the endpoint")
-	errCallerGone = errors.New("balancer: caller left during the answer")
+	errCallerLeft = errors.New("balancer: caller left during the answer")
 )
 
 // copyBufferBytes is the size of a copy buffer, the same as in io.Copy.
@@ -25,18 +25,19 @@
 var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBufferBytes); return &b }}
 
 // awaitTurn waits until all earlier requests on the connection have their responses. It returns
-// errCallerGone if the connection ends first.
+// errCallerLeft if the connection ends first.
 func (x *exchange) awaitTurn() error {
 	began := time.Now()
 	if err := x.place.Wait(); err != nil {
-		return fmt.Errorf("%w: %w", errCallerGone, err)
+		return fmt.Errorf("%w: %w", errCallerLeft, err)
 	}
 	x.turnWait += time.Since(began)
 	return nil
 }
 
-// beginResponse waits for the turn of the request. In a planned stop, the last response on an
-// HTTP/1.1 connection closes it, so that the caller reconnects to another balancer.
+// beginResponse waits until all earlier requests on the connection have their responses. In a
+// planned stop, the last response on an HTTP/1.1 connection closes it, so that the caller
+// reconnects to another balancer.
 func (b *Balancer) beginResponse(x *exchange) error {
 	if err := x.awaitTurn(); err != nil {
 		return err
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// forward streams a response to the caller and closes it. The errors are errCallerGone and
+// forward streams a response to the caller and closes it. The errors are errCallerLeft and
 // errTruncated.
 func (b *Balancer) forward(x *exchange, res *upstream.Result) error {
 	defer res.Close()
@@ -75,7 +76,8 @@
 	return nil
 }
 
-// announceTrailers lists the known trailers in the Trailer header and returns their number.
+// announceTrailers lists the trailers that the endpoint announced in the Trailer header of h and
+// returns their number.
 func announceTrailers(h, trailer http.Header) int {
 	if len(trailer) == 0 {
 		return 0
@@ -110,7 +112,7 @@
 		n, err := body.Read(*buf)
 		if n > 0 {
 			if _, werr := w.Write((*buf)[:n]); werr != nil {
-				return fmt.Errorf("%w: %w", errCallerGone, werr)
+				return fmt.Errorf("%w: %w", errCallerLeft, werr)
 			}
 			if streaming {
 				_ = control.Flush() // a writer without Flush decides itself when to send
--- a/balancer/pipelined_test.go
+++ b/balancer/pipelined_test.go
@@ -48,13 +48,13 @@
 // pipelinedHarness is a balancer that serves pipelined requests concurrently, in front of an
 // endpoint that blocks on some paths until the test releases them.
 type pipelinedHarness struct {
-	balancer *balancer.Balancer
-	server   *pipeline.Server
-	log      lockedBuffer
-	reached  chan string
-	release  map[string]chan struct{}
-	conn     net.Conn
-	in       *bufio.Reader
+	balancer  *balancer.Balancer
+	server    *pipeline.Server
+	log       lockedBuffer
+	reached   chan string
+	release   map[string]chan struct{}
+	conn      net.Conn
+	responses *bufio.Reader
 }
 
 // newPipelinedHarness starts the harness. The endpoint blocks on the held paths.
@@ -83,7 +83,7 @@
 	b.conn, err = net.Dial("tcp", l.Addr().String())
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = b.conn.Close() })
-	b.in = bufio.NewReader(b.conn)
+	b.responses = bufio.NewReader(b.conn)
 	return b
 }
 
@@ -115,7 +115,7 @@
 // readResponse reads the next response and reports whether it closes the connection.
 func (b *pipelinedHarness) readResponse(t *testing.T) (body string, closes bool) {
 	t.Helper()
-	r, err := http.ReadResponse(b.in, nil)
+	r, err := http.ReadResponse(b.responses, nil)
 	assert.NilError(t, err)
 	raw, err := io.ReadAll(r.Body)
 	assert.NilError(t, err)
@@ -143,24 +143,24 @@
 // earlier requests have their responses. The test sends several, so that one that does not wait
 // would be among the first to reach the endpoint.
 func TestPipelinedNonRepeatableWaitsForTurn(t *testing.T) {
-	filings := []string{"/unsafe/1", "/unsafe/2", "/unsafe/3", "/unsafe/4", "/unsafe/5", "/unsafe/6", "/unsafe/7", "/unsafe/8"}
+	nonRepeatable := []string{"/unsafe/1", "/unsafe/2", "/unsafe/3", "/unsafe/4", "/unsafe/5", "/unsafe/6", "/unsafe/7", "/unsafe/8"}
 	b := newPipelinedHarness(t, "/safe/1", "/safe/2")
-	b.sendGets(t, slices.Concat([]string{"/safe/1"}, filings, []string{"/safe/2"})...)
+	b.sendGets(t, slices.Concat([]string{"/safe/1"}, nonRepeatable, []string{"/safe/2"})...)
 	first := map[string]bool{<-b.reached: true, <-b.reached: true}
 	assert.DeepEqual(t, first, map[string]bool{"/safe/1": true, "/safe/2": true})
 	close(b.release["/safe/1"])
-	for _, want := range filings {
+	for _, want := range nonRepeatable {
 		assert.Equal(t, <-b.reached, want)
 	}
 	close(b.release["/safe/2"])
-	for _, want := range slices.Concat([]string{"/safe/1"}, filings, []string{"/safe/2"}) {
+	for _, want := range slices.Concat([]string{"/safe/1"}, nonRepeatable, []string{"/safe/2"}) {
 		body, _ := b.readResponse(t)
 		assert.Equal(t, body, want)
 	}
 }
 
-// TestPlannedStopFinishesPipelinedRequests: in a planned stop the last response closes the
-// connection, not one that has requests behind it at endpoints.
+// TestPlannedStopFinishesPipelinedRequests: in a planned stop, the connection is closed by the last
+// response, not by an earlier one while later requests are still at endpoints.
 func TestPlannedStopFinishesPipelinedRequests(t *testing.T) {
 	b := newPipelinedHarness(t, "/safe/1", "/safe/2")
 	b.sendGets(t, "/safe/1", "/safe/2")
--- a/balancer/policy.go
+++ b/balancer/policy.go
@@ -8,8 +8,8 @@
 )
 
 // Policy controls how a Balancer treats callers and endpoints beyond what the routes configure.
-// Two are in use: the zero value, which is the product's default, and the one for the operators'
-// platform (platform.Policy).
+// Two policies are in use: the zero value, which is the product's default, and the one for the
+// operators' platform (platform.Policy).
 type Policy struct {
 	Dialect upstream.Dialect // the zero value stands for upstream.Native
 
@@ -18,8 +18,9 @@
 	// FreshConnections sends each non-repeatable request on a new connection. If a reused
 	// connection closes, it may be unknown whether the request ran.
 	FreshConnections bool
-	// ProvedAlive is how long after the endpoint's last response on a connection FreshConnections
-	// still permits reusing it; 0 for never.
+	// ProvedAlive is an exception to FreshConnections: a non-repeatable request may reuse a
+	// connection of Client if the endpoint's load report is more recent than this and the connection
+	// has been idle for at most this long; 0 for never.
 	ProvedAlive time.Duration
 	// HideCaller keeps the caller's address out of the headers that endpoints get.
 	HideCaller bool
--- a/balancer/quarantine.go
+++ b/balancer/quarantine.go
@@ -15,7 +15,7 @@
 const (
 	// A request waits for 1/trialPatienceDivisor of its latency target while another balancer runs
 	// the same request on trial, or for defaultTrialPatience if it has no target. A trial takes as
-	// long as the request itself, so this allows for about one more run.
+	// long as the request itself, so this is about the time of one more run.
 	trialPatienceDivisor = 2
 	defaultTrialPatience = 200 * time.Millisecond
 	// crashCheckWait limits how long the next attempt of a suspected request waits to learn
--- a/balancer/quarantine_test.go
+++ b/balancer/quarantine_test.go
@@ -68,8 +68,8 @@
 	return newHarnessWith(t, 2, func(c *balancer.Config) { c.Quarantine = q }), q
 }
 
-// TestQuarantinedRequest: it is refused at once with the verdict not-run, the reason and a
-// Retry-After. If it may have run before, the verdict is may-have-run.
+// TestQuarantinedRequest: a quarantined request is refused at once with the verdict not-run, the
+// reason and a Retry-After. If an attempt may have run before, the verdict is may-have-run.
 func TestQuarantinedRequest(t *testing.T) {
 	b, q := newQuarantineHarness(t)
 	got := b.call(t, "GET", "/once", "k", "", http.Header{})
@@ -108,8 +108,9 @@
 	}
 }
 
-// TestQuarantineFingerprints: a request is identified by its method, path, query and body, not by
-// its sender or other headers.
+// TestQuarantineFingerprints: the exact fingerprint depends on the method, path, query and body of
+// a request, the wide one on the same except the query. Neither depends on headers such as
+// Traceparent and X-Forwarded-For.
 func TestQuarantineFingerprints(t *testing.T) {
 	prints := func(method, path, body string, header http.Header) crash.Prints {
 		b, q := newQuarantineHarness(t, quarantine.Pass{})
--- a/balancer/refuse.go
+++ b/balancer/refuse.go
@@ -24,21 +24,22 @@
 // Error returns the reason code and the message.
 func (r refusal) Error() string { return fmt.Sprintf("%s: %s", r.reason, r.message) }
 
-// isBeforeSending reports whether a code is used only before anything was sent. These are the
+// isCodeBeforeSending reports whether a code is used only before anything was sent. These are the
 // codes below LW3000.
-func isBeforeSending(code reason.Code) bool { return code < "LW3" }
+func isCodeBeforeSending(code reason.Code) bool { return code < "LW3" }
 
 // withFinalVerdict returns the refusal with the verdict and code that hold for all attempts
 // together. If nothing was sent, the request did not run. If an attempt may have run, the status
-// must not imply otherwise, and callers read 503 as not run.
+// must not be one that carries Retry-After, because callers take 503 to mean that the request did
+// not run.
 func (r refusal) withFinalVerdict(mayHaveRun bool) refusal {
 	switch {
 	case mayHaveRun:
 		r.verdict = verdict.MayHaveRun
-		if isBeforeSending(r.reason) || hasRetryAfter(reason.MustLookup(r.reason).Status) {
+		if isCodeBeforeSending(r.reason) || hasRetryAfter(reason.MustLookup(r.reason).Status) {
 			r.reason = reason.AnswerUnknown
 		}
-	case isBeforeSending(r.reason):
+	case isCodeBeforeSending(r.reason):
 		r.verdict = verdict.NotRun
 	}
 	return r
@@ -67,28 +68,28 @@
 	if err := b.beginResponse(x); err != nil {
 		b.cfg.Log.Debug("caller disconnected before the response", "id", x.id, "error", err)
 	}
-	doc := reason.MustLookup(r.reason)
-	x.verdict, x.reason, x.status, x.message = r.verdict, r.reason, doc.Status, r.message
+	entry := reason.MustLookup(r.reason)
+	x.verdict, x.reason, x.status, x.message = r.verdict, r.reason, entry.Status, r.message
 	h := x.w.Header()
 	h.Set(verdict.Header, r.verdict.String())
 	h.Set(verdict.ReasonHeader, string(r.reason))
 	h.Set("Content-Type", "application/json")
-	if doc.Status == http.StatusUnauthorized {
+	if entry.Status == http.StatusUnauthorized {
 		h.Set("WWW-Authenticate", access.Challenge)
 	}
-	if hasRetryAfter(doc.Status) {
+	if hasRetryAfter(entry.Status) {
 		r.retryAfter = max(r.retryAfter, time.Millisecond)
 		h.Set("Retry-After", b.cfg.Policy.Dialect.FormatRetryAfter(r.retryAfter))
 	}
 	body, err := json.Marshal(refusalBody{
 		Verdict:      r.verdict.String(),
 		Reason:       string(r.reason),
-		Message:      doc.Title + ": " + r.message,
+		Message:      entry.Title + ": " + r.message,
 		RetryAfterMS: r.retryAfter.Milliseconds(),
 	})
 	if err != nil {
 		panic(fmt.Sprintf("balancer: encode refusal: %v", err))
 	}
-	x.w.WriteHeader(doc.Status)
+	x.w.WriteHeader(entry.Status)
 	_, _ = x.w.Write(append(body, '\n')) // the caller may have disconnected; nobody else needs the error
 }
--- a/balancer/route.go
+++ b/balancer/route.go
@@ -20,8 +20,8 @@
 	notReadyRetryAfter = time.Second
 )
 
-// route finds the team and kind of the request.
-func (b *Balancer) route(next endpoint.Endpoint) endpoint.Endpoint {
+// findRoute finds the team and kind of the request.
+func (b *Balancer) findRoute(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		x := request.(*exchange)
 		if ok, why := b.cfg.Chooser.Ready(); !ok {
@@ -72,11 +72,11 @@
 	return false
 }
 
-// deadline sets the time by which the response must have begun.
-func (b *Balancer) deadline(next endpoint.Endpoint) endpoint.Endpoint {
+// setDeadline sets the time by which the response must have begun.
+func (b *Balancer) setDeadline(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		x := request.(*exchange)
-		timeout, err := b.timeout(x)
+		timeout, err := b.effectiveTimeout(x)
 		if err != nil {
 			return nil, err
 		}
@@ -86,8 +86,8 @@
 	}
 }
 
-// timeout returns the kind's timeout or the caller's, whichever is shorter.
-func (b *Balancer) timeout(x *exchange) (time.Duration, error) {
+// effectiveTimeout returns the kind's timeout or the caller's, whichever is shorter.
+func (b *Balancer) effectiveTimeout(x *exchange) (time.Duration, error) {
 	dialect := &b.cfg.Policy.Dialect
 	text := x.r.Header.Get(dialect.Timeout)
 	if text == "" {
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -49,7 +49,7 @@
 // forwarding failed, nil if it succeeded.
 func forwardedOutcome(status int, callerLeft bool, err error) placement.Outcome {
 	switch {
-	case callerLeft || errors.Is(err, errCallerGone):
+	case callerLeft || errors.Is(err, errCallerLeft):
 		return placement.Unused
 	case errors.Is(err, errTruncated):
 		return placement.Failed
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -41,11 +41,12 @@
 	assert.Equal(t, forwardedOutcome(500, false, nil), placement.Failed)
 	assert.Equal(t, forwardedOutcome(200, false, errTruncated), placement.Failed)
 	assert.Equal(t, forwardedOutcome(500, true, nil), placement.Unused)
-	assert.Equal(t, forwardedOutcome(200, false, errors.Join(errCallerGone)), placement.Unused)
+	assert.Equal(t, forwardedOutcome(200, false, errors.Join(errCallerLeft)), placement.Unused)
 }
 
 // TestCombineVerdicts: once an attempt may have run, the verdict stays may-have-run unless a later
-// one ran.
+// one ran. The same holds for the balancer's own refusals, whose code then must not stand for a
+// request that did not run.
 func TestCombineVerdicts(t *testing.T) {
 	assert.Equal(t, combineVerdicts(verdict.NotRun, false), verdict.NotRun)
 	assert.Equal(t, combineVerdicts(verdict.NotRun, true), verdict.MayHaveRun)
@@ -82,7 +83,7 @@
 	client := upstream.NewClient(upstream.Options{})
 	t.Cleanup(client.Close)
 	policy := Policy{FreshConnections: true, ProvedAlive: 50 * time.Millisecond, Client: client}
-	nonRepeatable, repeatableRoute := tenant.Route{Kind: &tenant.Kind{}}, tenant.Route{Kind: &tenant.Kind{Repeatable: true}}
+	nonRepeatableRoute, repeatableRoute := tenant.Route{Kind: &tenant.Kind{}}, tenant.Route{Kind: &tenant.Kind{Repeatable: true}}
 	for _, c := range []struct {
 		name   string
 		policy Policy
@@ -90,11 +91,11 @@
 		age    time.Duration
 		want   bool
 	}{
-		{"recent report", policy, nonRepeatable, 2 * time.Millisecond, true},
-		{"old report", policy, nonRepeatable, 50 * time.Millisecond, false},
-		{"no report yet", policy, nonRepeatable, -1, false},
+		{"recent report", policy, nonRepeatableRoute, 2 * time.Millisecond, true},
+		{"old report", policy, nonRepeatableRoute, 50 * time.Millisecond, false},
+		{"no report yet", policy, nonRepeatableRoute, -1, false},
 		{"repeatable request", policy, repeatableRoute, 0, false},
-		{"reuse disabled", Policy{FreshConnections: true, Client: client}, nonRepeatable, 0, false},
+		{"reuse disabled", Policy{FreshConnections: true, Client: client}, nonRepeatableRoute, 0, false},
 	} {
 		b := &Balancer{cfg: Config{Policy: c.policy}}
 		assert.Equal(t, b.mayUseProbeConnection(c.route, placement.Choice{Age: c.age}), c.want, c.name)
--- a/balancer/serve.go
+++ b/balancer/serve.go
@@ -16,8 +16,8 @@
 func (b *Balancer) serve(ctx context.Context, request any) (any, error) {
 	x := request.(*exchange)
 	if !x.route.Kind.Repeatable {
-		// An earlier response may close the connection; a non-repeatable request must not have
-		// started by then.
+		// An earlier response may close the connection. The requests behind it then count as not
+		// read, so a non-repeatable one must not have been sent to an endpoint.
 		if err := x.awaitTurn(); err != nil {
 			return nil, refusal{reason: reason.CallerLeft, message: err.Error()}
 		}
@@ -25,7 +25,7 @@
 	if err := b.prepareRequest(ctx, x); err != nil {
 		return nil, err
 	}
-	x.setTeamHeader(b.cfg.Policy.Dialect.Team)
+	x.replaceKeyWithTeam(b.cfg.Policy.Dialect.Team)
 	b.retries.addRequest(x.route.ServiceKey(), time.Now())
 	defer b.endTrial(x)
 	for number := 1; ; number++ {
@@ -101,8 +101,9 @@
 	return nil
 }
 
-// giveUp sends the final response of a request without a successful attempt. An endpoint's own
-// refusal is forwarded if the policy allows it.
+// giveUp ends a request without a successful attempt: it forwards the response of the last
+// attempt, or returns a refusal if there is none, or if it is an endpoint's refusal and the policy
+// has OwnRefusals.
 func (b *Balancer) giveUp(ctx context.Context, x *exchange, a *attempt) error {
 	res := &a.result
 	res.Verdict = combineVerdicts(res.Verdict, x.mayHaveRun)
--- a/balancer/suspension_test.go
+++ b/balancer/suspension_test.go
@@ -13,26 +13,27 @@
 	"gotest.tools/v3/assert"
 )
 
-// fakeSuspension is the suspension time of a fake VM.
-type fakeSuspension struct{ slept atomic.Int64 }
+// fakeSuspensionClock holds the total suspension of a fake VM.
+type fakeSuspensionClock struct{ suspended atomic.Int64 }
 
-func (s *fakeSuspension) read() time.Duration { return time.Duration(s.slept.Load()) }
+func (s *fakeSuspensionClock) read() time.Duration { return time.Duration(s.suspended.Load()) }
 
 // newSuspendedHarness returns a harness whose VM is suspended for d during the first Acquire.
 func newSuspendedHarness(t *testing.T, d time.Duration) *harness {
 	t.Helper()
-	var s fakeSuspension
+	var s fakeSuspensionClock
 	b := newHarnessWith(t, 1, func(c *balancer.Config) { c.Suspensions = suspend.New(s.read) })
 	b.chooser.onAcquire = func(before int) {
 		if before == 0 {
-			s.slept.Store(int64(d))
+			s.suspended.Store(int64(d))
 		}
 	}
 	return b
 }
 
 // TestSuspensionReducesRemainingTime: the caller's time runs on while the VM is suspended. An
-// endpoint chosen before is not used, and the next one gets the remaining time.
+// endpoint that was chosen before the suspension is not used, and the next one gets the remaining
+// time.
 func TestSuspensionReducesRemainingTime(t *testing.T) {
 	b := newSuspendedHarness(t, 6*time.Second)
 	got := b.call(t, "GET", "/once", "k", "", http.Header{"Lotuswing-Timeout": {"10s"}})
@@ -56,10 +57,10 @@
 // TestSuspensionEndsTrial: after a suspension another balancer may be running the trial, so the
 // quarantine is asked again.
 func TestSuspensionEndsTrial(t *testing.T) {
-	var s fakeSuspension
+	var s fakeSuspensionClock
 	q := &fakeQuarantine{passes: []quarantine.Pass{{Trial: true}}}
 	b := newHarnessWith(t, 1, func(c *balancer.Config) { c.Quarantine, c.Suspensions = q, suspend.New(s.read) })
-	b.chooser.onAcquire = func(int) { s.slept.Add(int64(5 * time.Second)) }
+	b.chooser.onAcquire = func(int) { s.suspended.Add(int64(5 * time.Second)) }
 	got := b.call(t, "GET", "/once", "k", "", http.Header{"Lotuswing-Timeout": {"60s"}})
 	assert.Equal(t, got.reason, "LW2010")
 	assert.Equal(t, b.ran("k"), 0)
--- a/coord/retry/after.go
+++ b/coord/retry/after.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Two rules set the Retry-After of a failed request. Both depend on the target, which is
-// the latency objective of its kind: a caller that retries much later no longer
+// Two rules set the Retry-After of a failed request. Both depend on the target, the
+// latency objective of the request's kind: a caller that retries much later no longer
 // benefits from the response, and one that retries at once finds the same endpoints
 // in the same state.
 
@@ -17,9 +17,9 @@
 	defaultRetryAfter = time.Second
 )
 
-// AfterNoEndpoint returns the Retry-After of a request for which no endpoint was found. It varies
-// by half in both directions, because callers that are refused together would otherwise retry
-// together. jitter is a random number in [0,1).
+// AfterNoEndpoint returns the Retry-After of a request for which no endpoint was found. It is
+// varied at random by up to 50% in both directions, because callers that are refused together would
+// otherwise retry together. jitter is a random number in [0,1).
 func AfterNoEndpoint(target time.Duration, jitter float64) time.Duration {
 	if target <= 0 {
 		return defaultRetryAfter
--- a/coord/retry/retry.go
+++ b/coord/retry/retry.go
@@ -1,5 +1,5 @@
 // Package retry decides whether a failed attempt is followed by one at another
-// endpoint, and after which time a caller should retry a failed request.
+// endpoint, and how long a caller should wait before it retries a failed request.
 //
 // Three limits apply to retries: the verdict of the attempts, so that a non-repeatable
 // request runs at most once; a maximum number of attempts; and a budget for each
@@ -26,32 +26,32 @@
 )
 
 const (
-	// MaxAttempts is the maximum number of attempts if one of them may have run and the route sets
-	// no limit.
-	MaxAttempts = 4
-	// MaxRefusals is the maximum number of attempts while all of them are proved not to have run.
-	// It is higher because such an attempt costs only a round trip.
-	MaxRefusals = 12
+	// MaxAttemptsMayHaveRun is the maximum number of attempts of a request if one of them may have
+	// run and the route sets no limit.
+	MaxAttemptsMayHaveRun = 4
+	// MaxAttemptsNotRun is the maximum number of attempts while all of them are proved not to have
+	// run. It is higher because such an attempt costs only a round trip.
+	MaxAttemptsNotRun = 12
 )
 
 // Request has the properties of a request that Decide needs.
 type Request struct {
 	Repeatable  bool
-	MaxAttempts int  // of the route; 0 for MaxAttempts and MaxRefusals
+	MaxAttempts int  // limit of the route; 0 for the default, which depends on MayHaveRun
 	MayHaveRun  bool // one of the attempts may have run, including the last
 	OnTrial     bool // suspected of crashing endpoints; not retried after a broken connection
 	Deadline    time.Time
 }
 
-// maxAttempts returns the maximum number of attempts of the request.
+// maxAttempts returns the limit of the route or, if it has none, the default.
 func (r Request) maxAttempts() int {
 	switch {
 	case r.MaxAttempts > 0:
 		return r.MaxAttempts
 	case r.MayHaveRun:
-		return MaxAttempts
+		return MaxAttemptsMayHaveRun
 	}
-	return MaxRefusals
+	return MaxAttemptsNotRun
 }
 
 // Attempt is the attempt that has just failed.
--- a/coord/retry/retry_test.go
+++ b/coord/retry/retry_test.go
@@ -13,15 +13,15 @@
 // fakeBudget allows every retry, or none.
 type fakeBudget bool
 
-func (c fakeBudget) Allows(time.Time) bool { return bool(c) }
+func (b fakeBudget) Allows(time.Time) bool { return bool(b) }
 
 // TestDecide checks the rules for another attempt.
 func TestDecide(t *testing.T) {
 	now := time.Unix(1000, 0)
 	soon, past := now.Add(time.Second), now.Add(-time.Second)
 	notRun := retry.Attempt{Number: 1, Verdict: verdict.NotRun, Replayable: true}
-	open := retry.Attempt{Number: 1, Verdict: verdict.MayHaveRun, Replayable: true}
-	at := func(a retry.Attempt, number int) retry.Attempt { a.Number = number; return a }
+	mayHaveRun := retry.Attempt{Number: 1, Verdict: verdict.MayHaveRun, Replayable: true}
+	withNumber := func(a retry.Attempt, number int) retry.Attempt { a.Number = number; return a }
 	for _, c := range []struct {
 		name    string
 		request retry.Request
@@ -30,14 +30,14 @@
 		want    reason.Code // empty for another attempt
 	}{
 		{"did not run", retry.Request{Deadline: soon}, notRun, true, ""},
-		{"non-repeatable, may have run", retry.Request{MayHaveRun: true, Deadline: soon}, open, true, reason.AnswerUnknown},
-		{"repeatable, may have run", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, open, true, ""},
-		{"a third attempt that may have run", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, at(open, 3), true, ""},
-		{"a fourth attempt that may have run", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, at(open, 4), true, reason.RetryExhausted},
-		{"an eleventh refusal", retry.Request{Deadline: soon}, at(notRun, 11), true, ""},
-		{"a twelfth refusal", retry.Request{Deadline: soon}, at(notRun, 12), true, reason.RetryExhausted},
-		{"a refusal after an attempt that may have run", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, at(notRun, 4), true, reason.RetryExhausted},
-		{"limit of the route", retry.Request{MaxAttempts: 2, Deadline: soon}, at(notRun, 2), true, reason.RetryExhausted},
+		{"non-repeatable, may have run", retry.Request{MayHaveRun: true, Deadline: soon}, mayHaveRun, true, reason.AnswerUnknown},
+		{"repeatable, may have run", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, mayHaveRun, true, ""},
+		{"a third attempt that may have run", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, withNumber(mayHaveRun, 3), true, ""},
+		{"a fourth attempt that may have run", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, withNumber(mayHaveRun, 4), true, reason.RetryExhausted},
+		{"an eleventh refusal", retry.Request{Deadline: soon}, withNumber(notRun, 11), true, ""},
+		{"a twelfth refusal", retry.Request{Deadline: soon}, withNumber(notRun, 12), true, reason.RetryExhausted},
+		{"a refusal after an attempt that may have run", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, withNumber(notRun, 4), true, reason.RetryExhausted},
+		{"limit of the route", retry.Request{MaxAttempts: 2, Deadline: soon}, withNumber(notRun, 2), true, reason.RetryExhausted},
 		{"connection broke on trial", retry.Request{Repeatable: true, OnTrial: true, Deadline: soon}, retry.Attempt{Number: 1, Verdict: verdict.MayHaveRun, Replayable: true, Broken: true}, true, reason.Quarantined},
 		{"refused on trial", retry.Request{Repeatable: true, OnTrial: true, Deadline: soon}, notRun, true, ""},
 		{"connection broke", retry.Request{Repeatable: true, Deadline: soon}, retry.Attempt{Number: 1, Verdict: verdict.MayHaveRun, Replayable: true, Broken: true}, true, ""},
--- a/coord/retry/window.go
+++ b/coord/retry/window.go
@@ -9,18 +9,20 @@
 	Allowance float64       // retries in addition to the ratio
 }
 
-// ShareOf returns the part of a fleet's retry limit that each process may use on its own, so that
-// the sum stays within the limit although no process knows how many there are. ratio is the number
-// of retries per request and burst the additional retries, both in any time span of that length.
+// ShareOf returns the limit for each process of a fleet, such that all processes together stay
+// within the fleet's limit, although none knows how many there are. The fleet's limit is, in any
+// time window of length span, ratio retries per request and burst additional retries.
 func ShareOf(span time.Duration, ratio, burst float64) WindowLimit {
 	return WindowLimit{Span: span, Ratio: ratio * processRatioShare, Allowance: min(processAllowance, burst)}
 }
 
 const (
-	// processRatioShare keeps a process below the fleet's ratio. The difference makes up for the
-	// allowances of processes beyond the number that the burst covers.
+	// processRatioShare is the fraction of the fleet's ratio that each process uses. The burst covers
+	// the allowances of at most burst processes; the unused part of the ratio makes up for the
+	// allowances of further processes.
 	processRatioShare = 0.85
-	// processAllowance lets a process with few requests retry at all.
+	// processAllowance is the number of retries in a window that a process may make however few
+	// requests it has.
 	processAllowance = 1
 )
 
--- a/coord/retry/window_test.go
+++ b/coord/retry/window_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestFleetStaysWithinRetryLimit: processes that each limit their retries to a share of their own
-// requests and one more stay within the fleet's limit in any span, without knowing how many they
-// are.
+// TestFleetStaysWithinRetryLimit: processes that each limit their retries to a fraction of their
+// own requests plus one retry stay within the fleet's limit in any time span, without knowing how
+// many they are.
 func TestFleetStaysWithinRetryLimit(t *testing.T) {
 	const (
 		ratio = 0.2
--- a/coord/verdict/verdict.go
+++ b/coord/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict defines the claim made to a caller whether its request ran at an
-// endpoint.
+// Package verdict defines what the balancer tells a caller about whether the request ran
+// at an endpoint.
 //
 // The zero value is MayHaveRun, the claim that is always true: a code path that does
 // not set a verdict cannot make a false claim.
