--- a/coord/limit/account.go
+++ b/coord/limit/account.go
@@ -3,84 +3,88 @@
 import "time"
 
 const (
-	// permitLife is how long a permit may be used: one that was given out and waits is room
-	// that the endpoint has kept free.
-	permitLife = 500 * time.Millisecond
-	// alonePart is the part of a limit that all balancers together take that get no answer
-	// from an endpoint's owner: it may let others have the whole.
-	alonePart = 0.5
-	// strangers is for how many balancers one holds itself that has not been told lately how
-	// many ask, and askersFor how long that word counts.
-	strangers = 100
-	askersFor = 30 * time.Second
-	// openFor is how long a balancer that gets no answer may use a moment that was drawn for
-	// it. Moments are not saved up: all balancers would have one at the same time.
-	openFor = time.Second
-	// askAgain is when it asks once more.
-	askAgain = 500 * time.Millisecond
+	// permitTTL is how long a permit may be used. The endpoint keeps capacity free for each permit
+	// that was granted and not yet used.
+	permitTTL = 500 * time.Millisecond
+	// fallbackShare is the fraction of a limit that all balancers without a reply from the owner
+	// use together. The owner may be granting the whole limit to others.
+	fallbackShare = 0.5
+	// defaultAskers is the number of asking balancers that is assumed when the owner has not
+	// reported it within askersTTL.
+	defaultAskers = 100
+	askersTTL     = 30 * time.Second
+	// fallbackTTL is how long a balancer without a reply may use a send time that was drawn for
+	// it. Unused send times expire rather than accumulate, because all balancers would use them at
+	// once.
+	fallbackTTL = time.Second
+	// askRetryDelay is how long a balancer waits after an unanswered ask before it asks again.
+	askRetryDelay = 500 * time.Millisecond
 )
 
-// account is what one balancer may send to one endpoint. It is an immutable value.
-type account struct {
-	permits int
-	until   time.Time // the permits may be used
-	closed  time.Time // before it asking is in vain
-	askers  int       // balancers that ask, as told
-	told    time.Time // when that was told
-	opens   time.Time // the moment drawn for a balancer without an answer; zero for none
-	asking  bool      // an ask is under way
+// allowance is what one balancer may currently send to one endpoint. It is an immutable value.
+type allowance struct {
+	permits    int
+	expires    time.Time // when the permits expire
+	retryAt    time.Time // no ask before this time: the owner has no capacity until then, or did not reply
+	askers     int       // number of balancers that ask the owner, as it last reported
+	askersAt   time.Time // when askers was reported
+	fallbackAt time.Time // send time drawn while the owner does not reply; zero for none
+	askPending bool      // an ask is in flight
 }
 
-// holds reports whether a permit is there.
-func (a account) holds(now time.Time) bool { return a.permits > 0 && !now.After(a.until) }
+// hasPermit reports whether an unexpired permit is left.
+func (a allowance) hasPermit(now time.Time) bool { return a.permits > 0 && !now.After(a.expires) }
 
-// withAnswer returns the account after the owner's answer.
-func (a account) withAnswer(g Grant, askers int, now time.Time) account {
-	if !a.holds(now) {
+// withReply returns the allowance after the owner's reply.
+func (a allowance) withReply(g Grant, askers int, now time.Time) allowance {
+	if !a.hasPermit(now) {
 		a.permits = 0
 	}
 	a.permits += g.Permits
-	a.until, a.closed = now.Add(permitLife), now.Add(g.After)
-	a.askers, a.told = askers, now
-	a.asking, a.opens = false, time.Time{}
+	a.expires, a.retryAt = now.Add(permitTTL), now.Add(g.After)
+	a.askers, a.askersAt = askers, now
+	a.askPending, a.fallbackAt = false, time.Time{}
 	return a
 }
 
-// withoutAnswer returns the account after the owner did not answer, of an endpoint that takes so
-// many requests a second. random is a number from 0 to 1.
-func (a account) withoutAnswer(rate, random float64, now time.Time) account {
-	a.asking = false
-	if a.opens.IsZero() || now.Sub(a.opens) > openFor {
-		a.opens = now.Add(a.drawn(rate, random, now))
+// withoutReply returns the allowance after an ask to the owner failed. It contains one permit if
+// the drawn send time has come. rate is the limit of the endpoint in requests per second, and
+// random a number in [0,1).
+func (a allowance) withoutReply(rate, random float64, now time.Time) allowance {
+	a.askPending = false
+	if a.fallbackAt.IsZero() || now.Sub(a.fallbackAt) > fallbackTTL {
+		a.fallbackAt = now.Add(a.fallbackDelay(rate, random, now))
 	}
-	a.closed = now.Add(askAgain)
-	if now.Before(a.opens) {
+	a.retryAt = now.Add(askRetryDelay)
+	if now.Before(a.fallbackAt) {
 		return a
 	}
-	a.permits, a.until = 1, now.Add(permitLife)
-	a.opens = now.Add(a.drawn(rate, random, now))
+	a.permits, a.expires = 1, now.Add(permitTTL)
+	a.fallbackAt = now.Add(a.fallbackDelay(rate, random, now))
 	return a
 }
 
-// drawn returns the time to the next moment that is this balancer's own: at random, so that the
-// moments of all balancers are spread, and as often as its part of the limit.
-func (a account) drawn(rate, random float64, now time.Time) time.Duration {
+// fallbackDelay returns the time until the next request that this balancer may send without a
+// permit from the owner. It is drawn at random, so that the balancers do not send together, and
+// its mean gives all of them together fallbackShare of the limit. random is a number in [0,1).
+func (a allowance) fallbackDelay(rate, random float64, now time.Time) time.Duration {
 	askers := a.askers
-	if askers == 0 || now.Sub(a.told) > askersFor {
-		askers = max(strangers, askers)
+	if askers == 0 || now.Sub(a.askersAt) > askersTTL {
+		askers = max(defaultAskers, askers)
 	}
-	mean := float64(askers) / (alonePart * max(rate, trialRate))
+	mean := float64(askers) / (fallbackShare * max(rate, minTrialRate))
 	return time.Duration(2 * random * mean * float64(time.Second))
 }
 
-// withUse returns the account after a request was sent under a permit.
-func (a account) withUse() account {
+// withPermitUsed returns the allowance after a request was sent under a permit.
+func (a allowance) withPermitUsed() allowance {
 	a.permits--
 	return a
 }
 
-// opened returns the account after the limit has changed: what was said of room is void.
-func (a account) opened() account {
-	a.closed, a.opens = time.Time{}, time.Time{}
+// withLimitRaised returns the allowance after the limit was raised or lifted. Delays that were
+// based on the old limit no longer apply.
+func (a allowance) withLimitRaised() allowance {
+	a.retryAt, a.fallbackAt = time.Time{}, time.Time{}
 	return a
 }
--- a/coord/limit/ask.go
+++ b/coord/limit/ask.go
@@ -6,36 +6,37 @@
 	"github.com/lotuswing/lotuswing/coord/rendezvous"
 )
 
-// Target is one start of an endpoint. Another start under the same identity has no limit until
-// it names one.
+// Target is one incarnation of an endpoint, which begins when the endpoint starts. A later
+// incarnation with the same ID has no limit until it names one.
 type Target struct {
 	ID    string
 	Start int64
 }
 
-// Ask asks the owner of an endpoint for room, and tells it what the endpoint has said. Package
-// gob sends the names of the fields, as of those below.
+// Ask is a balancer's request to the owner of an endpoint: it asks for permits and reports what
+// the endpoint has said about its limit. Package gob writes the field names of this and the
+// following types.
 type Ask struct {
 	Target Target
-	Want   int  // requests that want to go there; 0 tells alone
-	Word   Told // what the endpoint has said
-	Probes bool // its answers to probes name the limit, too
+	Want   int             // permits wanted; 0 in an ask that only reports the limit
+	Word   WireObservation // what the endpoint last said about its limit
+	Probes bool            // answers to probes of the endpoint name the limit, too
 }
 
-// Grant is what an owner lets the asker send.
+// Grant is the reply of an owner to one Ask.
 type Grant struct {
 	Target  Target
 	Permits int
-	After   time.Duration // until there may be room for more
-	Look    bool          // the asker may probe the endpoint, to hear whether its limit still holds
+	After   time.Duration // until a further permit may be available
+	Look    bool          // the asker may probe the endpoint to check whether its limit still holds
 	Probes  bool          // answers to probes name the limit, as far as the owner knows
-	Word    Told
+	Word    WireObservation
 }
 
-// Reply is an owner's answer to some asks.
+// Reply is an owner's reply to a list of asks.
 type Reply struct {
-	Taken  bool // the one that was asked is a relay
-	Askers int  // balancers that have asked it lately
+	Taken  bool // the balancer that was asked is a relay and has handled the asks
+	Askers int  // number of balancers that have asked it lately
 	Grants []Grant
 }
 
@@ -45,9 +46,10 @@
 	Addr string
 }
 
-// Owner returns which relay keeps the bucket of an endpoint: the one of its availability zone,
-// and where that has none, one that all balancers name alike. Nobody has to agree: who knows
-// other relays for a while asks another one, which begins with an empty bucket.
+// Owner returns the address of the relay that keeps the token bucket of an endpoint: the relay of
+// the endpoint's availability zone or, if that zone has none, one chosen by rendezvous hashing.
+// Balancers need not agree on the list of relays: one with an outdated list asks another relay,
+// whose bucket starts empty.
 func Owner(zone string, t Target, relays []Relay) (addr string, ok bool) {
 	addrs := make([]string, 0, len(relays))
 	for _, r := range relays {
--- a/coord/limit/book.go
+++ b/coord/limit/book.go
@@ -6,233 +6,244 @@
 )
 
 const (
-	// mostKnown is how many endpoints a book remembers; the one heard of longest ago goes.
-	mostKnown = 4096
-	// forgetAfter is when nothing is remembered any more of a limit of which nothing is heard,
-	// or that was lifted.
-	forgetAfter = 10 * time.Minute
-	// noteEvery is the least time between two notes on one endpoint, and renewEvery when one
-	// is told again for balancers that have started since: notes end.
-	noteEvery  = time.Second
-	renewEvery = 4 * time.Minute
+	// maxEntries is the number of endpoints that a Limiter remembers. When it is full, the entry
+	// that was updated longest ago is dropped.
+	maxEntries = 4096
+	// entryTTL is how long a limit is remembered after the last observation of it, also if that
+	// observation lifted it.
+	entryTTL = 10 * time.Minute
+	// minNoteInterval is the minimum time between two notes about one endpoint.
+	// noteRefreshInterval is when a note is repeated for balancers that have started since,
+	// because notes expire.
+	minNoteInterval     = time.Second
+	noteRefreshInterval = 4 * time.Minute
 )
 
-// Book is what one balancer knows of the limits of endpoints: what they said, what this balancer
-// may send them and, at a relay, the buckets of those that it owns. It is not safe for
-// concurrent use.
-type Book struct {
-	known  map[Target]*entry
-	askers map[string]time.Time // who asked this balancer, and when
-	pruned time.Time            // when those were dropped last that ask no more
-	rng    *rand.Rand
+// Limiter is what one balancer knows about the limits of endpoints: the latest observation of
+// each, what this balancer may send and, if it is a relay, the token buckets of the endpoints that
+// it owns. It is not safe for concurrent use.
+type Limiter struct {
+	known          map[Target]*entry
+	askers         map[string]time.Time // when each balancer last asked this one
+	askersPrunedAt time.Time            // when old askers were last removed
+	rng            *rand.Rand
 }
 
-// entry is what is known of one endpoint.
+// entry is what is known about one endpoint.
 type entry struct {
-	word    Word
-	probes  bool // its answers to probes name the limit, too
-	account account
-	told    Word // as the owner knows it, as far as this balancer does
-	seen    time.Time
-	sent    int64 // requests sent under its limit
-	denied  int64 // asks in vain
+	observed        Observation // what the endpoint last said
+	probesNameLimit bool        // answers to probes name the limit, too
+	allowance       allowance
+	ownerKnows      Observation // last observation that the owner is known to have
+	updatedAt       time.Time   // when an observation was last added
+	sent            int64       // requests sent under the limit
+	denied          int64       // asks that got fewer permits than they wanted
 
-	// At its owner.
-	bucket  bucket
-	noted   Word      // as the last note told it
-	notedAt time.Time // when; zero for never
+	// The following fields are used by the owner of the endpoint.
+	bucket    bucket
+	lastNoted Observation // observation in the last note
+	notedAt   time.Time   // when the last note was taken; zero for never
 }
 
-// NewBook returns an empty book. seed is a random number.
-func NewBook(seed uint64) *Book {
-	return &Book{known: map[Target]*entry{}, askers: map[string]time.Time{}, rng: rand.New(rand.NewPCG(seed, 1))}
+// NewLimiter returns a Limiter that knows no endpoint. seed seeds its random numbers.
+func NewLimiter(seed uint64) *Limiter {
+	return &Limiter{known: map[Target]*entry{}, askers: map[string]time.Time{}, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// Len returns of how many endpoints anything is known.
-func (b *Book) Len() int { return len(b.known) }
+// Len returns the number of endpoints with an entry.
+func (l *Limiter) Len() int { return len(l.known) }
 
-// Word returns what an endpoint last said.
-func (b *Book) Word(t Target) Word {
-	if e, ok := b.known[t]; ok {
-		return e.word
+// Observation returns what the endpoint last said; the zero value if it has no entry.
+func (l *Limiter) Observation(t Target) Observation {
+	if e, ok := l.known[t]; ok {
+		return e.observed
 	}
-	return Word{}
+	return Observation{}
 }
 
-// Answered takes what an endpoint's answer said, to a request or to a probe. An answer to a
-// probe that lacks a limit says nothing unless one has named it.
-func (b *Book) Answered(t Target, a Answer, probe bool) {
-	e, ok := b.known[t]
+// ObserveAnswer records what an answer of the endpoint said about its limit; probe says that it
+// answered a probe. An answer to a probe that names no limit lifts the limit only if an earlier
+// answer to a probe has named one.
+func (l *Limiter) ObserveAnswer(t Target, a Answer, probe bool) {
+	e, ok := l.known[t]
 	switch {
 	case !ok && a.Said != Named:
 		return
 	case !ok:
-		e = b.begin(t, a.Heard)
+		e = l.addEntry(t, a.Heard)
 	}
 	if probe {
-		e.probes = e.probes || a.Said == Named
-		a.Mute = a.Mute || !e.probes
+		e.probesNameLimit = e.probesNameLimit || a.Said == Named
+		a.Mute = a.Mute || !e.probesNameLimit
 	}
-	b.learn(e, e.word.With(a), a.Heard)
+	l.setObserved(e, e.observed.With(a), a.Heard)
 }
 
-// Learn takes what another balancer tells of an endpoint.
-func (b *Book) Learn(t Target, told Told, now time.Time) {
-	w := told.Word(now)
+// MergeRemote merges an observation received from another balancer into the entry of the endpoint.
+// An invalid one is ignored.
+func (l *Limiter) MergeRemote(t Target, received WireObservation, now time.Time) {
+	w := received.Observation(now)
 	if !w.Known() {
 		return
 	}
-	e, ok := b.known[t]
+	e, ok := l.known[t]
 	switch {
 	case !ok:
-		e = b.begin(t, now)
-	case e.word.echoes(w):
+		e = l.addEntry(t, now)
+	case e.observed.isEchoOf(w):
 		return
 	}
-	b.learn(e, e.word.Join(w), now)
+	l.setObserved(e, e.observed.Merge(w), now)
 }
 
-// learn replaces the word on an endpoint. A looser one voids what was said of its room.
-func (b *Book) learn(e *entry, w Word, now time.Time) {
-	e.seen = now
-	if e.word.stricter(w) && w.News(e.word) {
-		e.account = e.account.opened()
+// setObserved replaces the observation of an entry. If the limit was raised significantly or
+// lifted, delays that were based on the old limit are cleared.
+func (l *Limiter) setObserved(e *entry, w Observation, now time.Time) {
+	e.updatedAt = now
+	if e.observed.stricterThan(w) && w.IsNewsTo(e.observed) {
+		e.allowance = e.allowance.withLimitRaised()
 	}
-	e.word = w
+	e.observed = w
 }
 
-// begin begins to remember an endpoint.
-func (b *Book) begin(t Target, now time.Time) *entry {
-	b.forget(now)
-	e := &entry{seen: now}
-	b.known[t] = e
+// addEntry adds and returns an empty entry for an endpoint, evicting old ones first.
+func (l *Limiter) addEntry(t Target, now time.Time) *entry {
+	l.evict(now)
+	e := &entry{updatedAt: now}
+	l.known[t] = e
 	return e
 }
 
-// forget drops what is too old, and the oldest where there is no place.
-func (b *Book) forget(now time.Time) {
+// evict removes expired entries and, if there are still maxEntries, the one that was updated
+// longest ago.
+func (l *Limiter) evict(now time.Time) {
 	var oldest Target
-	var seen time.Time
-	for t, e := range b.known {
-		if now.Sub(e.seen) > forgetAfter {
-			delete(b.known, t)
+	var updatedAt time.Time
+	for t, e := range l.known {
+		if now.Sub(e.updatedAt) > entryTTL {
+			delete(l.known, t)
 			continue
 		}
-		if seen.IsZero() || e.seen.Before(seen) {
-			oldest, seen = t, e.seen
+		if updatedAt.IsZero() || e.updatedAt.Before(updatedAt) {
+			oldest, updatedAt = t, e.updatedAt
 		}
 	}
-	if len(b.known) >= mostKnown {
-		delete(b.known, oldest)
+	if len(l.known) >= maxEntries {
+		delete(l.known, oldest)
 	}
 }
 
-// Standing is what a balancer may do with an endpoint at one time.
+// Standing says whether a balancer may send a request to an endpoint at a given time.
 type Standing uint8
 
-// Admits reports whether a request may go to the endpoint.
+// Admits reports whether a request may be sent to the endpoint.
 func (s Standing) Admits() bool { return s == Free || s == Held }
 
-// The standings.
+// The values of Standing.
 const (
-	Free     Standing = iota // there is no limit
-	Held                     // a permit is there
-	Askable                  // its owner may have room
-	Withheld                 // nothing may go there now
+	Free     Standing = iota // no limit applies
+	Held                     // the balancer holds a permit
+	Askable                  // no permit, but the owner may grant one
+	Withheld                 // no permit, and no ask is allowed now
 )
 
-// Standing returns it, and how long it is withheld where that is known; 0 where an ask is under
-// way.
-func (b *Book) Standing(t Target, now time.Time) (Standing, time.Duration) {
-	e, ok := b.known[t]
+// Standing returns the standing of an endpoint and, if that is Withheld, how long it lasts; 0 if
+// that is unknown because an ask is in flight.
+func (l *Limiter) Standing(t Target, now time.Time) (Standing, time.Duration) {
+	e, ok := l.known[t]
 	if !ok {
 		return Free, 0
 	}
-	switch _, limited := e.word.RateAt(now); {
+	switch _, limited := e.observed.RateAt(now); {
 	case !limited:
 		return Free, 0
-	case e.account.holds(now):
+	case e.allowance.hasPermit(now):
 		return Held, 0
-	case e.account.asking:
+	case e.allowance.askPending:
 		return Withheld, 0
-	case now.Before(e.account.closed):
-		return Withheld, e.account.closed.Sub(now)
+	case now.Before(e.allowance.retryAt):
+		return Withheld, e.allowance.retryAt.Sub(now)
 	}
 	return Askable, 0
 }
 
-// Use takes a permit for a request that goes to an endpoint now, where its limit wants one, and
-// returns how the endpoint stood: the request may go where that is Free or Held.
-func (b *Book) Use(t Target, now time.Time) Standing {
-	s, _ := b.Standing(t, now)
+// Use takes a permit for a request that is sent to an endpoint now, if its limit requires one. It
+// returns the standing before; the request may be sent only if that is Free or Held.
+func (l *Limiter) Use(t Target, now time.Time) Standing {
+	s, _ := l.Standing(t, now)
 	if s == Held {
-		e := b.known[t]
-		e.account = e.account.withUse()
+		e := l.known[t]
+		e.allowance = e.allowance.withPermitUsed()
 		e.sent++
 	}
 	return s
 }
 
-// Ask begins to ask an endpoint's owner for room. ok is false where an ask is under way or in
-// vain.
-func (b *Book) Ask(t Target, now time.Time) (a Ask, ok bool) {
-	if s, _ := b.Standing(t, now); s != Askable {
+// Ask returns an ask for one permit that the caller sends to the owner of the endpoint, and marks
+// it as in flight. ok is false unless the endpoint is Askable.
+func (l *Limiter) Ask(t Target, now time.Time) (a Ask, ok bool) {
+	if s, _ := l.Standing(t, now); s != Askable {
 		return Ask{}, false
 	}
-	return b.ask(t, 1, now), true
+	return l.startAsk(t, 1, now), true
 }
 
-// Tell begins to tell an endpoint's owner what the endpoint has said, where that is news for it.
-func (b *Book) Tell(t Target, now time.Time) (a Ask, ok bool) {
-	e, known := b.known[t]
-	if !known || e.account.asking || !e.word.News(e.told) {
+// Report returns an ask that only reports the endpoint's limit to its owner, and marks it as in
+// flight. ok is false if the limit is no news to the owner or another ask is in flight.
+func (l *Limiter) Report(t Target, now time.Time) (a Ask, ok bool) {
+	e, known := l.known[t]
+	if !known || e.allowance.askPending || !e.observed.IsNewsTo(e.ownerKnows) {
 		return Ask{}, false
 	}
-	return b.ask(t, 0, now), true
+	return l.startAsk(t, 0, now), true
 }
 
-func (b *Book) ask(t Target, want int, now time.Time) Ask {
-	e := b.known[t]
-	e.account.asking = true
-	return Ask{Target: t, Want: want, Word: e.word.Told(now), Probes: e.probes}
+// startAsk returns an ask for want permits and marks it as in flight.
+func (l *Limiter) startAsk(t Target, want int, now time.Time) Ask {
+	e := l.known[t]
+	e.allowance.askPending = true
+	return Ask{Target: t, Want: want, Word: e.observed.WireObservation(now), Probes: e.probesNameLimit}
 }
 
-// Replied takes the owner's answer to an ask. look says that the endpoint may be probed.
-func (b *Book) Replied(a Ask, g Grant, askers int, now time.Time) (look bool) {
-	e, ok := b.known[a.Target]
+// HandleReply applies the owner's reply to an ask. mayProbe reports whether the endpoint may be probed
+// to check whether its limit still holds.
+func (l *Limiter) HandleReply(a Ask, g Grant, askers int, now time.Time) (mayProbe bool) {
+	e, ok := l.known[a.Target]
 	if !ok {
 		return false
 	}
-	e.account = e.account.withAnswer(g, askers, now)
+	e.allowance = e.allowance.withReply(g, askers, now)
 	if a.Want > g.Permits {
 		e.denied++
 	}
 	if a.Want == 0 {
-		e.account.closed = time.Time{} // nothing was said of room
+		e.allowance.retryAt = time.Time{} // the reply says nothing about capacity
 	}
-	e.probes = e.probes || g.Probes
-	e.told = a.Word.Word(now)
-	b.Learn(a.Target, g.Word, now)
+	e.probesNameLimit = e.probesNameLimit || g.Probes
+	e.ownerKnows = a.Word.Observation(now)
+	l.MergeRemote(a.Target, g.Word, now)
 	return g.Look
 }
 
-// Unanswered notes that the owner did not answer an ask, or that nobody owns the endpoint.
-func (b *Book) Unanswered(a Ask, now time.Time) {
-	e, ok := b.known[a.Target]
+// HandleNoReply records that an ask failed, because the owner did not reply or the endpoint has no
+// owner.
+func (l *Limiter) HandleNoReply(a Ask, now time.Time) {
+	e, ok := l.known[a.Target]
 	if !ok {
 		return
 	}
-	rate, _ := e.word.RateAt(now)
+	rate, _ := e.observed.RateAt(now)
 	if a.Want == 0 {
-		e.account.asking = false
+		e.allowance.askPending = false
 		return
 	}
-	e.account = e.account.withoutAnswer(rate, b.rng.Float64(), now)
+	e.allowance = e.allowance.withoutReply(rate, l.rng.Float64(), now)
 }
 
-// Resume notes that the VM was suspended: nobody knows how old a permit is.
-func (b *Book) Resume() {
-	for _, e := range b.known {
-		e.account.permits = 0
+// Resume drops all permits. It is called after the VM was suspended, when the age of a permit is
+// unknown.
+func (l *Limiter) Resume() {
+	for _, e := range l.known {
+		e.allowance.permits = 0
 	}
 }
--- a/coord/limit/bucket.go
+++ b/coord/limit/bucket.go
@@ -6,101 +6,107 @@
 )
 
 const (
-	// burstFor is for how long a bucket saves up requests, and leastBurst how many it saves
-	// at the least: with one, what comes until somebody asks for the saved one would be lost.
-	burstFor   = 500 * time.Millisecond
-	leastBurst = 3
-	// trialRate is at which rate, a second, a request goes to an endpoint that takes none:
-	// nothing else may tell that its limit is over.
-	trialRate = 0.1
-	// lookEvery is between two probes that ask an endpoint of a low limit whether it still
-	// holds, and lookBelow the rate, a second, from which on requests tell it often enough.
-	lookEvery = time.Second
-	lookBelow = 1
-	// asksEach is how often the owner wants to be asked for each request that it lets go, so
-	// that one asks soon after there is room and few ask in vain.
-	asksEach = 4
-	// leastSpread and mostSpread bound over which time those come back that asked in vain,
-	// and spreadStep is the factor by which an ask changes it.
-	leastSpread = 20 * time.Millisecond
-	mostSpread  = 5 * time.Second
-	spreadStep  = 1.1
-	// asksOver is the time constant of the rate at which the owner is asked.
-	asksOver = time.Second
+	// burstWindow is the time over which a bucket accumulates unused permits, and minBurst the
+	// smallest capacity of a bucket. With a capacity of 1, tokens that accrue before the next ask
+	// would be lost.
+	burstWindow = 500 * time.Millisecond
+	minBurst    = 3
+	// minTrialRate is the rate, in requests per second, at which an endpoint gets requests even if
+	// its limit is lower or 0. If its answers to probes do not name the limit, only an answer to a
+	// request shows that the limit is lifted.
+	minTrialRate = 0.1
+	// probeInterval is the minimum time between probes that check whether a low limit still holds.
+	// probeBelowRate is the limit, in requests per second, below which such probes are sent; above
+	// it, answers to requests show often enough.
+	probeInterval  = time.Second
+	probeBelowRate = 1
+	// targetAsksPerPermit is the number of asks that the owner aims to get for each permit: enough
+	// that a free permit is asked for soon, and few enough that few asks are denied.
+	targetAsksPerPermit = 4
+	// minRetrySpread and maxRetrySpread bound the random delay after which denied askers retry.
+	// Each ask multiplies or divides that delay by retrySpreadFactor.
+	minRetrySpread    = 20 * time.Millisecond
+	maxRetrySpread    = 5 * time.Second
+	retrySpreadFactor = 1.1
+	// askRateTimeConstant is the time constant of the exponentially decaying average of the ask
+	// rate.
+	askRateTimeConstant = time.Second
 )
 
-// bucket is the room that an endpoint's owner gives out. It is an immutable value; the zero
-// value is empty.
+// bucket is the token bucket from which the owner of an endpoint grants permits. It is an
+// immutable value; the zero value is empty.
 type bucket struct {
-	tokens float64
-	at     time.Time     // as of which; zero for never
-	spread time.Duration // over which those come back that asked in vain
-	asks   float64       // rate, a second, at which it is asked
-	asked  time.Time
-	looked time.Time // when somebody was last let probe the endpoint
-	given  int64     // requests let go, ever
+	tokens      float64
+	refilledAt  time.Time     // when tokens was last updated; zero for never
+	retrySpread time.Duration // upper bound of the random delay after which denied askers retry
+	askRate     float64       // asks per second, as of askedAt
+	askedAt     time.Time     // when the last ask was counted
+	probedAt    time.Time     // when an asker was last allowed to probe the endpoint
+	granted     int64         // permits granted since the bucket was created
 }
 
-// decision is what an owner tells one that asks.
+// decision is the owner's decision about one ask.
 type decision struct {
-	permits int
-	after   time.Duration // until there may be room
-	look    bool          // the endpoint may be probed, to hear whether its limit still holds
+	permits    int
+	retryAfter time.Duration // until a further permit may be available
+	probe      bool          // the asker may probe the endpoint to check whether its limit still holds
 }
 
-// refilled returns the bucket as of now, at a rate a second that holds since it was last looked
-// at.
-func (b bucket) refilled(rate float64, now time.Time) bucket {
-	if !b.at.IsZero() {
-		b.tokens += rate * max(0, now.Sub(b.at).Seconds())
+// withRefill returns the bucket as of now, refilled at rate tokens per second since the last
+// refill and capped at its capacity.
+func (b bucket) withRefill(rate float64, now time.Time) bucket {
+	if !b.refilledAt.IsZero() {
+		b.tokens += rate * max(0, now.Sub(b.refilledAt).Seconds())
 	}
-	b.tokens = min(b.tokens, max(leastBurst, rate*burstFor.Seconds()))
-	b.at = now
+	b.tokens = min(b.tokens, max(minBurst, rate*burstWindow.Seconds()))
+	b.refilledAt = now
 	return b
 }
 
-// withAsk returns the bucket after it was asked for room for some requests at a rate a second.
-// random is a number from 0 to 1.
+// withAsk returns the bucket after an ask for want permits and the decision about it. rate is the
+// refill rate in tokens per second, and random a number in [0,1).
 func (b bucket) withAsk(rate float64, want int, random float64, now time.Time) (bucket, decision) {
-	b = b.refilled(rate, now).counted(rate, now)
+	b = b.withRefill(rate, now).withAskCounted(rate, now)
 	d := decision{permits: min(want, int(b.tokens))}
 	b.tokens -= float64(d.permits)
-	b.given += int64(d.permits)
+	b.granted += int64(d.permits)
 	if d.permits < want {
-		d.after = b.until(rate) + time.Duration(random*float64(b.spread))
-		d.look = rate < lookBelow && now.Sub(b.looked) >= lookEvery
+		d.retryAfter = b.timeToNextToken(rate) + time.Duration(random*float64(b.retrySpread))
+		d.probe = rate < probeBelowRate && now.Sub(b.probedAt) >= probeInterval
 	}
-	if d.look {
-		b.looked = now
+	if d.probe {
+		b.probedAt = now
 	}
 	return b, d
 }
 
-// until returns when there is room for a request again.
-func (b bucket) until(rate float64) time.Duration {
+// timeToNextToken returns how long it takes until a whole token is available, at most
+// maxRetrySpread; probeInterval if the rate is 0.
+func (b bucket) timeToNextToken(rate float64) time.Duration {
 	if rate <= 0 {
-		return lookEvery
+		return probeInterval
 	}
-	return min(mostSpread, time.Duration(max(0, 1-b.tokens)/rate*float64(time.Second)))
+	return min(maxRetrySpread, time.Duration(max(0, 1-b.tokens)/rate*float64(time.Second)))
 }
 
-// asksAt returns the rate, a second, at which the owner is asked as of now.
-func (b bucket) asksAt(now time.Time) float64 {
-	if b.asked.IsZero() {
+// askRateAt returns the average rate of asks per second as of now.
+func (b bucket) askRateAt(now time.Time) float64 {
+	if b.askedAt.IsZero() {
 		return 0
 	}
-	return b.asks * math.Exp(-now.Sub(b.asked).Seconds()/asksOver.Seconds())
+	return b.askRate * math.Exp(-now.Sub(b.askedAt).Seconds()/askRateTimeConstant.Seconds())
 }
 
-// counted returns the bucket with one more ask in the rate of asks, and those that ask in vain
-// spread over more time where it is asked too often, over less where too seldom.
-func (b bucket) counted(rate float64, now time.Time) bucket {
-	b.asks = b.asksAt(now) + 1/asksOver.Seconds()
-	b.asked = now
-	step := 1 / spreadStep
-	if b.asks > asksEach*rate {
-		step = spreadStep
+// withAskCounted returns the bucket with one more ask in the ask rate. It lengthens the retry
+// delay of denied askers if there are more than targetAsksPerPermit asks for each permit, and
+// shortens it otherwise.
+func (b bucket) withAskCounted(rate float64, now time.Time) bucket {
+	b.askRate = b.askRateAt(now) + 1/askRateTimeConstant.Seconds()
+	b.askedAt = now
+	step := 1 / retrySpreadFactor
+	if b.askRate > targetAsksPerPermit*rate {
+		step = retrySpreadFactor
 	}
-	b.spread = min(mostSpread, max(leastSpread, time.Duration(float64(b.spread)*step)))
+	b.retrySpread = min(maxRetrySpread, max(minRetrySpread, time.Duration(float64(b.retrySpread)*step)))
 	return b
 }
--- a/coord/limit/fleet_test.go
+++ b/coord/limit/fleet_test.go
@@ -13,60 +13,61 @@
 	"github.com/lotuswing/lotuswing/coord/window"
 )
 
-// fleet simulates balancers in front of one endpoint that names a limit: their books are the
-// real ones; messages between them are late, lost and cut.
+// fleet simulates balancers that send to one endpoint with a limit. It uses real Limiters;
+// messages between them are delayed, lost or cut off by partitions.
 type fleet struct {
 	*agenda.Agenda
-	rng    *rand.Rand
-	nodes  []*node
-	zones  int
-	loss   float64
-	cut    func(a, b *node) bool // no message passes between them now
-	target Target
-
-	says   string // header of its answers; "" for none
-	probes bool   // its answers to probes have it, too
-
-	sent  []arrival
-	calls int
-	notes int
-	looks int
+	rng         *rand.Rand
+	nodes       []*node
+	zones       int
+	loss        float64
+	partitioned func(a, b *node) bool // no messages pass between a and b now
+	target      Target
+
+	header           string // limit header of the answers; "" for none
+	probesHaveHeader bool   // answers to probes have the header, too
+
+	arrivals   []arrival
+	callCount  int
+	noteCount  int
+	probeCount int
 }
 
-// arrival is a request that came to the endpoint, from a balancer that had been told or not.
+// arrival is a request that reached the endpoint. told header that its balancer had been told of the
+// limit at least 500 ms before.
 type arrival struct {
 	at   time.Time
 	told bool
 }
 
 type node struct {
-	index int
-	addr  string
-	zone  int
-	life  int
-	book  *Book
-	down  bool
-	told  time.Time // when it was first answered with a limit in this life
-	slow  time.Duration
+	index       int
+	addr        string
+	zone        int
+	incarnation int
+	book        *Limiter
+	down        bool
+	told        time.Time // when the first answer with a limit arrived in this incarnation
+	slow        time.Duration
 }
 
 func newFleet(seed uint64, nodes, zones int) *fleet {
 	f := &fleet{
 		Agenda: agenda.New(testStart), rng: rand.New(rand.NewPCG(seed, 7)), zones: zones, target: Target{ID: "i-1", Start: 1},
-		cut: func(_, _ *node) bool { return false },
+		partitioned: func(_, _ *node) bool { return false },
 	}
 	for i := range nodes {
 		n := &node{index: i, addr: fmt.Sprintf("balancer-%d", i), zone: i % zones}
 		f.nodes = append(f.nodes, n)
-		f.begin(n)
+		f.start(n)
 	}
 	return f
 }
 
-// begin gives a node a new life.
-func (f *fleet) begin(n *node) {
-	n.book, n.down, n.told = NewBook(f.rng.Uint64()), false, time.Time{}
-	n.life++
+// start starts or restarts a node, with no state from before.
+func (f *fleet) start(n *node) {
+	n.book, n.down, n.told = NewLimiter(f.rng.Uint64()), false, time.Time{}
+	n.incarnation++
 }
 
 // relayOf returns the relay of a zone: its first node that is up.
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// owner returns the relay that owns the endpoint, which stands in the first zone.
+// owner returns the relay that owns the endpoint, which is in the first zone.
 func (f *fleet) owner() *node {
 	var relays []Relay
 	byAddr := map[string]*node{}
@@ -93,7 +94,7 @@
 	return byAddr[addr]
 }
 
-// latency of one message.
+// latency returns the random latency of a message from a to b.
 func (f *fleet) latency(a, b *node) time.Duration {
 	d := time.Duration(300+f.rng.IntN(700)) * time.Microsecond
 	if a.zone != b.zone {
@@ -102,112 +103,113 @@
 	return d + a.slow + b.slow
 }
 
-func (f *fleet) passes(a, b *node) bool {
-	return !a.down && !b.down && !f.cut(a, b) && f.rng.Float64() >= f.loss
+func (f *fleet) delivered(a, b *node) bool {
+	return !a.down && !b.down && !f.partitioned(a, b) && f.rng.Float64() >= f.loss
 }
 
 const (
-	simTimeout = 650 * time.Millisecond
-	simPatient = 25 * time.Millisecond // a request waits for an ask
-	simWork    = 90 * time.Millisecond
+	simCallTimeout = 650 * time.Millisecond
+	simAskWait     = 25 * time.Millisecond // how long a request waits for the reply to an ask
+	simServiceTime = 90 * time.Millisecond
 )
 
-// call carries an ask and calls done once.
+// call sends an ask to the owner and applies its reply, or reports that there was none.
 func (f *fleet) call(n *node, a Ask) {
-	owner, life := f.owner(), n.life
-	f.calls++
+	owner, incarnation := f.owner(), n.incarnation
+	f.callCount++
 	unanswered := func() {
-		if n.life == life {
-			n.book.Unanswered(a, f.Now())
+		if n.incarnation == incarnation {
+			n.book.HandleNoReply(a, f.Now())
 		}
 	}
-	if owner == nil || !f.passes(n, owner) {
-		f.After(simTimeout, unanswered)
+	if owner == nil || !f.delivered(n, owner) {
+		f.After(simCallTimeout, unanswered)
 		return
 	}
 	f.After(f.latency(n, owner), func() {
 		if owner.down {
-			f.After(simTimeout, unanswered)
+			f.After(simCallTimeout, unanswered)
 			return
 		}
-		r := owner.book.Asked(n.addr, []Ask{a}, true, f.Now())
-		f.note(owner)
-		if !f.passes(owner, n) {
-			f.After(simTimeout, unanswered)
+		r := owner.book.HandleAsks(n.addr, []Ask{a}, true, f.Now())
+		f.publishNote(owner)
+		if !f.delivered(owner, n) {
+			f.After(simCallTimeout, unanswered)
 			return
 		}
 		f.After(f.latency(owner, n), func() {
-			if n.life != life || len(r.Grants) == 0 {
+			if n.incarnation != incarnation || len(r.Grants) == 0 {
 				return
 			}
-			if n.book.Replied(a, r.Grants[0], r.Askers, f.Now()) {
+			if n.book.HandleReply(a, r.Grants[0], r.Askers, f.Now()) {
 				f.probe(n)
 			}
 		})
 	})
 }
 
-// note has the owner tell all others what they should hear.
-func (f *fleet) note(owner *node) {
-	told, ok := owner.book.Note(f.target, f.Now())
+// publishNote sends the note of the owner to all other nodes, if there is one.
+func (f *fleet) publishNote(owner *node) {
+	told, ok := owner.book.TakeNote(f.target, f.Now())
 	if !ok {
-		if after, due := owner.book.NoteDue(f.target, f.Now()); due {
-			f.After(after, func() { f.note(owner) })
+		if after, due := owner.book.NoteDelay(f.target, f.Now()); due {
+			f.After(after, func() { f.publishNote(owner) })
 		}
 		return
 	}
-	f.notes++
+	f.noteCount++
 	sent := f.Now()
 	for _, n := range f.nodes {
-		if n != owner && f.passes(owner, n) {
-			life := n.life
+		if n != owner && f.delivered(owner, n) {
+			incarnation := n.incarnation
 			f.After(2*f.latency(owner, n)+5*time.Millisecond, func() {
-				if n.life == life && !n.down {
+				if n.incarnation == incarnation && !n.down {
 					aged := told
 					aged.AskedAge += f.Now().Sub(sent)
 					aged.HeardAge += f.Now().Sub(sent)
-					n.book.Learn(f.target, aged, f.Now())
+					n.book.MergeRemote(f.target, aged, f.Now())
 				}
 			})
 		}
 	}
 }
 
-// answer carries what the endpoint says now to a node.
+// answer delivers to a node an answer with the present header of the endpoint.
 func (f *fleet) answer(n *node, asked time.Time, probe bool) {
-	rate, said := Parse(headerOf(f.says))
-	if probe && !f.probes {
-		rate, said = 0, Nothing
+	arrivalRate, said := Parse(headerValues(f.header))
+	if probe && !f.probesHaveHeader {
+		arrivalRate, said = 0, Nothing
 	}
-	target, life := f.target, n.life
+	target, incarnation := f.target, n.incarnation
 	f.After(time.Millisecond, func() {
-		if n.life != life || n.down {
+		if n.incarnation != incarnation || n.down {
 			return
 		}
 		if said == Named && n.told.IsZero() && !probe {
 			n.told = f.Now()
 		}
-		n.book.Answered(target, Answer{Said: said, Rate: rate, Asked: asked, Heard: f.Now()}, probe)
-		if a, ok := n.book.Tell(target, f.Now()); ok {
+		n.book.ObserveAnswer(target, Answer{Said: said, Rate: arrivalRate, Asked: asked, Heard: f.Now()}, probe)
+		if a, ok := n.book.Report(target, f.Now()); ok {
 			f.call(n, a)
 		}
 	})
 }
 
-func headerOf(says string) []string {
-	if says == "" {
+func headerValues(header string) []string {
+	if header == "" {
 		return nil
 	}
-	return []string{says}
+	return []string{header}
 }
 
 func (f *fleet) probe(n *node) {
-	f.looks++
+	f.probeCount++
 	asked := f.Now()
 	f.After(2*time.Millisecond, func() { f.answer(n, asked, true) })
 }
 
-// request is one that would like to go to the endpoint, and goes elsewhere where it may not.
+// request handles a request that may go to the endpoint; it is dropped if the limit does not admit
+// it, as if another endpoint had got it.
 func (f *fleet) request(n *node) {
 	if n.down {
 		return
@@ -219,22 +221,22 @@
 	case Askable:
 		a, _ := n.book.Ask(f.target, f.Now())
 		f.call(n, a)
-		f.await(n, n.life, f.Now())
+		f.awaitPermit(n, n.incarnation, f.Now())
 	case Withheld:
 	}
 }
 
-// await sends the request once there is a permit.
-func (f *fleet) await(n *node, life int, since time.Time) {
+// awaitPermit sends the request once there is a permit, and drops it after simAskWait.
+func (f *fleet) awaitPermit(n *node, incarnation int, since time.Time) {
 	f.After(time.Millisecond, func() {
-		if n.life != life || n.down {
+		if n.incarnation != incarnation || n.down {
 			return
 		}
 		switch s, _ := n.book.Standing(f.target, f.Now()); {
 		case s == Held || s == Free:
 			f.send(n)
-		case s == Withheld && f.Now().Sub(since) < simPatient:
-			f.await(n, life, since)
+		case s == Withheld && f.Now().Sub(since) < simAskWait:
+			f.awaitPermit(n, incarnation, since)
 		}
 	})
 }
@@ -245,13 +247,14 @@
 	}
 	asked := f.Now()
 	f.After(time.Millisecond, func() {
-		f.sent = append(f.sent, arrival{at: f.Now(), told: !n.told.IsZero() && f.Now().Sub(n.told) >= 500*time.Millisecond})
-		f.After(simWork, func() { f.answer(n, asked, false) })
+		f.arrivals = append(f.arrivals, arrival{at: f.Now(), told: !n.told.IsZero() && f.Now().Sub(n.told) >= 500*time.Millisecond})
+		f.After(simServiceTime, func() { f.answer(n, asked, false) })
 	})
 }
 
-// press lets requests come at some nodes at a rate, from one time to another.
-func (f *fleet) press(perSecond float64, from, to time.Duration, pick func() *node) {
+// generateLoad generates requests from one time to another as a Poisson process; pick returns the
+// node for each.
+func (f *fleet) generateLoad(perSecond float64, from, to time.Duration, pick func() *node) {
 	var next func()
 	next = func() {
 		if f.Elapsed() >= to {
@@ -263,43 +266,45 @@
 	f.After(from, next)
 }
 
-func (f *fleet) anyOf(n int) func() *node {
+func (f *fleet) randomNode(n int) func() *node {
 	return func() *node { return f.nodes[f.rng.IntN(n)] }
 }
 
-// setAt has the endpoint name a limit from a time on; "" lifts it.
-func (f *fleet) setAt(at time.Duration, says string) { f.After(at, func() { f.says = says }) }
+// setHeaderAt sets the limit header of the endpoint at a time; "" lifts the limit.
+func (f *fleet) setHeaderAt(at time.Duration, header string) {
+	f.After(at, func() { f.header = header })
+}
 
-// windowFor is the time in which the operators count.
-const windowFor = 4 * time.Second
+// countWindow is the window in which operators count requests.
+const countWindow = 4 * time.Second
 
-// allowedFor is what they bear with in it.
-func allowedFor(rate float64) float64 { return 1.5*rate*windowFor.Seconds() + 5 }
+// toleratedFor returns how many requests operators tolerate in a countWindow under a limit.
+func toleratedFor(rate float64) float64 { return 1.5*rate*countWindow.Seconds() + 5 }
 
-// worst returns the most requests that came in a window between two times, all of them and
-// those of balancers that had been told.
-func (f *fleet) worst(from, to time.Duration) (all, told int) {
+// mostInWindow returns the largest number of requests that arrived in any countWindow between two
+// times: all of them, and only those from balancers that had been told of the limit.
+func (f *fleet) mostInWindow(from, to time.Duration) (all, told int) {
 	var list []arrival
-	for _, a := range f.sent {
+	for _, a := range f.arrivals {
 		if d := a.at.Sub(testStart); d >= from && d <= to {
 			list = append(list, a)
 		}
 	}
-	return most(list), most(slices.DeleteFunc(list, func(a arrival) bool { return !a.told }))
+	return maxInWindow(list), maxInWindow(slices.DeleteFunc(list, func(a arrival) bool { return !a.told }))
 }
 
-func most(list []arrival) int {
+func maxInWindow(list []arrival) int {
 	times := make([]time.Time, len(list))
 	for i, a := range list {
 		times[i] = a.at
 	}
-	return window.Most(times, windowFor)
+	return window.Most(times, countWindow)
 }
 
-// rate returns how many requests came a second between two times.
+// rate returns how many requests per second arrived between two times.
 func (f *fleet) rate(from, to time.Duration) float64 {
 	n := 0
-	for _, a := range f.sent {
+	for _, a := range f.arrivals {
 		if d := a.at.Sub(testStart); d >= from && d < to {
 			n++
 		}
@@ -307,44 +312,46 @@
 	return float64(n) / (to - from).Seconds()
 }
 
-// sizes are those of fleets, with their zones.
+// sizes are the sizes of the simulated fleets.
 var sizes = []struct{ nodes, zones int }{{3, 1}, {18, 4}, {30, 3}, {100, 3}, {300, 6}, {984, 6}}
 
-// simLimits are limits of endpoints, in requests a second.
-var simLimits = []float64{0, 0.1, 0.5, 2.5, 20}
+// testedLimits are limits of the endpoint, in requests per second.
+var testedLimits = []float64{0, 0.1, 0.5, 2.5, 20}
 
 // limitNamed is when the endpoint names its limit, limitKnown from when on everybody keeps it.
 const (
+	// limitNamed is when the endpoint first names its limit, and limitKnown when all balancers
+	// know it.
 	limitNamed = 2 * time.Second
 	limitKnown = limitNamed + 500*time.Millisecond
 )
 
-// pressure is how many requests would like to go to an endpoint of a limit, a second.
+// pressure returns the rate of requests per second offered to an endpoint with a limit.
 func pressure(rate float64) float64 { return max(12, 6*rate) }
 
-// Between usedFrom and usedTo it is counted how much of a limit is used; oneRequest more or less
-// is chance.
+// The used part of a limit is measured between usedFrom and usedTo. oneRequest is the rate of one
+// request in that time, which is within random variation.
 const (
 	usedFrom   = 7 * time.Second
 	usedTo     = 32 * time.Second
 	oneRequest = 1 / 25.0
 )
 
-// TestFleetKeepsLimit: whatever the size of the fleet and the limit, the endpoint gets no more
-// than the operators bear with, and most of what it takes.
+// TestFleetKeepsLimit checks for fleets and limits of all sizes that the endpoint gets no more
+// requests than operators tolerate, and that at least 85% of the limit is used.
 func TestFleetKeepsLimit(t *testing.T) {
 	for _, s := range sizes {
-		for _, rate := range simLimits {
+		for _, rate := range testedLimits {
 			for seed := range uint64(3) {
 				f := newFleet(seed, s.nodes, s.zones)
-				f.setAt(limitNamed, fmt.Sprint(rate))
-				f.press(pressure(rate), 0, usedTo, f.anyOf(s.nodes))
+				f.setHeaderAt(limitNamed, fmt.Sprint(rate))
+				f.generateLoad(pressure(rate), 0, usedTo, f.randomNode(s.nodes))
 				f.Run(usedTo)
-				all, _ := f.worst(limitKnown, usedTo)
+				all, _ := f.mostInWindow(limitKnown, usedTo)
 				used := f.rate(usedFrom, usedTo)
 				name := fmt.Sprintf("%d balancers, limit %v, seed %d", s.nodes, rate, seed)
-				t.Logf("%s: worst window %d of %v, used %.2f a second, %d calls, %d notes", name, all, allowedFor(rate), used, f.calls, f.notes)
-				assert.Check(t, float64(all) <= allowedFor(rate), name)
+				t.Logf("%s: worst window %d of %v, used %.2f a second, %d calls, %d notes", name, all, toleratedFor(rate), used, f.callCount, f.noteCount)
+				assert.Check(t, float64(all) <= toleratedFor(rate), name)
 				assert.Check(t, used+oneRequest >= 0.85*rate, name)
 			}
 		}
--- a/coord/limit/limit.go
+++ b/coord/limit/limit.go
@@ -1,48 +1,50 @@
-// Package limit holds balancers to the requests a second that an endpoint in need takes from
-// all of them together, as it names them in its answers.
+// Package limit enforces, across all balancers, the requests per second that an overloaded
+// endpoint names in its answers as the most that it takes from all of them together.
 //
-// A Word is what an endpoint last said. Answers cross on their way, so a word counts by when
-// its request was sent and when its answer came (word.go). Each endpoint has an owner, the
-// relay of its zone (Owner), which keeps a bucket of its limit (bucket.go) and gives room out
-// request by request to whoever asks (owner.go): a limit is often less than a request a second
-// for each balancer, so that no share of it is worth having, and a bucket that is told of late
-// is spent by many at once. A balancer that gets no answer sends at random moments, of which all
-// balancers together have half of the limit (account.go). A Book is one balancer's part, as
-// asker and, at a relay, as owner.
+// An Observation is what an endpoint last said about its limit. Answers may arrive out of order,
+// so observations are ordered by when the request was sent and when its answer arrived
+// (word.go). Each endpoint has an owner, the relay of its availability zone (Owner), which keeps
+// a token bucket for the limit (bucket.go) and grants permits one request at a time to the
+// balancers that ask (owner.go). Static shares would not work: a limit is often below one
+// request per second for each balancer. Announcing the state of the bucket would not work
+// either: by the time balancers hear of free tokens, many of them would use the same ones. A
+// balancer whose owner does not reply sends at random times; all such balancers together use
+// half of the limit (account.go). A Limiter is the state of one balancer, both as asker and, if
+// it is a relay, as owner.
 //
-// Nothing here does I/O or reads a clock; random numbers come from the seed of a Book. A Book is
-// not safe for concurrent use.
+// The package does no I/O and reads no clock; random numbers come from the seed of a Limiter. A
+// Limiter is not safe for concurrent use.
 //
 // # Usage
 //
 //	rate, said := limit.Parse(response.Header.Values("Lotuswing-Limit"))
-//	book.Answered(target, limit.Answer{Said: said, Rate: rate, Asked: sent, Heard: now}, false)
-//	if standing, _ := book.Standing(target, now); standing == limit.Askable {
-//		ask, _ := book.Ask(target, now)
-//		reply := owner.Asked(addr, []limit.Ask{ask}, true, now) // at the owner
-//		book.Replied(ask, reply.Grants[0], reply.Askers, now)
+//	limiter.ObserveAnswer(target, limit.Answer{Said: said, Rate: rate, Asked: sent, Heard: now}, false)
+//	if standing, _ := limiter.Standing(target, now); standing == limit.Askable {
+//		ask, _ := limiter.Ask(target, now)
+//		reply := owner.HandleAsks(addr, []limit.Ask{ask}, true, now) // at the owner
+//		limiter.HandleReply(ask, reply.Grants[0], reply.Askers, now)
 //	}
-//	if book.Use(target, now).Admits() { send }
+//	if limiter.Use(target, now).Admits() { send }
 package limit
 
 import "github.com/lotuswing/lotuswing/coord/decimal"
 
-// Said is what the header of an answer says of a limit.
+// Said says whether an answer names a limit in its header.
 type Said uint8
 
-// What a header says.
+// The values of Said.
 const (
-	Nothing    Said = iota // there is none
-	Named                  // a limit
-	Unreadable             // something that is no limit, which neither names nor lifts one
+	Nothing    Said = iota // there is no limit header
+	Named                  // the header names a limit
+	Unreadable             // the header is not a valid limit, and neither sets nor lifts one
 )
 
-// String returns the word used in logs.
+// String returns the name used in logs.
 func (s Said) String() string { return [...]string{"nothing", "named", "unreadable"}[s] }
 
-// Parse reads the values of the header: one decimal number, not below 0, such as 12 or 2.5, in
-// requests a second. Signs, exponents, names of numbers and a second header are unreadable: an
-// endpoint whose word can be read in two ways has said nothing.
+// Parse parses the values of the limit header. A valid header is a single non-negative decimal
+// number, such as 12 or 2.5, in requests per second. Signs, exponents, names such as NaN and a
+// repeated header are unreadable, because the meaning of an ambiguous header is unknown.
 func Parse(values []string) (perSecond float64, s Said) {
 	switch len(values) {
 	case 0:
--- a/coord/limit/limit_test.go
+++ b/coord/limit/limit_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestParse: what is a limit and what is not.
+// TestParse checks which headers are valid limits.
 func TestParse(t *testing.T) {
 	for _, c := range []struct {
 		values []string
@@ -48,7 +48,7 @@
 	}
 }
 
-// FuzzParse: whatever an endpoint sends, a limit is a finite number not below 0.
+// FuzzParse checks that a parsed limit is a finite, non-negative number for any header.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{"", "0", "2.5", "-0", "1e309", "NaN", strings.Repeat("9", 80), "\x00", "1\r\n2"} {
 		f.Add(seed)
@@ -63,7 +63,7 @@
 
 var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// at returns a time so many milliseconds after the start.
+// at returns the time that is ms milliseconds after testStart.
 func at(ms int) time.Time { return testStart.Add(time.Duration(ms) * time.Millisecond) }
 
 func named(rate float64, asked, heard int) Answer {
@@ -72,8 +72,9 @@
 
 func without(asked, heard int) Answer { return Answer{Asked: at(asked), Heard: at(heard)} }
 
-// TestAnswersThatCross: the newest word counts, and of two that crossed the stricter one.
-func TestAnswersThatCross(t *testing.T) {
+// TestOutOfOrderAnswers checks that the newest answer is in force, and that the lower limit is in
+// force if two requests overlapped.
+func TestOutOfOrderAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		answers []Answer
 		rate    float64
@@ -82,7 +83,7 @@
 		"named":                               {answers: []Answer{named(3, 0, 10)}, rate: 3},
 		"lowered":                             {answers: []Answer{named(3, 0, 10), named(2, 10, 20)}, rate: 2},
 		"raised":                              {answers: []Answer{named(3, 0, 10), named(5, 10, 20)}, rate: 5},
-		"raised, crossed":                     {answers: []Answer{named(3, 0, 10), named(5, 5, 20)}, rate: 3},
+		"raised, overlapping":                 {answers: []Answer{named(3, 0, 10), named(5, 5, 20)}, rate: 3},
 		"an older, higher one comes late":     {answers: []Answer{named(3, 10, 20), named(5, 0, 30)}, rate: 3},
 		"lifted":                              {answers: []Answer{named(3, 0, 10), without(10, 20)}, rate: 3, lifted: true},
 		"sent before it was named":            {answers: []Answer{named(3, 5, 10), without(0, 20)}, rate: 3},
@@ -91,10 +92,10 @@
 		"named again":                         {answers: []Answer{named(3, 0, 10), without(10, 20), named(4, 20, 30)}, rate: 4},
 		"lifted after a late one":             {answers: []Answer{named(3, 0, 10), without(10, 20), named(3, 15, 25), without(25, 30)}, rate: 3, lifted: true},
 		"unreadable":                          {answers: []Answer{named(3, 0, 10), {Said: Unreadable, Asked: at(10), Heard: at(20)}}, rate: 3},
-		"of a sort that may lack it":          {answers: []Answer{named(3, 0, 10), {Asked: at(10), Heard: at(20), Mute: true}}, rate: 3},
+		"a mute answer":                       {answers: []Answer{named(3, 0, 10), {Asked: at(10), Heard: at(20), Mute: true}}, rate: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var w Word
+			var w Observation
 			for _, a := range c.answers {
 				w = w.With(a)
 			}
@@ -102,12 +103,13 @@
 			assert.Equal(t, w.Lifted(), c.lifted)
 		})
 	}
-	assert.Assert(t, !Word{}.With(without(0, 10)).Known(), "who names nothing has no limit")
+	assert.Assert(t, !Observation{}.With(without(0, 10)).Known(), "an endpoint without a header has no limit")
 }
 
-// TestTheRateComesBackSlowly once a limit is lifted.
-func TestTheRateComesBackSlowly(t *testing.T) {
-	w := Word{}.With(named(2, 0, 10)).With(without(10, 20))
+// TestRateRampsUpAfterLift checks that the rate doubles every 500 ms after a limit is lifted, and
+// is unlimited after 2 s.
+func TestRateRampsUpAfterLift(t *testing.T) {
+	w := Observation{}.With(named(2, 0, 10)).With(without(10, 20))
 	for _, c := range []struct {
 		ms      int
 		rate    float64
@@ -117,48 +119,50 @@
 		assert.Equal(t, limited, c.limited, "%d ms", c.ms)
 		assert.Assert(t, math.Abs(rate-c.rate) < 0.1, "%d ms: %v", c.ms, rate)
 	}
-	rate, limited := Word{}.With(named(0, 0, 10)).With(without(10, 20)).RateAt(at(20))
-	assert.Assert(t, limited && rate == leastRamp, "%v", rate)
+	rate, limited := Observation{}.With(named(0, 0, 10)).With(without(10, 20)).RateAt(at(20))
+	assert.Assert(t, limited && rate == minRampRate, "%v", rate)
 }
 
-// TestWhatOthersHearAtOnce.
-func TestWhatOthersHearAtOnce(t *testing.T) {
-	w := Word{}.With(named(2, 0, 10))
-	assert.Assert(t, w.News(Word{}))
-	assert.Assert(t, !w.With(named(2.4, 10, 20)).News(w))
-	assert.Assert(t, w.With(named(2.6, 10, 20)).News(w))
-	assert.Assert(t, w.With(named(1.5, 10, 20)).News(w))
-	assert.Assert(t, w.With(named(0, 10, 20)).News(w))
+// TestIsNewsTo checks which changes of a limit are reported at once.
+func TestIsNewsTo(t *testing.T) {
+	w := Observation{}.With(named(2, 0, 10))
+	assert.Assert(t, w.IsNewsTo(Observation{}))
+	assert.Assert(t, !w.With(named(2.4, 10, 20)).IsNewsTo(w))
+	assert.Assert(t, w.With(named(2.6, 10, 20)).IsNewsTo(w))
+	assert.Assert(t, w.With(named(1.5, 10, 20)).IsNewsTo(w))
+	assert.Assert(t, w.With(named(0, 10, 20)).IsNewsTo(w))
 	lifted := w.With(without(10, 20))
-	assert.Assert(t, lifted.News(w))
-	assert.Assert(t, !lifted.With(without(20, 30)).News(lifted))
+	assert.Assert(t, lifted.IsNewsTo(w))
+	assert.Assert(t, !lifted.With(without(20, 30)).IsNewsTo(lifted))
 }
 
-// TestToldWordsKeepTheirOrder: what another balancer tells counts by the same order.
-func TestToldWordsKeepTheirOrder(t *testing.T) {
-	w := Word{}.With(named(2, 0, 10))
-	told := w.Told(at(15)).Word(at(15))
+// TestWireObservationsKeepTheirOrder checks that observations from other balancers are ordered
+// like local ones, and that invalid ones are ignored.
+func TestWireObservationsKeepTheirOrder(t *testing.T) {
+	w := Observation{}.With(named(2, 0, 10))
+	told := w.WireObservation(at(15)).Observation(at(15))
 	assert.Equal(t, told, w)
-	later := Word{}.With(named(5, 20, 30)).Told(at(40)).Word(at(41))
-	assert.Equal(t, w.Join(later).Rate(), 5.0)
-	assert.Equal(t, later.Join(w).Rate(), 5.0)
-	for _, bad := range []Told{{}, {Rate: math.NaN()}, {Rate: math.Inf(1)}, {Rate: -1}, {HeardAge: -1}, {AskedAge: 1, HeardAge: 2}} {
-		assert.Assert(t, !bad.Word(at(0)).Known(), "%+v", bad)
-		bad.Known = bad != Told{}
-		assert.Assert(t, !bad.Word(at(0)).Known(), "%+v", bad)
+	later := Observation{}.With(named(5, 20, 30)).WireObservation(at(40)).Observation(at(41))
+	assert.Equal(t, w.Merge(later).Rate(), 5.0)
+	assert.Equal(t, later.Merge(w).Rate(), 5.0)
+	for _, bad := range []WireObservation{{}, {Rate: math.NaN()}, {Rate: math.Inf(1)}, {Rate: -1}, {HeardAge: -1}, {AskedAge: 1, HeardAge: 2}} {
+		assert.Assert(t, !bad.Observation(at(0)).Known(), "%+v", bad)
+		bad.Known = bad != WireObservation{}
+		assert.Assert(t, !bad.Observation(at(0)).Known(), "%+v", bad)
 	}
 }
 
-// TestAskForLessThanNothing, or for all there could be, gets no more than there is.
-func TestAskForLessThanNothing(t *testing.T) {
-	b := NewBook(1)
-	word := Word{}.With(named(2, 0, 10)).Told(at(10))
+// TestAskWithExtremeWant checks that a negative count adds no tokens, and that a huge one gets no
+// more permits than the bucket holds.
+func TestAskWithExtremeWant(t *testing.T) {
+	b := NewLimiter(1)
+	word := Observation{}.With(named(2, 0, 10)).WireObservation(at(10))
 	target := Target{ID: "i-1"}
-	b.Asked("a", []Ask{{Target: target, Want: 1, Word: word}}, true, at(10))
+	b.HandleAsks("a", []Ask{{Target: target, Want: 1, Word: word}}, true, at(10))
 	for _, want := range []int{-1000, math.MinInt, 0} {
-		r := b.Asked("a", []Ask{{Target: target, Want: want, Word: word}}, true, at(20))
+		r := b.HandleAsks("a", []Ask{{Target: target, Want: want, Word: word}}, true, at(20))
 		assert.Equal(t, r.Grants[0].Permits, 0)
 	}
-	r := b.Asked("a", []Ask{{Target: target, Want: math.MaxInt, Word: word}}, true, at(5000))
-	assert.Equal(t, r.Grants[0].Permits, leastBurst)
+	r := b.HandleAsks("a", []Ask{{Target: target, Want: math.MaxInt, Word: word}}, true, at(5000))
+	assert.Equal(t, r.Grants[0].Permits, minBurst)
 }
--- a/coord/limit/owner.go
+++ b/coord/limit/owner.go
@@ -5,83 +5,86 @@
 	"time"
 )
 
-// What a book does at a relay: it keeps the buckets of endpoints from what others ask.
+// This file holds the part of a Limiter that runs at a relay: it keeps the token buckets of the
+// endpoints that the relay owns.
 
 const (
-	// askerFor is how long a balancer counts among those that ask.
-	askerFor = 15 * time.Second
-	// doubtfulPart is the part of a limit that an owner gives out which does not hear of the
-	// store: another balancer may have become the relay in its place, and gives out the whole.
-	doubtfulPart = 0.5
+	// askerTTL is how long a balancer counts as an asker after its last ask.
+	askerTTL = 15 * time.Second
+	// disconnectedShare is the fraction of a limit that an owner grants while it is disconnected
+	// from the store: another balancer may have become the relay and may be granting the whole
+	// limit.
+	disconnectedShare = 0.5
 )
 
-// Asked answers another balancer's asks, or this one's own. settled says that this relay hears of
-// the store.
-func (b *Book) Asked(from string, asks []Ask, settled bool, now time.Time) Reply {
-	r := Reply{Taken: true, Askers: b.countAsker(from, now)}
+// HandleAsks replies to asks of the balancer at address from, which may be this one. connected says
+// that this relay is connected to the store.
+func (l *Limiter) HandleAsks(from string, asks []Ask, connected bool, now time.Time) Reply {
+	r := Reply{Taken: true, Askers: l.recordAsker(from, now)}
 	for _, a := range asks {
-		b.Learn(a.Target, a.Word, now)
-		if e, ok := b.known[a.Target]; ok {
-			e.probes = e.probes || a.Probes
-			r.Grants = append(r.Grants, b.grant(e, a, settled, now))
+		l.MergeRemote(a.Target, a.Word, now)
+		if e, ok := l.known[a.Target]; ok {
+			e.probesNameLimit = e.probesNameLimit || a.Probes
+			r.Grants = append(r.Grants, l.grant(e, a, connected, now))
 		}
 	}
 	return r
 }
 
-// grant decides about one ask.
-func (b *Book) grant(e *entry, a Ask, settled bool, now time.Time) Grant {
-	want := max(0, a.Want) // less than none would fill the bucket
-	g := Grant{Target: a.Target, Permits: want, Word: e.word.Told(now), Probes: e.probes}
-	rate, limited := e.word.RateAt(now)
+// grant returns the reply to one ask.
+func (l *Limiter) grant(e *entry, a Ask, connected bool, now time.Time) Grant {
+	want := max(0, a.Want) // a negative count would add tokens
+	g := Grant{Target: a.Target, Permits: want, Word: e.observed.WireObservation(now), Probes: e.probesNameLimit}
+	rate, limited := e.observed.RateAt(now)
 	if !limited || want == 0 {
 		return g
 	}
-	if !e.probes {
-		rate = max(rate, trialRate)
+	if !e.probesNameLimit {
+		rate = max(rate, minTrialRate)
 	}
-	if !settled {
-		rate *= doubtfulPart
+	if !connected {
+		rate *= disconnectedShare
 	}
 	var d decision
-	e.bucket, d = e.bucket.withAsk(rate, want, b.rng.Float64(), now)
-	g.Permits, g.After, g.Look = d.permits, d.after, d.look && e.probes
+	e.bucket, d = e.bucket.withAsk(rate, want, l.rng.Float64(), now)
+	g.Permits, g.After, g.Look = d.permits, d.retryAfter, d.probe && e.probesNameLimit
 	return g
 }
 
-// countAsker notes who asks and returns how many have lately. Those that ask no more are dropped
-// seldom, because that looks at all.
-func (b *Book) countAsker(from string, now time.Time) int {
-	b.askers[from] = now
-	if now.Sub(b.pruned) > askerFor/10 {
-		b.pruned = now
-		maps.DeleteFunc(b.askers, func(_ string, at time.Time) bool { return now.Sub(at) > askerFor })
+// recordAsker records that a balancer asked, and returns how many have asked lately. Expired ones
+// are removed only every askerTTL/10, because that scans all of them.
+func (l *Limiter) recordAsker(from string, now time.Time) int {
+	l.askers[from] = now
+	if now.Sub(l.askersPrunedAt) > askerTTL/10 {
+		l.askersPrunedAt = now
+		maps.DeleteFunc(l.askers, func(_ string, at time.Time) bool { return now.Sub(at) > askerTTL })
 	}
-	return len(b.askers)
+	return len(l.askers)
 }
 
-// Note returns what all balancers should hear of an endpoint from its owner, where there is
-// something. It is told then.
-func (b *Book) Note(t Target, now time.Time) (told Told, ok bool) {
-	e, known := b.known[t]
+// TakeNote returns the observation that the owner should publish to all balancers now, and records
+// it as published. ok is false if minNoteInterval has not passed since the last note, or there is
+// no news and noteRefreshInterval has not passed.
+func (l *Limiter) TakeNote(t Target, now time.Time) (news WireObservation, ok bool) {
+	e, known := l.known[t]
 	if !known {
-		return Told{}, false
+		return WireObservation{}, false
 	}
 	since := now.Sub(e.notedAt)
-	renew := !e.word.Lifted() && since >= renewEvery
-	if !e.notedAt.IsZero() && since < noteEvery || !e.word.News(e.noted) && !renew {
-		return Told{}, false
+	renew := !e.observed.Lifted() && since >= noteRefreshInterval
+	if !e.notedAt.IsZero() && since < minNoteInterval || !e.observed.IsNewsTo(e.lastNoted) && !renew {
+		return WireObservation{}, false
 	}
-	e.noted, e.notedAt = e.word, now
-	return e.word.Told(now), true
+	e.lastNoted, e.notedAt = e.observed, now
+	return e.observed.WireObservation(now), true
 }
 
-// NoteDue returns when there may be something to tell all balancers of an endpoint that was told
-// of too lately; ok is false where there is nothing.
-func (b *Book) NoteDue(t Target, now time.Time) (after time.Duration, ok bool) {
-	e, known := b.known[t]
-	if !known || !e.word.News(e.noted) {
+// NoteDelay returns how long to wait before TakeNote may return a note that is held back by
+// minNoteInterval. ok is false if there is nothing new to publish.
+func (l *Limiter) NoteDelay(t Target, now time.Time) (after time.Duration, ok bool) {
+	e, known := l.known[t]
+	if !known || !e.observed.IsNewsTo(e.lastNoted) {
 		return 0, false
 	}
-	return max(0, noteEvery-now.Sub(e.notedAt)), true
+	return max(0, minNoteInterval-now.Sub(e.notedAt)), true
 }
--- a/coord/limit/status.go
+++ b/coord/limit/status.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Status is what is known of an endpoint's limit, for operators.
+// Status is what operators see of the limit of one endpoint.
 type Status struct {
-	PerSecond float64       // that it names or, where it is lifted, named
-	Now       float64       // requests a second that it gets; 0 where there is no limit any more
-	Age       time.Duration // of its last word
-	Sent      int64         // requests of this balancer under the limit
-	Denied    int64         // asks of this balancer in vain
-	Alone     bool          // its owner does not answer
-	Given     int64         // requests that this balancer has let go as its owner
-	Asks      float64       // a second, of the last seconds, as its owner
+	PerSecond float64       // the limit in requests per second; if lifted, the last one
+	Now       float64       // requests per second that the endpoint may get now; 0 if no limit applies any more
+	Age       time.Duration // time since the answer that last named or lifted the limit
+	Sent      int64         // requests that this balancer sent under the limit
+	Denied    int64         // asks of this balancer that got fewer permits than they wanted
+	Alone     bool          // the owner does not reply
+	Given     int64         // permits that this balancer has granted as the owner
+	Asks      float64       // asks per second that this balancer gets as the owner, averaged over the last seconds
 }
 
-// Targets returns the endpoints of which anything is known, in order.
-func (b *Book) Targets() []Target {
-	return slices.SortedFunc(maps.Keys(b.known), func(x, y Target) int {
+// Targets returns the endpoints with an entry, ordered by ID and start.
+func (l *Limiter) Targets() []Target {
+	return slices.SortedFunc(maps.Keys(l.known), func(x, y Target) int {
 		if c := strings.Compare(x.ID, y.ID); c != 0 {
 			return c
 		}
@@ -29,24 +29,24 @@
 	})
 }
 
-// Status returns what is known of one endpoint.
-func (b *Book) Status(t Target, now time.Time) Status {
-	e, ok := b.known[t]
+// Status returns the status of one endpoint; the zero value if it has no entry.
+func (l *Limiter) Status(t Target, now time.Time) Status {
+	e, ok := l.known[t]
 	if !ok {
 		return Status{}
 	}
-	rate, _ := e.word.RateAt(now)
+	rate, _ := e.observed.RateAt(now)
 	return Status{
-		PerSecond: e.word.rate, Now: rate, Age: now.Sub(e.word.heard), Sent: e.sent, Denied: e.denied,
-		Alone: !e.account.opens.IsZero(), Given: e.bucket.given, Asks: e.bucket.asksAt(now),
+		PerSecond: e.observed.rate, Now: rate, Age: now.Sub(e.observed.heard), Sent: e.sent, Denied: e.denied,
+		Alone: !e.allowance.fallbackAt.IsZero(), Given: e.bucket.granted, Asks: e.bucket.askRateAt(now),
 	}
 }
 
-// Limited returns how many endpoints have a limit now.
-func (b *Book) Limited(now time.Time) int {
+// Limited returns the number of endpoints with a limit at now.
+func (l *Limiter) Limited(now time.Time) int {
 	n := 0
-	for _, e := range b.known {
-		if _, limited := e.word.RateAt(now); limited {
+	for _, e := range l.known {
+		if _, limited := e.observed.RateAt(now); limited {
 			n++
 		}
 	}
--- a/coord/limit/word.go
+++ b/coord/limit/word.go
@@ -6,136 +6,141 @@
 )
 
 const (
-	// rampDoubling is in which time the rate doubles that an endpoint gets after its limit
-	// is lifted, and rampFor how long that goes on: all balancers see it idle at once.
-	rampDoubling = 500 * time.Millisecond
-	rampFor      = 4 * rampDoubling
-	// leastRamp is where the rate begins at the least, in requests a second.
-	leastRamp = 1
-	// notable is the factor by which a limit changes so that others should hear of it at once.
-	notable = 1.25
+	// rampDoublingTime is the time in which the allowed rate doubles after a limit is lifted, and
+	// rampDuration how long that continues before the endpoint is unlimited. Without the ramp, all
+	// balancers would send to the idle endpoint at once.
+	rampDoublingTime = 500 * time.Millisecond
+	rampDuration     = 4 * rampDoublingTime
+	// minRampRate is the lowest rate, in requests per second, at which the ramp starts.
+	minRampRate = 1
+	// significantChange is the factor by which a limit must change to be reported to other
+	// balancers at once.
+	significantChange = 1.25
 )
 
-// Answer is what one answer of an endpoint said of its limit.
+// Answer is what one answer of an endpoint said about its limit.
 type Answer struct {
 	Said  Said
-	Rate  float64   // requests a second, where one is named
+	Rate  float64   // requests per second, if Said is Named
 	Asked time.Time // when the request was sent
-	Heard time.Time // when the head of the answer came
-	// Mute: an answer of this sort may lack the header while a limit is in force.
+	Heard time.Time // when the header of the answer arrived
+	// Mute says that an answer of this kind may lack the header while a limit is in force.
 	Mute bool
 }
 
-// Word is what an endpoint last said of its limit. It is an immutable value; the zero value
-// says that it never named one.
-type Word struct {
-	rate   float64 // requests a second; of a limit that is lifted, what it was
+// Observation is what an endpoint last said about its limit. It is an immutable value; the zero
+// value says that the endpoint has never named one.
+type Observation struct {
+	rate   float64 // requests per second; of a lifted limit, the last value
 	lifted bool
 	asked  time.Time // when the request was sent whose answer said it
-	heard  time.Time // when that answer came
+	heard  time.Time // when that answer arrived
 }
 
 // Known reports whether the endpoint has ever named a limit.
-func (w Word) Known() bool { return !w.heard.IsZero() }
+func (o Observation) Known() bool { return !o.heard.IsZero() }
 
-// Lifted reports whether the endpoint no longer names the limit that it had.
-func (w Word) Lifted() bool { return w.lifted }
+// Lifted reports whether the endpoint has stopped naming the limit that it had.
+func (o Observation) Lifted() bool { return o.lifted }
 
-// Rate returns the limit, in requests a second; of one that is lifted, what it was.
-func (w Word) Rate() float64 { return w.rate }
+// Rate returns the limit in requests per second; of a lifted limit, the last value.
+func (o Observation) Rate() float64 { return o.rate }
 
-// Heard returns when the answer came that said it.
-func (w Word) Heard() time.Time { return w.heard }
+// Heard returns when the answer arrived that named or lifted the limit.
+func (o Observation) Heard() time.Time { return o.heard }
 
-// With returns the word after an answer. One without a limit lifts a limit only if its request
-// was sent after that was heard: until then it may have been written before.
-func (w Word) With(a Answer) Word {
+// With returns the observation after an answer. An answer without a limit lifts a limit only if
+// its request was sent after the limit was observed: otherwise the answer may have been written
+// before the limit was set.
+func (o Observation) With(a Answer) Observation {
 	switch {
 	case a.Said == Named:
-		return w.Join(Word{rate: a.Rate, asked: a.Asked, heard: a.Heard})
-	case a.Said == Unreadable || a.Mute || !w.Known() || w.lifted || a.Asked.Before(w.heard):
-		return w
+		return o.Merge(Observation{rate: a.Rate, asked: a.Asked, heard: a.Heard})
+	case a.Said == Unreadable || a.Mute || !o.Known() || o.lifted || a.Asked.Before(o.heard):
+		return o
 	}
-	return w.Join(Word{rate: w.rate, lifted: true, asked: a.Asked, heard: a.Heard})
+	return o.Merge(Observation{rate: o.rate, lifted: true, asked: a.Asked, heard: a.Heard})
 }
 
-// Join returns which of two words of one endpoint counts: the one whose request was sent after
-// the other one had come. Of two that crossed, nobody knows which was said last. The lower limit
-// counts, until an answer comes that was asked for later; but between a limit and its end the
-// one that came last does: whoever said that it is over had asked after a word that named it.
-func (w Word) Join(o Word) Word {
+// Merge returns which of two observations of one endpoint is in force: the one whose request was
+// sent after the answer of the other one had arrived. If the two overlapped in time, it is unknown
+// which one the endpoint said last. Then the lower limit is in force, until a later request is
+// answered. But between a limit and its lifting, the answer that arrived last counts: a limit is
+// lifted only by a request that was sent after the limit was observed.
+func (o Observation) Merge(other Observation) Observation {
 	switch {
-	case !w.Known(), o.Known() && !o.asked.Before(w.heard):
-		return o
-	case !o.Known(), !w.asked.Before(o.heard):
-		return w
-	case w.lifted == o.lifted && w.rate != o.rate:
-		return lower(w, o)
-	case o.heard.After(w.heard):
+	case !o.Known(), other.Known() && !other.asked.Before(o.heard):
+		return other
+	case !other.Known(), !o.asked.Before(other.heard):
 		return o
+	case o.lifted == other.lifted && o.rate != other.rate:
+		return lower(o, other)
+	case other.heard.After(o.heard):
+		return other
 	}
-	return w
+	return o
 }
 
-// lower returns the word that names less.
-func lower(w, o Word) Word {
-	if o.rate < w.rate {
-		return o
+// lower returns the observation with the lower rate.
+func lower(o, other Observation) Observation {
+	if other.rate < o.rate {
+		return other
 	}
-	return w
+	return o
 }
 
-// stricter reports whether a word allows less than another one.
-func (w Word) stricter(o Word) bool {
-	if w.lifted != o.lifted {
-		return o.lifted
+// stricterThan reports whether o allows fewer requests than other.
+func (o Observation) stricterThan(other Observation) bool {
+	if o.lifted != other.lifted {
+		return other.lifted
 	}
-	return w.rate < o.rate
+	return o.rate < other.rate
 }
 
-// echoFor is how much later a word may seem that comes back from another balancer than it was
-// heard here: what ages do not tell is the time on the way.
-const echoFor = 250 * time.Millisecond
+// echoTolerance bounds how much later an observation may seem to be when it returns from another
+// balancer, because the transmitted ages do not include the time in transit.
+const echoTolerance = 250 * time.Millisecond
 
-// echoes reports whether a word from another balancer is this one once more.
-func (w Word) echoes(o Word) bool {
-	return w.rate == o.rate && w.lifted == o.lifted && o.heard.Sub(w.heard).Abs() < echoFor
+// isEchoOf reports whether o and other, which was received from another balancer, are the same
+// observation.
+func (o Observation) isEchoOf(other Observation) bool {
+	return o.rate == other.rate && o.lifted == other.lifted && other.heard.Sub(o.heard).Abs() < echoTolerance
 }
 
-// RateAt returns how many requests a second the endpoint gets at now from all balancers
-// together; limited is false where there is no bound. After a limit is lifted the rate grows
-// for a while before there is none.
-func (w Word) RateAt(now time.Time) (perSecond float64, limited bool) {
+// RateAt returns how many requests per second the endpoint may get from all balancers together at
+// now; limited is false if there is no bound. After a limit is lifted the rate ramps up for
+// rampDuration before the bound is removed.
+func (o Observation) RateAt(now time.Time) (perSecond float64, limited bool) {
 	switch {
-	case !w.Known():
+	case !o.Known():
 		return 0, false
-	case !w.lifted:
-		return w.rate, true
+	case !o.lifted:
+		return o.rate, true
 	}
-	since := max(0, now.Sub(w.heard))
-	if since >= rampFor {
+	since := max(0, now.Sub(o.heard))
+	if since >= rampDuration {
 		return 0, false
 	}
-	return max(leastRamp, w.rate) * math.Exp2(float64(since)/float64(rampDoubling)), true
+	return max(minRampRate, o.rate) * math.Exp2(float64(since)/float64(rampDoublingTime)), true
 }
 
-// News reports whether a word tells something that others should hear at once, to those that
-// know another one: that there is a limit, that there is none any more, or a rather different
-// one.
-func (w Word) News(known Word) bool {
+// IsNewsTo reports whether o should be sent at once to balancers that have the observation known:
+// a limit was named for the first time, lifted or named again, or its rate has changed by more
+// than the factor significantChange.
+func (o Observation) IsNewsTo(known Observation) bool {
 	switch {
-	case w.Known() != known.Known() || w.lifted != known.lifted:
+	case o.Known() != known.Known() || o.lifted != known.lifted:
 		return true
-	case w.lifted:
+	case o.lifted:
 		return false
 	}
-	return max(w.rate, known.rate) > notable*min(w.rate, known.rate)
+	return max(o.rate, known.rate) > significantChange*min(o.rate, known.rate)
 }
 
-// Told is a word as balancers tell it one another, by ages because their clocks differ. Package
-// gob sends the names of the fields, and package json those of a note. The zero value tells
-// nothing.
-type Told struct {
+// WireObservation is an Observation as balancers exchange it. It holds ages instead of times,
+// because their clocks differ. Packages gob, in asks, and json, in notes, write the field names.
+// The zero value is no observation.
+type WireObservation struct {
 	Known    bool
 	Rate     float64
 	Lifted   bool
@@ -143,19 +148,19 @@
 	HeardAge time.Duration
 }
 
-// Told returns the word as it is told at now.
-func (w Word) Told(now time.Time) Told {
-	if !w.Known() {
-		return Told{}
+// WireObservation returns the observation as it is sent at now.
+func (o Observation) WireObservation(now time.Time) WireObservation {
+	if !o.Known() {
+		return WireObservation{}
 	}
-	return Told{Known: true, Rate: w.rate, Lifted: w.lifted, AskedAge: now.Sub(w.asked), HeardAge: now.Sub(w.heard)}
+	return WireObservation{Known: true, Rate: o.rate, Lifted: o.lifted, AskedAge: now.Sub(o.asked), HeardAge: now.Sub(o.heard)}
 }
 
-// Word returns a word that was told, as it was heard at now. What makes no sense is none.
-func (t Told) Word(now time.Time) Word {
-	finite := !math.IsNaN(t.Rate) && !math.IsInf(t.Rate, 0) && t.Rate >= 0
-	if !t.Known || !finite || t.HeardAge < 0 || t.AskedAge < t.HeardAge {
-		return Word{}
+// Observation returns the observation that was received at now; the zero value if it is invalid.
+func (w WireObservation) Observation(now time.Time) Observation {
+	finite := !math.IsNaN(w.Rate) && !math.IsInf(w.Rate, 0) && w.Rate >= 0
+	if !w.Known || !finite || w.HeardAge < 0 || w.AskedAge < w.HeardAge {
+		return Observation{}
 	}
-	return Word{rate: t.Rate, lifted: t.Lifted, asked: now.Add(-t.AskedAge), heard: now.Add(-t.HeardAge)}
+	return Observation{rate: w.Rate, lifted: w.Lifted, asked: now.Add(-w.AskedAge), heard: now.Add(-w.HeardAge)}
 }
--- a/limits/carry.go
+++ b/limits/carry.go
@@ -38,7 +38,7 @@
 // tell tells an endpoint's owner what the endpoint has said, where that is news for it; k.mu is
 // held.
 func (k *Keeper) tell(e Endpoint, a limit.Answer) {
-	if ask, ok := k.book.Tell(e.target(), a.Heard); ok {
+	if ask, ok := k.book.Report(e.target(), a.Heard); ok {
 		go k.ask(context.Background(), e, ask)
 	}
 }
--- a/limits/hear.go
+++ b/limits/hear.go
@@ -31,9 +31,9 @@
 	if a.Said == limit.Unreadable {
 		k.noteUnread(e, a.Heard)
 	}
-	before := k.book.Word(e.target())
-	k.book.Answered(e.target(), a, from == fromProbe)
-	if !k.book.Word(e.target()).Known() {
+	before := k.book.Observation(e.target())
+	k.book.ObserveAnswer(e.target(), a, from == fromProbe)
+	if !k.book.Observation(e.target()).Known() {
 		return
 	}
 	k.remember(e)
@@ -49,7 +49,7 @@
 		return
 	}
 	for t := range k.endpoints {
-		if !k.book.Word(t).Known() {
+		if !k.book.Observation(t).Known() {
 			delete(k.endpoints, t)
 			delete(k.warned, t)
 		}
@@ -57,14 +57,14 @@
 }
 
 // noteWord logs what is news of an endpoint; k.mu is held.
-func (k *Keeper) noteWord(e Endpoint, before limit.Word, from string, now time.Time) {
-	w := k.book.Word(e.target())
+func (k *Keeper) noteWord(e Endpoint, before limit.Observation, from string, now time.Time) {
+	w := k.book.Observation(e.target())
 	k.some.Store(int64(k.book.Len()))
 	if w == before {
 		return
 	}
 	log := k.cfg.Log.Debug
-	if w.News(before) {
+	if w.IsNewsTo(before) {
 		log = k.cfg.Log.Info
 	}
 	log("endpoint limit", "endpoint", e.ID, "start", e.Start, "service", e.Service, "state", stateOf(w), "per_second", w.Rate(),
@@ -72,7 +72,7 @@
 }
 
 // stateOf returns the word used in logs.
-func stateOf(w limit.Word) string {
+func stateOf(w limit.Observation) string {
 	switch {
 	case !w.Known():
 		return "none"
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -73,7 +73,7 @@
 
 	mu        sync.Mutex
 	carrier   Carrier // nil before SetCarrier, and where there is none
-	book      *limit.Book
+	book      *limit.Limiter
 	endpoints map[limit.Target]Endpoint
 	warned    map[limit.Target]time.Time // when a header that could not be read was last logged
 	noting    map[limit.Target]bool      // a note will be told in a moment
@@ -95,7 +95,7 @@
 // New returns a keeper that has heard of no limit.
 func New(cfg Config) *Keeper {
 	return &Keeper{
-		cfg: cfg, counters: newCounters(cfg.Metrics), book: limit.NewBook(rand.Uint64()), endpoints: map[limit.Target]Endpoint{},
+		cfg: cfg, counters: newCounters(cfg.Metrics), book: limit.NewLimiter(rand.Uint64()), endpoints: map[limit.Target]Endpoint{},
 		warned: map[limit.Target]time.Time{}, noting: map[limit.Target]bool{},
 	}
 }
@@ -173,15 +173,15 @@
 	if err != nil {
 		k.counters.unanswered.Inc(1)
 		k.cfg.Log.Debug("limit not asked for", "endpoint", e.ID, "error", err)
-		k.book.Unanswered(a, now)
+		k.book.HandleNoReply(a, now)
 		return false
 	}
 	g := r.Grants[0]
 	if g.Permits < a.Want {
 		k.counters.denied.Inc(1)
 	}
-	before := k.book.Word(a.Target)
-	look = k.book.Replied(a, g, r.Askers, now)
+	before := k.book.Observation(a.Target)
+	look = k.book.HandleReply(a, g, r.Askers, now)
 	k.noteWord(e, before, fromOwner, now)
 	return look
 }
@@ -202,11 +202,11 @@
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	before := make([]limit.Word, len(asks))
+	before := make([]limit.Observation, len(asks))
 	for i, a := range asks {
-		before[i] = k.book.Word(a.Target)
+		before[i] = k.book.Observation(a.Target)
 	}
-	r := k.book.Asked(from, asks, inTouch, now)
+	r := k.book.HandleAsks(from, asks, inTouch, now)
 	for i, a := range asks {
 		e := k.endpointOf(a.Target)
 		k.noteWord(e, before[i], fromBalancer, now)
--- a/limits/notes.go
+++ b/limits/notes.go
@@ -17,7 +17,7 @@
 // note is the data of one, as JSON.
 type note struct {
 	Target limit.Target
-	Word   limit.Told
+	Word   limit.WireObservation
 }
 
 // tellAll tells all balancers what they should hear of an endpoint, now or as soon as it may be
@@ -27,11 +27,11 @@
 		return
 	}
 	t := e.target()
-	if told, ok := k.book.Note(t, now); ok {
+	if told, ok := k.book.TakeNote(t, now); ok {
 		go k.publish(k.carrier, note{Target: t, Word: told})
 		return
 	}
-	after, due := k.book.NoteDue(t, now)
+	after, due := k.book.NoteDelay(t, now)
 	if !due || k.noting[t] {
 		return
 	}
@@ -66,8 +66,8 @@
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	before := k.book.Word(n.Target)
-	k.book.Learn(n.Target, n.Word, now)
+	before := k.book.Observation(n.Target)
+	k.book.MergeRemote(n.Target, n.Word, now)
 	k.noteWord(k.endpointOf(n.Target), before, fromNote, now)
 	return nil
 }
--- a/limits/status.go
+++ b/limits/status.go
@@ -37,7 +37,7 @@
 // statusOf returns what is known of one; k.mu is held.
 func (k *Keeper) statusOf(t limit.Target, now time.Time) Status {
 	e := k.endpointOf(t)
-	st := Status{Endpoint: e.ID, Service: e.Service, Zone: e.Zone, State: stateOf(k.book.Word(t)), Status: k.book.Status(t, now)}
+	st := Status{Endpoint: e.ID, Service: e.Service, Zone: e.Zone, State: stateOf(k.book.Observation(t)), Status: k.book.Status(t, now)}
 	if k.carrier == nil {
 		st.Owns = true
 		return st
