--- a/limits/carry.go
+++ b/limits/carry.go
@@ -7,38 +7,39 @@
 	"github.com/lotuswing/lotuswing/coord/limit"
 )
 
-// How asking fails.
+// Errors of asks that got no reply from an owner.
 var (
 	errNoOwner  = errors.New("limits: no relay is registered")
-	errNotTaken = errors.New("limits: the one that was asked is no relay, or of an earlier version")
+	errNotRelay = errors.New("limits: the balancer that was asked is not a relay, or runs an earlier version")
 )
 
-// carry asks the owner of an endpoint, which may be this balancer itself.
-func (k *Keeper) carry(ctx context.Context, e Endpoint, a limit.Ask) (limit.Reply, error) {
+// askOwner sends an ask to the owner of an endpoint, which may be this balancer, and returns its
+// reply. Without a carrier this balancer owns all endpoints.
+func (k *Keeper) askOwner(ctx context.Context, e Endpoint, a limit.Ask) (limit.Reply, error) {
 	k.mu.Lock()
 	c := k.carrier
 	k.mu.Unlock()
 	if c == nil {
-		return k.answer(k.cfg.Addr, []limit.Ask{a}, true), nil
+		return k.answerAsks(k.cfg.Addr, []limit.Ask{a}, true), nil
 	}
 	addr, ok := limit.Owner(e.Zone, a.Target, c.Owners())
 	switch {
 	case !ok:
 		return limit.Reply{}, errNoOwner
 	case addr == k.cfg.Addr:
-		return k.answer(addr, []limit.Ask{a}, c.InTouch()), nil
+		return k.answerAsks(addr, []limit.Ask{a}, c.InTouch()), nil
 	}
 	r, err := c.Ask(ctx, addr, []limit.Ask{a})
 	if err == nil && (!r.Taken || len(r.Grants) != 1) {
-		err = errNotTaken
+		err = errNotRelay
 	}
 	return r, err
 }
 
-// tell tells an endpoint's owner what the endpoint has said, where that is news for it; k.mu is
-// held.
-func (k *Keeper) tell(e Endpoint, a limit.Answer) {
-	if ask, ok := k.book.Report(e.target(), a.Heard); ok {
+// reportToOwner sends what the endpoint has said to its owner, if that is news to the owner. k.mu
+// must be held.
+func (k *Keeper) reportToOwner(e Endpoint, a limit.Answer) {
+	if ask, ok := k.limiter.Report(e.target(), a.Heard); ok {
 		go k.ask(context.Background(), e, ask)
 	}
 }
--- a/limits/fleet_test.go
+++ b/limits/fleet_test.go
@@ -16,23 +16,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// network carries asks and notes between keepers, by their addresses.
+// network delivers asks and notes between keepers, by address.
 type network struct {
-	mu      sync.Mutex
-	keepers map[string]*limits.Keeper
-	relays  []limit.Relay
-	cut     map[string]bool
-	old     map[string]bool // balancers of an earlier version
-	notes   int
+	mu             sync.Mutex
+	keepers        map[string]*limits.Keeper
+	relays         []limit.Relay
+	cut            map[string]bool
+	earlierVersion map[string]bool // balancers that run an earlier version
+	notes          int
 }
 
-// port is one keeper's way into the network.
-type port struct {
+// testCarrier is the Carrier of one keeper.
+type testCarrier struct {
 	net  *network
 	addr string
 }
 
-func (p port) Serving() bool {
+func (p testCarrier) Serving() bool {
 	for _, r := range p.Owners() {
 		if r.Addr == p.addr {
 			return true
@@ -41,30 +41,30 @@
 	return false
 }
 
-func (p port) InTouch() bool { return true }
+func (p testCarrier) InTouch() bool { return true }
 
-func (p port) Owners() []limit.Relay {
+func (p testCarrier) Owners() []limit.Relay {
 	p.net.mu.Lock()
 	defer p.net.mu.Unlock()
 	return p.net.relays
 }
 
-func (p port) Ask(_ context.Context, addr string, asks []limit.Ask) (limit.Reply, error) {
+func (p testCarrier) Ask(_ context.Context, addr string, asks []limit.Ask) (limit.Reply, error) {
 	time.Sleep(time.Millisecond)
 	p.net.mu.Lock()
-	k, cut, old := p.net.keepers[addr], p.net.cut[addr] || p.net.cut[p.addr], p.net.old[addr]
+	k, cut, earlierVersion := p.net.keepers[addr], p.net.cut[addr] || p.net.cut[p.addr], p.net.earlierVersion[addr]
 	p.net.mu.Unlock()
 	switch {
 	case cut:
 		time.Sleep(650 * time.Millisecond)
 		return limit.Reply{}, errors.New("unreachable")
-	case old:
+	case earlierVersion:
 		return limit.Reply{}, nil
 	}
 	return k.Asked(p.addr, asks), nil
 }
 
-func (p port) Publish(topic string, data []byte) error {
+func (p testCarrier) Publish(topic string, data []byte) error {
 	p.net.mu.Lock()
 	defer p.net.mu.Unlock()
 	p.net.notes++
@@ -76,57 +76,58 @@
 	return nil
 }
 
-// change changes what holds in the network.
-func (n *network) change(do func()) {
+// update runs do with the lock held.
+func (n *network) update(do func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do()
 }
 
-// told returns how many notes were told.
-func (n *network) told() int {
+// noteCount returns the number of published notes.
+func (n *network) noteCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.notes
 }
 
-// newNetwork starts keepers in two zones, "a" and "b", whose relays are a0 and b0.
+// newNetwork returns keepers in two zones, "a" and "b", whose relays are a0 and b0.
 func newNetwork() *network {
 	n := &network{
 		keepers: map[string]*limits.Keeper{}, relays: []limit.Relay{{Zone: "a", Addr: "a0"}, {Zone: "b", Addr: "b0"}},
-		cut: map[string]bool{}, old: map[string]bool{},
+		cut: map[string]bool{}, earlierVersion: map[string]bool{},
 	}
 	for _, addr := range []string{"a0", "a1", "a2", "b0", "b1"} {
 		k := limits.New(limits.Config{Addr: addr, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
-		k.SetCarrier(port{net: n, addr: addr})
+		k.SetCarrier(testCarrier{net: n, addr: addr})
 		n.keepers[addr] = k
 	}
 	return n
 }
 
-var inNeed = limits.Endpoint{ID: "i-1", Start: 1, Service: "archives", Zone: "a"}
+var overloaded = limits.Endpoint{ID: "i-1", Start: 1, Service: "archives", Zone: "a"}
 
-// says returns an answer to a request of now.
-func says(values ...string) limit.Answer {
+// answerNow returns an answer with the given header values to a request sent now.
+func answerNow(values ...string) limit.Answer {
 	rate, said := limit.Parse(values)
 	return limit.Answer{Said: said, Rate: rate, Asked: time.Now(), Heard: time.Now()}
 }
 
-// knows returns what a balancer may do with the endpoint.
-func (n *network) knows(addr string) limit.Standing {
-	s, _ := n.keepers[addr].Standing(inNeed, time.Now())
+// standing returns the standing of the endpoint at one balancer.
+func (n *network) standing(addr string) limit.Standing {
+	s, _ := n.keepers[addr].Standing(overloaded, time.Now())
 	return s
 }
 
-// press has all balancers send what they may for a while and returns how many requests went out.
-func (n *network) press(d time.Duration) int {
+// sendAll has all balancers send as many requests as they may for a while, and returns how many
+// were sent.
+func (n *network) sendAll(d time.Duration) int {
 	sent := 0
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, k := range n.keepers {
-			if s, _ := k.Standing(inNeed, time.Now()); s == limit.Askable {
-				k.Seek(context.Background(), inNeed, 25*time.Millisecond)
+			if s, _ := k.Standing(overloaded, time.Now()); s == limit.Askable {
+				k.Seek(context.Background(), overloaded, 25*time.Millisecond)
 			}
-			if s, _ := k.Standing(inNeed, time.Now()); s == limit.Held && k.Use(inNeed, time.Now()) {
+			if s, _ := k.Standing(overloaded, time.Now()); s == limit.Held && k.Use(overloaded, time.Now()) {
 				sent++
 			}
 		}
@@ -134,57 +135,58 @@
 	return sent
 }
 
-// TestAllKnowAndShareOneLimit: what one balancer hears of an endpoint all know at once, and all
-// together send what the limit allows, until it is lifted.
-func TestAllKnowAndShareOneLimit(t *testing.T) {
+// TestFleetSharesLimit checks that all balancers learn at once of a limit that one of them
+// observes, and that all together send as many requests as it allows until it is lifted.
+func TestFleetSharesLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		n.keepers["b1"].Answered(inNeed, says("2"))
+		n.keepers["b1"].Answered(overloaded, answerNow("2"))
 		time.Sleep(10 * time.Millisecond)
 		for addr := range n.keepers {
-			assert.Assert(t, n.knows(addr) != limit.Free, addr)
+			assert.Assert(t, n.standing(addr) != limit.Free, addr)
 		}
-		assert.Equal(t, n.told(), 1)
-		sent := n.press(10 * time.Second)
+		assert.Equal(t, n.noteCount(), 1)
+		sent := n.sendAll(10 * time.Second)
 		assert.Assert(t, sent >= 17 && sent <= 22, "%d of 20", sent)
 		assert.Assert(t, n.keepers["a0"].List(time.Now())[0].Owns)
 		assert.Equal(t, n.keepers["a0"].List(time.Now())[0].Given, int64(sent))
 
-		n.keepers["a1"].Answered(inNeed, says())
+		n.keepers["a1"].Answered(overloaded, answerNow())
 		time.Sleep(2100 * time.Millisecond)
 		for addr := range n.keepers {
-			assert.Equal(t, n.knows(addr), limit.Free, addr)
+			assert.Equal(t, n.standing(addr), limit.Free, addr)
 		}
-		assert.Equal(t, n.told(), 2)
+		assert.Equal(t, n.noteCount(), 2)
 	})
 }
 
-// TestNotesAreFewHoweverOftenALimitChanges, and the last word is told.
-func TestNotesAreFewHoweverOftenALimitChanges(t *testing.T) {
+// TestNotesAreRateLimited checks that a limit that changes often causes few notes, and that the
+// last value is published.
+func TestNotesAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		for i := range 50 {
-			n.keepers["a1"].Answered(inNeed, says([]string{"1", "9"}[i%2]))
+			n.keepers["a1"].Answered(overloaded, answerNow([]string{"1", "9"}[i%2]))
 			time.Sleep(20 * time.Millisecond)
 		}
-		n.keepers["a1"].Answered(inNeed, says("4"))
+		n.keepers["a1"].Answered(overloaded, answerNow("4"))
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, n.told() <= 4, "%d notes", n.told())
+		assert.Assert(t, n.noteCount() <= 4, "%d notes", n.noteCount())
 		for addr, k := range n.keepers {
 			assert.Equal(t, k.List(time.Now())[0].PerSecond, 4.0, addr)
 		}
 	})
 }
 
-// TestOwnerThatDoesNotAnswer, because it is cut off or of an earlier version: all others together
-// send half of the limit at most, and once it answers again, all of it.
-func TestOwnerThatDoesNotAnswer(t *testing.T) {
+// TestOwnerDoesNotReply makes the owner fail. The balancers without a reply must send half of the
+// limit at most, and all balancers together the whole limit once the owner replies again.
+func TestOwnerDoesNotReply(t *testing.T) {
 	for name, c := range map[string]struct {
 		fail func(*network)
 		most float64 // of the limit
 	}{
-		"cut off":            {func(n *network) { n.cut["a0"] = true }, 1.5}, // it lets itself have the whole
-		"an earlier version": {func(n *network) { n.old["a0"] = true }, 1.5},
+		"cut off":            {func(n *network) { n.cut["a0"] = true }, 1.5}, // the owner itself still uses the whole limit
+		"an earlier version": {func(n *network) { n.earlierVersion["a0"] = true }, 1.5},
 		"no relay":           {func(n *network) { n.relays = nil }, 0.6},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -192,44 +194,44 @@
 				n := newNetwork()
 				relays := n.relays
 				for _, k := range n.keepers {
-					k.Answered(inNeed, says("4"))
+					k.Answered(overloaded, answerNow("4"))
 				}
-				n.press(5 * time.Second)
-				n.change(func() { c.fail(n) })
-				n.press(time.Second) // permits that were given before
-				sent := n.press(20 * time.Second)
+				n.sendAll(5 * time.Second)
+				n.update(func() { c.fail(n) })
+				n.sendAll(time.Second) // permits granted before expire
+				sent := n.sendAll(20 * time.Second)
 				assert.Assert(t, float64(sent) <= 4*20*c.most, "%d", sent)
-				assert.Assert(t, sent > 4, "%d: nobody may send any more", sent)
-				n.change(func() {
+				assert.Assert(t, sent > 4, "%d: the fallback sends nothing", sent)
+				n.update(func() {
 					clear(n.cut)
-					clear(n.old)
+					clear(n.earlierVersion)
 					n.relays = relays
 				})
-				n.press(3 * time.Second)
-				sent = n.press(10 * time.Second)
+				n.sendAll(3 * time.Second)
+				sent = n.sendAll(10 * time.Second)
 				assert.Assert(t, sent >= 34 && sent <= 44, "%d of 40", sent)
-				time.Sleep(time.Second) // asks that are under way
+				time.Sleep(time.Second) // asks in flight end
 			})
 		})
 	}
 }
 
-// TestWithoutOthers a balancer keeps the whole limit by itself.
-func TestWithoutOthers(t *testing.T) {
+// TestSingleBalancer checks that a balancer without a Carrier enforces the whole limit itself.
+func TestSingleBalancer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := limits.New(limits.Config{Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
 		n := &network{keepers: map[string]*limits.Keeper{"": k}}
-		k.Answered(inNeed, says("2"))
-		sent := n.press(10 * time.Second)
+		k.Answered(overloaded, answerNow("2"))
+		sent := n.sendAll(10 * time.Second)
 		assert.Assert(t, sent >= 18 && sent <= 22, "%d of 20", sent)
 	})
 }
 
-// TestNotesThatMakeNoSense change nothing.
-func TestNotesThatMakeNoSense(t *testing.T) {
+// TestInvalidNotesAreIgnored checks that an invalid note sets no limit.
+func TestInvalidNotesAreIgnored(t *testing.T) {
 	n := newNetwork()
 	for _, data := range []string{"", "{", `{"Target":{"ID":"i-1","Start":1},"Word":{"Known":true,"Rate":-1}}`, `{"Target":{"ID":"i-1","Start":1}}`, `{"Word":7}`} {
 		_ = n.keepers["a1"].Hear(relay.Note{Topic: limits.Topic, Data: []byte(data)})
-		assert.Equal(t, n.knows("a1"), limit.Free, data)
+		assert.Equal(t, n.standing("a1"), limit.Free, data)
 	}
 }
--- a/limits/hear.go
+++ b/limits/hear.go
@@ -6,98 +6,102 @@
 	"github.com/lotuswing/lotuswing/coord/limit"
 )
 
-// Sources of what is known of a limit, as they are logged.
+// The sources of an observation, as logged.
 const (
-	fromAnswer   = "answer"   // to a request of this balancer
-	fromProbe    = "probe"    // of this balancer
-	fromOwner    = "owner"    // in reply to an ask
-	fromBalancer = "balancer" // that asked this one
-	fromNote     = "note"
+	fromAnswer   = "answer"   // an answer to a request of this balancer
+	fromProbe    = "probe"    // an answer to a probe of this balancer
+	fromOwner    = "owner"    // a reply of the owner to an ask
+	fromBalancer = "balancer" // an ask of another balancer
+	fromNote     = "note"     // a note published by the owner
 )
 
-// Answered takes what an endpoint's answer to a request said.
-func (k *Keeper) Answered(e Endpoint, a limit.Answer) { k.hear(e, a, fromAnswer) }
+// Answered records what an endpoint's answer to a request said about its limit.
+func (k *Keeper) Answered(e Endpoint, a limit.Answer) { k.observe(e, a, fromAnswer) }
 
-// Probed takes what an endpoint's answer to a probe said.
-func (k *Keeper) Probed(e Endpoint, a limit.Answer) { k.hear(e, a, fromProbe) }
+// Probed records what an endpoint's answer to a probe said about its limit.
+func (k *Keeper) Probed(e Endpoint, a limit.Answer) { k.observe(e, a, fromProbe) }
 
-// hear takes what an answer said, and tells the endpoint's owner what is news for it.
-func (k *Keeper) hear(e Endpoint, a limit.Answer, from string) {
+// observe records what an answer said, and reports it to the owner of the endpoint if that is news
+// to the owner.
+func (k *Keeper) observe(e Endpoint, a limit.Answer, from string) {
 	if a.Said == limit.Nothing && k.Quiet() {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if a.Said == limit.Unreadable {
-		k.noteUnread(e, a.Heard)
+		k.recordUnreadable(e, a.Heard)
 	}
-	before := k.book.Observation(e.target())
-	k.book.ObserveAnswer(e.target(), a, from == fromProbe)
-	if !k.book.Observation(e.target()).Known() {
+	before := k.limiter.Observation(e.target())
+	k.limiter.ObserveAnswer(e.target(), a, from == fromProbe)
+	if !k.limiter.Observation(e.target()).Known() {
 		return
 	}
-	k.remember(e)
-	k.noteWord(e, before, from, a.Heard)
-	k.tell(e, a)
+	k.trackEndpoint(e)
+	k.logObservation(e, before, from, a.Heard)
+	k.reportToOwner(e, a)
 }
 
-// remember notes which endpoint a target is; k.mu is held.
-func (k *Keeper) remember(e Endpoint) {
+// trackEndpoint records which endpoint a target is, and removes endpoints that the limiter no
+// longer knows. k.mu must be held.
+func (k *Keeper) trackEndpoint(e Endpoint) {
 	k.endpoints[e.target()] = e
-	k.some.Store(int64(k.book.Len()))
-	if len(k.endpoints) <= 2*k.book.Len() {
+	k.knownCount.Store(int64(k.limiter.Len()))
+	if len(k.endpoints) <= 2*k.limiter.Len() {
 		return
 	}
 	for t := range k.endpoints {
-		if !k.book.Observation(t).Known() {
+		if !k.limiter.Observation(t).Known() {
 			delete(k.endpoints, t)
-			delete(k.warned, t)
+			delete(k.lastWarned, t)
 		}
 	}
 }
 
-// noteWord logs what is news of an endpoint; k.mu is held.
-func (k *Keeper) noteWord(e Endpoint, before limit.Observation, from string, now time.Time) {
-	w := k.book.Observation(e.target())
-	k.some.Store(int64(k.book.Len()))
-	if w == before {
+// logObservation logs what is known about a limit if it has changed since before: at level info if
+// it is news, otherwise at level debug. k.mu must be held.
+func (k *Keeper) logObservation(e Endpoint, before limit.Observation, from string, now time.Time) {
+	o := k.limiter.Observation(e.target())
+	k.knownCount.Store(int64(k.limiter.Len()))
+	if o == before {
 		return
 	}
 	log := k.cfg.Log.Debug
-	if w.IsNewsTo(before) {
+	if o.IsNewsTo(before) {
 		log = k.cfg.Log.Info
 	}
-	log("endpoint limit", "endpoint", e.ID, "start", e.Start, "service", e.Service, "state", stateOf(w), "per_second", w.Rate(),
-		"was", stateOf(before), "was_per_second", before.Rate(), "from", from, "age_ms", now.Sub(w.Heard()).Milliseconds())
+	log("endpoint limit", "endpoint", e.ID, "start", e.Start, "service", e.Service, "state", stateName(o), "per_second", o.Rate(),
+		"was", stateName(before), "was_per_second", before.Rate(), "from", from, "age_ms", now.Sub(o.Heard()).Milliseconds())
 }
 
-// stateOf returns the word used in logs.
-func stateOf(w limit.Observation) string {
+// stateName returns the state of a limit as it is logged and listed.
+func stateName(o limit.Observation) string {
 	switch {
-	case !w.Known():
+	case !o.Known():
 		return "none"
-	case w.Lifted():
+	case o.Lifted():
 		return "lifted"
 	}
 	return "named"
 }
 
-// warnEvery is the least time between two log lines on one endpoint whose header cannot be
-// read.
-const warnEvery = time.Minute
+// minWarnInterval is the minimum time between two warnings about unreadable limit headers of one
+// endpoint.
+const minWarnInterval = time.Minute
 
-// noteUnread counts and logs a header that is no limit; k.mu is held.
-func (k *Keeper) noteUnread(e Endpoint, now time.Time) {
+// recordUnreadable counts a limit header that cannot be parsed, and logs it at most once per
+// minWarnInterval and endpoint. k.mu must be held.
+func (k *Keeper) recordUnreadable(e Endpoint, now time.Time) {
 	k.counters.unread.Inc(1)
-	if at, ok := k.warned[e.target()]; ok && now.Sub(at) < warnEvery {
+	if at, ok := k.lastWarned[e.target()]; ok && now.Sub(at) < minWarnInterval {
 		return
 	}
-	if len(k.warned) >= mostWarned {
-		clear(k.warned)
+	if len(k.lastWarned) >= maxWarned {
+		clear(k.lastWarned)
 	}
-	k.warned[e.target()] = now
-	k.cfg.Log.Warn("endpoint limit not read", "endpoint", e.ID, "service", e.Service)
+	k.lastWarned[e.target()] = now
+	k.cfg.Log.Warn("endpoint limit header is unreadable", "endpoint", e.ID, "service", e.Service)
 }
 
-// mostWarned bounds of how many endpoints it is remembered that they were logged.
-const mostWarned = 4096
+// maxWarned bounds the number of endpoints whose last warning is remembered.
+const maxWarned = 4096
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -1,11 +1,11 @@
-// Package limits holds this balancer, with all others, to the requests a second that endpoints
-// in need name in their answers.
+// Package limits enforces, together with all other balancers, the requests per second that
+// overloaded endpoints name in their answers.
 //
-// A Keeper owns one limit.Book with its lock. It hears every answer of an endpoint, to requests
-// and to probes, asks the endpoint's owner for room before a request goes there, answers others
-// where this balancer is an owner, and tells all balancers what they should know (notes.go).
-// The rules are in coord/limit. It relies on a Carrier for calls and notes; without one this
-// balancer is the whole fleet.
+// A Keeper guards one limit.Limiter with a mutex. It observes the answers of endpoints to
+// requests and probes, asks the owner of an endpoint for a permit before a request is sent,
+// replies to other balancers if this one is an owner, and publishes changes to all balancers
+// (notes.go). The rules are in package coord/limit. A Keeper sends asks and notes through a
+// Carrier; without one it assumes that there are no other balancers.
 //
 // # Usage
 //
@@ -31,8 +31,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Endpoint is one start of an endpoint. Another start under the same identity has no limit
-// until it names one.
+// Endpoint is one incarnation of an endpoint, which begins when the endpoint starts. A later
+// incarnation with the same ID has no limit until it names one.
 type Endpoint struct {
 	ID      string
 	Start   int64
@@ -42,44 +42,45 @@
 
 func (e Endpoint) target() limit.Target { return limit.Target{ID: e.ID, Start: e.Start} }
 
-// Carrier takes asks and notes to other balancers.
+// Carrier sends asks and notes to other balancers.
 type Carrier interface {
-	// Serving reports whether this balancer is its zone's relay.
+	// Serving reports whether this balancer is the relay of its zone.
 	Serving() bool
-	// InTouch reports whether it hears of the store.
+	// InTouch reports whether this balancer is connected to the store.
 	InTouch() bool
 	// Owners returns the registered relays.
 	Owners() []limit.Relay
-	// Ask asks a balancer for room at endpoints that it owns.
+	// Ask sends asks to the balancer at addr and returns its reply.
 	Ask(ctx context.Context, addr string, asks []limit.Ask) (limit.Reply, error)
-	// Publish tells all balancers something.
+	// Publish sends a note to all other balancers.
 	Publish(topic string, data []byte) error
 }
 
-// Config of a Keeper.
+// Config configures a Keeper.
 type Config struct {
 	Addr    string // link address of the balancer
 	Log     hclog.Logger
 	Metrics metrics.Registry
 }
 
-// Keeper is what one balancer knows of the limits of endpoints. It is safe for concurrent use.
+// Keeper tracks and enforces the limits of endpoints for one balancer. It is safe for concurrent
+// use.
 type Keeper struct {
 	cfg      Config
 	counters counters
-	// some is how many endpoints have named a limit: none is the usual case, and costs a
-	// choice one atomic read.
-	some atomic.Int64
+	// knownCount is the number of endpoints with an entry in limiter. It is usually 0, which then
+	// costs one atomic load for each decision.
+	knownCount atomic.Int64
 
-	mu        sync.Mutex
-	carrier   Carrier // nil before SetCarrier, and where there is none
-	book      *limit.Limiter
-	endpoints map[limit.Target]Endpoint
-	warned    map[limit.Target]time.Time // when a header that could not be read was last logged
-	noting    map[limit.Target]bool      // a note will be told in a moment
+	mu            sync.Mutex
+	carrier       Carrier // nil before SetCarrier, or if there are no other balancers
+	limiter       *limit.Limiter
+	endpoints     map[limit.Target]Endpoint
+	lastWarned    map[limit.Target]time.Time // when an unreadable header was last logged
+	noteScheduled map[limit.Target]bool      // a timer is set that publishes a note
 }
 
-// counters of a keeper.
+// counters are the metrics of a Keeper.
 type counters struct {
 	asked, denied, unanswered, sent, unread metrics.Counter
 }
@@ -92,63 +93,63 @@
 	}
 }
 
-// New returns a keeper that has heard of no limit.
+// New returns a Keeper that knows no limits.
 func New(cfg Config) *Keeper {
 	return &Keeper{
-		cfg: cfg, counters: newCounters(cfg.Metrics), book: limit.NewLimiter(rand.Uint64()), endpoints: map[limit.Target]Endpoint{},
-		warned: map[limit.Target]time.Time{}, noting: map[limit.Target]bool{},
+		cfg: cfg, counters: newCounters(cfg.Metrics), limiter: limit.NewLimiter(rand.Uint64()), endpoints: map[limit.Target]Endpoint{},
+		lastWarned: map[limit.Target]time.Time{}, noteScheduled: map[limit.Target]bool{},
 	}
 }
 
-// SetCarrier gives the keeper its way to others.
+// SetCarrier sets the Carrier through which the keeper reaches other balancers.
 func (k *Keeper) SetCarrier(c Carrier) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.carrier = c
 }
 
-// Resume notes that the VM was suspended.
+// Resume drops all permits. It is called after the VM was suspended.
 func (k *Keeper) Resume() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.book.Resume()
+	k.limiter.Resume()
 }
 
-// Quiet reports whether no endpoint has named a limit.
-func (k *Keeper) Quiet() bool { return k.some.Load() == 0 }
+// Quiet reports whether no limit is known for any endpoint.
+func (k *Keeper) Quiet() bool { return k.knownCount.Load() == 0 }
 
-// Standing returns whether a request may go to an endpoint and, where it may not, for how long
-// that is known.
+// Standing returns whether a request may be sent to an endpoint and, if not, for how long; 0 if
+// that is unknown.
 func (k *Keeper) Standing(e Endpoint, now time.Time) (limit.Standing, time.Duration) {
 	if k.Quiet() {
 		return limit.Free, 0
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.book.Standing(e.target(), now)
+	return k.limiter.Standing(e.target(), now)
 }
 
-// Use takes a permit for a request that goes to an endpoint now. It reports whether the request
-// may go.
+// Use takes a permit for a request that is sent to an endpoint now, if its limit requires one. It
+// reports whether the request may be sent.
 func (k *Keeper) Use(e Endpoint, now time.Time) bool {
 	if k.Quiet() {
 		return true
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	s := k.book.Use(e.target(), now)
+	s := k.limiter.Use(e.target(), now)
 	if s == limit.Held {
 		k.counters.sent.Inc(1)
 	}
 	return s.Admits()
 }
 
-// Seek asks an endpoint's owner for room, and waits for the answer a while; a later one still
-// counts, for other requests. look says that the endpoint may be probed, to hear whether its
-// limit still holds.
+// Seek asks the owner of an endpoint for a permit and waits for the reply until within has passed
+// or ctx is done. A later reply is still applied, for use by other requests. look reports whether
+// the endpoint may be probed to check whether its limit still holds.
 func (k *Keeper) Seek(ctx context.Context, e Endpoint, within time.Duration) (look bool) {
 	k.mu.Lock()
-	a, ok := k.book.Ask(e.target(), time.Now())
+	a, ok := k.limiter.Ask(e.target(), time.Now())
 	k.mu.Unlock()
 	if !ok {
 		return false
@@ -164,29 +165,31 @@
 	return allowed.Load()
 }
 
-// ask carries an ask to the endpoint's owner. look says that the endpoint may be probed.
+// ask sends an ask to the owner of the endpoint and applies the reply or the failure. look
+// reports whether the endpoint may be probed.
 func (k *Keeper) ask(ctx context.Context, e Endpoint, a limit.Ask) (look bool) {
-	r, err := k.carry(ctx, e, a)
+	r, err := k.askOwner(ctx, e, a)
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err != nil {
 		k.counters.unanswered.Inc(1)
-		k.cfg.Log.Debug("limit not asked for", "endpoint", e.ID, "error", err)
-		k.book.HandleNoReply(a, now)
+		k.cfg.Log.Debug("ask to the owner of the endpoint failed", "endpoint", e.ID, "error", err)
+		k.limiter.HandleNoReply(a, now)
 		return false
 	}
 	g := r.Grants[0]
 	if g.Permits < a.Want {
 		k.counters.denied.Inc(1)
 	}
-	before := k.book.Observation(a.Target)
-	look = k.book.HandleReply(a, g, r.Askers, now)
-	k.noteWord(e, before, fromOwner, now)
+	before := k.limiter.Observation(a.Target)
+	look = k.limiter.HandleReply(a, g, r.Askers, now)
+	k.logObservation(e, before, fromOwner, now)
 	return look
 }
 
-// Asked answers another balancer, where this one is a relay.
+// Asked replies to asks of the balancer at address from, if this balancer is a relay; otherwise
+// the reply is empty.
 func (k *Keeper) Asked(from string, asks []limit.Ask) limit.Reply {
 	k.mu.Lock()
 	c := k.carrier
@@ -194,28 +197,29 @@
 	if c == nil || !c.Serving() {
 		return limit.Reply{}
 	}
-	return k.answer(from, asks, c.InTouch())
+	return k.answerAsks(from, asks, c.InTouch())
 }
 
-// answer answers asks as the owner of their endpoints.
-func (k *Keeper) answer(from string, asks []limit.Ask, inTouch bool) limit.Reply {
+// answerAsks replies to asks as the owner of their endpoints, and publishes what is news.
+func (k *Keeper) answerAsks(from string, asks []limit.Ask, inTouch bool) limit.Reply {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	before := make([]limit.Observation, len(asks))
 	for i, a := range asks {
-		before[i] = k.book.Observation(a.Target)
+		before[i] = k.limiter.Observation(a.Target)
 	}
-	r := k.book.HandleAsks(from, asks, inTouch, now)
+	r := k.limiter.HandleAsks(from, asks, inTouch, now)
 	for i, a := range asks {
 		e := k.endpointOf(a.Target)
-		k.noteWord(e, before[i], fromBalancer, now)
-		k.tellAll(e, now)
+		k.logObservation(e, before[i], fromBalancer, now)
+		k.publishNews(e, now)
 	}
 	return r
 }
 
-// endpointOf returns an endpoint as far as it is known here; k.mu is held.
+// endpointOf returns the endpoint of a target; without service and zone if this balancer has not
+// got an answer from it. k.mu must be held.
 func (k *Keeper) endpointOf(t limit.Target) Endpoint {
 	if e, ok := k.endpoints[t]; ok {
 		return e
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -15,8 +15,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// answer returns an answer to a request that was sent a hundred milliseconds after the last one
-// and took ten.
+// answer waits 100 ms and returns an answer, with the given header values, to a request that took
+// 10 ms.
 func answer(values ...string) limit.Answer {
 	time.Sleep(100 * time.Millisecond)
 	rate, said := limit.Parse(values)
@@ -24,11 +24,11 @@
 	return limit.Answer{Said: said, Rate: rate, Asked: now.Add(-10 * time.Millisecond), Heard: now}
 }
 
-// TestWhatOnCallSees of the limit of an endpoint: when it is named, rather different, lifted and
-// named again, and that a header is no limit.
-func TestWhatOnCallSees(t *testing.T) { synctest.Test(t, seeLimits) }
+// TestLimitLog checks the log lines for a limit that is named, changed significantly, lifted and
+// named again, and for an unreadable header.
+func TestLimitLog(t *testing.T) { synctest.Test(t, testLimitLog) }
 
-func seeLimits(t *testing.T) {
+func testLimitLog(t *testing.T) {
 	var out bytes.Buffer
 	log := hclog.New(&hclog.LoggerOptions{Output: &out, Level: hclog.Info, DisableTime: true})
 	registry := metrics.NewRegistry()
@@ -38,7 +38,7 @@
 	k.Answered(e, answer("2.5"))
 	k.Answered(e, answer("2.4"))
 	k.Answered(e, answer("1"))
-	k.Probed(e, answer()) // its answers to probes have named none
+	k.Probed(e, answer()) // no answer to a probe has named a limit yet
 	k.Answered(e, answer())
 	k.Answered(e, answer("many"))
 	k.Answered(e, answer("many"))
@@ -48,5 +48,5 @@
 	synctest.Wait()
 	golden.Assert(t, out.String(), "on-call.golden")
 	assert.Equal(t, metrics.GetOrRegisterCounter("limits_unread", registry).Count(), int64(2))
-	assert.Equal(t, strings.Count(out.String(), "not read"), 1)
+	assert.Equal(t, strings.Count(out.String(), "unreadable"), 1)
 }
--- a/limits/notes.go
+++ b/limits/notes.go
@@ -9,53 +9,55 @@
 	"github.com/lotuswing/lotuswing/relay"
 )
 
-// Topic is that of the notes by which an endpoint's owner tells all balancers that the endpoint
-// names a limit, a rather different one, or none any more. Those that never sent there would
-// send one request each before they knew.
+// Topic is the topic of notes. With a note, the owner of an endpoint tells all balancers that the
+// endpoint names a limit, that the limit has changed significantly, or that it is lifted. Without
+// notes, each balancer that has not sent there yet would send one request before it learns the
+// limit.
 const Topic = "limit"
 
-// note is the data of one, as JSON.
+// note is the data of a note, written as JSON.
 type note struct {
 	Target limit.Target
 	Word   limit.WireObservation
 }
 
-// tellAll tells all balancers what they should hear of an endpoint, now or as soon as it may be
-// told again; k.mu is held.
-func (k *Keeper) tellAll(e Endpoint, now time.Time) {
+// publishNews publishes a note about an endpoint if there is news: now or, if the last note was
+// too recent, after a delay. k.mu must be held.
+func (k *Keeper) publishNews(e Endpoint, now time.Time) {
 	if k.carrier == nil {
 		return
 	}
 	t := e.target()
-	if told, ok := k.book.TakeNote(t, now); ok {
-		go k.publish(k.carrier, note{Target: t, Word: told})
+	if news, ok := k.limiter.TakeNote(t, now); ok {
+		go k.publish(k.carrier, note{Target: t, Word: news})
 		return
 	}
-	after, due := k.book.NoteDelay(t, now)
-	if !due || k.noting[t] {
+	after, due := k.limiter.NoteDelay(t, now)
+	if !due || k.noteScheduled[t] {
 		return
 	}
-	k.noting[t] = true
+	k.noteScheduled[t] = true
 	time.AfterFunc(after, func() {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		delete(k.noting, t)
-		k.tellAll(e, time.Now())
+		delete(k.noteScheduled, t)
+		k.publishNews(e, time.Now())
 	})
 }
 
-// publish tells all balancers a note.
+// publish sends a note to all other balancers.
 func (k *Keeper) publish(c Carrier, n note) {
 	data, err := json.Marshal(n)
 	if err == nil {
 		err = c.Publish(Topic, data)
 	}
 	if err != nil {
-		k.cfg.Log.Warn("limit not told", "endpoint", n.Target.ID, "error", err)
+		k.cfg.Log.Warn("limit not published", "endpoint", n.Target.ID, "error", err)
 	}
 }
 
-// Hear takes a note of another balancer.
+// Hear merges the observation in a note from another balancer. It returns an error if the note
+// cannot be decoded.
 func (k *Keeper) Hear(r relay.Note) error {
 	var n note
 	if err := json.Unmarshal(r.Data, &n); err != nil {
@@ -66,8 +68,8 @@
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	before := k.book.Observation(n.Target)
-	k.book.MergeRemote(n.Target, n.Word, now)
-	k.noteWord(k.endpointOf(n.Target), before, fromNote, now)
+	before := k.limiter.Observation(n.Target)
+	k.limiter.MergeRemote(n.Target, n.Word, now)
+	k.logObservation(k.endpointOf(n.Target), before, fromNote, now)
 	return nil
 }
--- a/limits/status.go
+++ b/limits/status.go
@@ -8,24 +8,24 @@
 	"github.com/lotuswing/lotuswing/coord/limit"
 )
 
-// Status is what operators are told of an endpoint that has named a limit. Its names are the
-// JSON's.
+// Status is what operators see of the limit of one endpoint. The field names are also the JSON
+// names.
 type Status struct {
 	Endpoint string
-	Service  string `json:",omitempty"` // empty where this balancer has never sent there
+	Service  string `json:",omitempty"` // empty if this balancer has not got an answer from the endpoint
 	Zone     string `json:",omitempty"`
 	State    string // named or lifted
 	limit.Status
-	Owner string // link address of the balancer that keeps its bucket; empty for none, or for this one alone
-	Owns  bool   // this balancer is that one
+	Owner string // link address of the balancer that owns the endpoint; empty if there is none, or no Carrier
+	Owns  bool   // this balancer is the owner
 }
 
-// List returns what is known of all endpoints that have named a limit, by service and identity.
+// List returns the status of all endpoints that have named a limit, ordered by service and ID.
 func (k *Keeper) List(now time.Time) []Status {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	list := []Status{}
-	for _, t := range k.book.Targets() {
+	for _, t := range k.limiter.Targets() {
 		list = append(list, k.statusOf(t, now))
 	}
 	slices.SortFunc(list, func(a, b Status) int {
@@ -34,10 +34,10 @@
 	return list
 }
 
-// statusOf returns what is known of one; k.mu is held.
+// statusOf returns the status of one endpoint. k.mu must be held.
 func (k *Keeper) statusOf(t limit.Target, now time.Time) Status {
 	e := k.endpointOf(t)
-	st := Status{Endpoint: e.ID, Service: e.Service, Zone: e.Zone, State: stateOf(k.book.Observation(t)), Status: k.book.Status(t, now)}
+	st := Status{Endpoint: e.ID, Service: e.Service, Zone: e.Zone, State: stateName(k.limiter.Observation(t)), Status: k.limiter.Status(t, now)}
 	if k.carrier == nil {
 		st.Owns = true
 		return st
@@ -47,9 +47,9 @@
 	return st
 }
 
-// Limited returns how many endpoints have a limit now.
+// Limited returns the number of endpoints with a limit at now.
 func (k *Keeper) Limited(now time.Time) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.book.Limited(now)
+	return k.limiter.Limited(now)
 }
