--- a/coord/admission/admission.go
+++ b/coord/admission/admission.go
@@ -1,14 +1,14 @@
-// Package admission decides whether and from when an endpoint may get a request.
+// Package admission decides whether and when an endpoint may get a request.
 //
-// Four sources bear on that: what the store lists, what the endpoint says in its answers (a Word:
-// that it leaves, or wants no requests for a while), how many requests a second it takes, and what
-// became of the requests since it last wanted none. Decide is the one rule that puts them together.
-// A State keeps what one start of an endpoint has said.
+// The decision depends on four sources: whether the store lists the endpoint as usable, what the
+// endpoint has said in its answers (a Word: that it is leaving, or wants no requests for a while),
+// how many requests per second it accepts, and the outcome of the requests since its last backoff.
+// Decide combines them. A State holds what one incarnation of an endpoint has said.
 //
-// After a backoff an endpoint starts slowly: one request at a time until one has run, and a share of
-// the usual requests that grows to all of them.
+// After a backoff an endpoint starts slowly: it gets one request at a time until one has run, and
+// a share of its usual requests that grows to all of them.
 //
-// The package owns no state and has no clock; times and random numbers are arguments.
+// The package has no global state and reads no clock; times and random numbers are arguments.
 //
 // # Usage
 //
@@ -23,33 +23,33 @@
 	"github.com/lotuswing/lotuswing/coord/limit"
 )
 
-// Facts are what is known of one start of an endpoint when a request might go there.
+// Facts are the inputs of Decide for one request and one incarnation of an endpoint.
 type Facts struct {
-	Usable bool // it is listed as one that may get requests
+	Usable bool // the store lists the endpoint as one that may get requests
 	State  State
-	// Limit is whether it may be sent anything, where it names how many requests a second it takes,
-	// and LimitOpens for how long it may not; 0 where that is not known.
+	// Limit is the endpoint's standing under the limit of requests per second that it names.
+	// LimitOpens is how long it still gets no requests because of that limit; 0 if unknown.
 	Limit      limit.Standing
 	LimitOpens time.Duration
-	Lot        float64 // random, in [0,1), of the request and the endpoint
-	Priority   int     // of the request, 0 the most urgent
+	Lot        float64 // random number in [0,1) for this request and endpoint
+	Priority   int     // priority of the request; 0 is the most urgent
 }
 
-// Access says whether a request may go to an endpoint.
+// Access says whether a request may be sent to an endpoint.
 type Access uint8
 
-// The accesses.
+// The values of Access.
 const (
-	Open    Access = iota // it may
-	Askable               // it may if the owner of the endpoint's limit has room
-	Shut                  // not now
-	Never                 // not any more
+	Open    Access = iota // it may be sent
+	Askable               // it may be sent if the owner of the endpoint's limit grants a permit
+	Shut                  // it may not be sent now
+	Never                 // no request may be sent to this incarnation any more
 )
 
-// Cause says why a request may not go to an endpoint now.
+// Cause says why a request may not be sent to an endpoint now.
 type Cause uint8
 
-// The causes.
+// The values of Cause.
 const (
 	None Cause = iota
 	Unusable
@@ -59,56 +59,58 @@
 	Limited
 )
 
-// String returns the name used in logs and for operators.
+// String returns the name used in logs and shown to operators.
 func (c Cause) String() string {
 	return [...]string{"", "unusable", "leaving", "backing-off", "slow-start", "limited"}[c]
 }
 
-// Decision is whether and from when a request may go to an endpoint.
+// Decision says whether, and if not when, a request may be sent to an endpoint.
 type Decision struct {
 	Access Access
 	Cause  Cause
-	Held   bool // it is Open because the owner of the endpoint's limit has given room
-	// Deferred: the endpoint is likely to refuse the request, so that others go before it.
+	Held   bool // Access is Open because the balancer holds a permit under the limit
+	// Deferred says that the endpoint is likely to refuse the request, so other endpoints are
+	// preferred.
 	Deferred bool
-	OpensIn  time.Duration // where it is Shut: for how long; 0 where that is not known
+	OpensIn  time.Duration // if Access is Shut, the time until that may change; 0 if unknown
 }
 
-// Admits reports whether the request may go there now.
+// Admits reports whether the request may be sent to the endpoint now.
 func (d Decision) Admits() bool { return d.Access == Open }
 
-// Decide is the rule for one request and one endpoint. What the endpoint says of all requests
-// comes before what it says of how many.
+// Decide returns the decision for one request and one endpoint. A backoff or leaving takes
+// precedence over the limit.
 func Decide(f Facts, now time.Time) Decision {
 	switch {
 	case !f.Usable:
 		return Decision{Access: Never, Cause: Unusable}
-	case f.State.silent():
-		return f.underLimit()
+	case f.State.isEmpty():
+		return f.decideFromLimit()
 	}
-	return f.afterWords(now)
+	return f.decideFromState(now)
 }
 
-// afterWords decides where the endpoint, or another balancer, has said something.
-func (f *Facts) afterWords(now time.Time) Decision {
-	opens, tried := f.State.own.opens(f.Lot, f.Priority), f.State.tried(now)
+// decideFromState decides if the endpoint has asked for a backoff or is leaving, or another
+// balancer has sent a hint.
+func (f *Facts) decideFromState(now time.Time) Decision {
+	admitsAt, trialDeadline := f.State.own.admitsAt(f.Lot, f.Priority), f.State.trialDeadline(now)
 	switch {
 	case f.State.Leaving():
 		return Decision{Access: Never, Cause: Leaving}
 	case f.State.BackingOff(now):
-		return Decision{Access: Shut, Cause: BackingOff, OpensIn: opens.Sub(now)}
-	case now.Before(opens):
-		return Decision{Access: Shut, Cause: SlowStart, OpensIn: opens.Sub(now)}
-	case now.Before(tried):
-		return Decision{Access: Shut, Cause: SlowStart, OpensIn: tried.Sub(now)}
+		return Decision{Access: Shut, Cause: BackingOff, OpensIn: admitsAt.Sub(now)}
+	case now.Before(admitsAt):
+		return Decision{Access: Shut, Cause: SlowStart, OpensIn: admitsAt.Sub(now)}
+	case now.Before(trialDeadline):
+		return Decision{Access: Shut, Cause: SlowStart, OpensIn: trialDeadline.Sub(now)}
 	}
-	d := f.underLimit()
-	d.Deferred = d.Admits() && now.Before(f.State.others.opens(f.Lot, f.Priority))
+	d := f.decideFromLimit()
+	d.Deferred = d.Admits() && now.Before(f.State.hinted.admitsAt(f.Lot, f.Priority))
 	return d
 }
 
-// underLimit decides by how many requests a second the endpoint takes.
-func (f *Facts) underLimit() Decision {
+// decideFromLimit decides by the limit of the endpoint alone.
+func (f *Facts) decideFromLimit() Decision {
 	switch f.Limit {
 	case limit.Withheld:
 		return Decision{Access: Shut, Cause: Limited, OpensIn: f.LimitOpens}
@@ -119,8 +121,8 @@
 	return Decision{Held: f.Limit == limit.Held}
 }
 
-// Willing reports whether the endpoint still may get a request that was chosen for it before: no
-// word of it speaks against that.
+// Willing reports whether an endpoint that was chosen for a request before may still get it: it is
+// usable, not leaving and not backing off.
 func Willing(usable bool, s State, now time.Time) bool {
 	return usable && !s.Leaving() && !s.BackingOff(now)
 }
--- a/coord/admission/hints.go
+++ b/coord/admission/hints.go
@@ -6,43 +6,43 @@
 )
 
 const (
-	// mostHints is how many backoffs all balancers together tell one another of in hintsWithin,
-	// as far as each has heard: where many endpoints want no requests there is nowhere else to go,
-	// and each hint goes to every balancer.
-	mostHints = 20
-	// mostOwnHints is how many of these one balancer tells, which bounds what they all tell before
-	// they hear of one another.
-	mostOwnHints = 2
-	hintsWithin  = time.Second
+	// maxHints is how many hints all balancers together may send within hintWindow, counted by
+	// each balancer from those it has received. If many endpoints are backing off there are no
+	// others to prefer, and each hint goes to every balancer.
+	maxHints = 20
+	// maxOwnHints is how many of these one balancer may send. It bounds the total before balancers
+	// have received the hints of each other.
+	maxOwnHints = 2
+	hintWindow  = time.Second
 )
 
-// Hints counts the backoffs that balancers tell one another of. It is an immutable value; the zero
-// value has heard of none.
+// Hints counts the hints that balancers have sent recently. A hint tells other balancers that an
+// endpoint asked for a backoff. Hints is an immutable value; the zero value has counted none.
 type Hints struct {
-	heard, own []time.Time // lately
+	heard, own []time.Time // times of all hints, and of those that this balancer sent, within hintWindow
 }
 
-// Told returns the count after this balancer told of a backoff at now.
+// Told returns the count after this balancer sent a hint at now.
 func (h Hints) Told(now time.Time) Hints {
 	h.own = append(recent(h.own, now), now)
 	return h.Heard(now)
 }
 
-// Heard returns the count after another balancer told of one at now.
+// Heard returns the count after another balancer sent a hint that arrived at now.
 func (h Hints) Heard(now time.Time) Hints {
 	h.heard = append(recent(h.heard, now), now)
 	return h
 }
 
-// Allow reports whether this balancer may tell of a backoff of an endpoint in a state: nobody else
-// has, and there is room.
+// Allow reports whether this balancer may send a hint about an endpoint with state s: no hint
+// about it is in force, and neither maxHints nor maxOwnHints is reached.
 func (h Hints) Allow(s State, now time.Time) bool {
-	return !s.Hinted(now) && len(recent(h.heard, now)) < mostHints && len(recent(h.own, now)) < mostOwnHints
+	return !s.Hinted(now) && len(recent(h.heard, now)) < maxHints && len(recent(h.own, now)) < maxOwnHints
 }
 
-// recent returns a copy of the times of the last window.
+// recent returns a copy of the times after the start of the present hintWindow.
 func recent(times []time.Time, now time.Time) []time.Time {
-	i, _ := slices.BinarySearchFunc(times, now.Add(-hintsWithin), func(at, from time.Time) int {
+	i, _ := slices.BinarySearchFunc(times, now.Add(-hintWindow), func(at, from time.Time) int {
 		if at.After(from) {
 			return 1
 		}
--- a/coord/admission/model_test.go
+++ b/coord/admission/model_test.go
@@ -10,43 +10,43 @@
 	"pgregory.net/rapid"
 )
 
-// model is what a test knows of one endpoint: what it has said, and when.
+// model holds what an endpoint has said, as the test expects it, next to the tested state.
 type model struct {
-	state  admission.State
-	now    time.Time
-	left   bool
-	until  time.Time     // the latest end of all backoffs that it asked for
-	slow   time.Duration // of the slow start after it
-	hinted bool
-	last   time.Time // when a request was last sent in the slow start
-	proved bool
+	state     admission.State
+	now       time.Time
+	leaving   bool
+	until     time.Time     // the latest end of all backoffs that the endpoint asked for
+	slow      time.Duration // duration of the slow start after until
+	hinted    bool
+	trialSent time.Time // when the last request was sent in the slow start
+	recovered bool
 }
 
 const (
-	shortestSlowStart = 250 * time.Millisecond
-	longestSlowStart  = 2 * time.Second
-	trialFor          = time.Second
+	minSlowStart = 250 * time.Millisecond
+	maxSlowStart = 2 * time.Second
+	trialTimeout = time.Second
 )
 
-// decide decides about a request.
+// decide returns the decision about a request at m.now.
 func (m *model) decide(lot float64, priority int) admission.Decision {
 	return admission.Decide(admission.Facts{Usable: true, State: m.state, Lot: lot, Priority: priority}, m.now)
 }
 
-// step does something at random.
+// step performs a random operation.
 func (m *model) step(t *rapid.T) {
 	switch rapid.IntRange(0, 6).Draw(t, "step") {
 	case 0:
 		m.now = m.now.Add(time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "passes")))
-	case 1: // an answer, which may have been under way for a while
+	case 1: // an answer, which may arrive late
 		w := admission.Word{Leaving: rapid.IntRange(0, 30).Draw(t, "leaves") == 0}
 		w.Backoff = time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "backoff"))
 		heard := m.now.Add(-time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "late")))
 		m.state = m.state.With(w, heard)
-		m.left = m.left || w.Leaving
+		m.leaving = m.leaving || w.Leaving
 		if end := heard.Add(w.Backoff); w.Backoff > 0 && end.After(m.until) {
-			m.until, m.proved, m.last = end, false, time.Time{}
-			m.slow = min(max(w.Backoff, shortestSlowStart), longestSlowStart)
+			m.until, m.recovered, m.trialSent = end, false, time.Time{}
+			m.slow = min(max(w.Backoff, minSlowStart), maxSlowStart)
 		}
 	case 2:
 		m.state = m.state.WithHint(time.Duration(rapid.Int64Range(-1, int64(5*time.Second)).Draw(t, "hint")), m.now)
@@ -54,71 +54,71 @@
 	case 3:
 		if m.decide(rapid.Float64Range(0, 0.999).Draw(t, "lot"), 0).Admits() {
 			if inSlowStart := m.until.Before(m.now.Add(1)) && m.now.Before(m.until.Add(m.slow)); inSlowStart {
-				m.last = m.now
+				m.trialSent = m.now
 			}
 			m.state = m.state.WithSent(m.now)
 		}
-	case 4: // the end of a request that was sent lately
+	case 4: // a request has run
 		sent := m.now.Add(-time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "sent")))
 		m.state = m.state.WithRun(sent)
-		m.proved = m.proved || !m.until.IsZero() && !sent.Before(m.until)
+		m.recovered = m.recovered || !m.until.IsZero() && !sent.Before(m.until)
 	case 5:
 		slept := time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "slept"))
 		m.state = m.state.WithSuspension(slept)
 		if !m.until.IsZero() {
 			m.until = m.until.Add(-slept)
 		}
-		if !m.last.IsZero() {
-			m.last = m.last.Add(-slept)
+		if !m.trialSent.IsZero() {
+			m.trialSent = m.trialSent.Add(-slept)
 		}
 	case 6:
-		m.state = admission.Restore(m.state.Snapshot()).With(admission.Word{Leaving: m.left}, m.now).WithHint(0, m.now)
+		m.state = admission.Restore(m.state.Snapshot()).With(admission.Word{Leaving: m.leaving}, m.now).WithHint(0, m.now)
 		m.hinted = false
 	}
 }
 
-// check compares decisions with what must hold of them.
+// check compares a random decision with the model.
 func (m *model) check(t *rapid.T) {
 	lot, priority := rapid.Float64Range(0, 0.999).Draw(t, "checked lot"), rapid.IntRange(0, 3).Draw(t, "priority")
 	d := m.decide(lot, priority)
 	switch {
-	case m.left:
-		assert.Equal(t, d.Access, admission.Never, "it has said that it leaves")
+	case m.leaving:
+		assert.Equal(t, d.Access, admission.Never, "the endpoint is leaving")
 		assert.Assert(t, !admission.Willing(true, m.state, m.now))
 		return
 	case m.now.Before(m.until):
-		assert.Equal(t, d.Access, admission.Shut, "%v before its backoff ends", m.until.Sub(m.now))
+		assert.Equal(t, d.Access, admission.Shut, "%v before the backoff ends", m.until.Sub(m.now))
 		assert.Assert(t, m.now.Add(d.OpensIn).Sub(m.until) >= 0, "opens %v early", m.until.Sub(m.now.Add(d.OpensIn)))
 		assert.Assert(t, !admission.Willing(true, m.state, m.now))
 	case !m.now.Before(m.until.Add(m.slow)):
-		assert.Equal(t, d.Access, admission.Open, "its slow start is over")
-	case !m.proved && !m.last.IsZero() && m.now.Before(m.last.Add(trialFor)) && !m.last.Before(m.until):
-		assert.Equal(t, d.Access, admission.Shut, "one is tried")
+		assert.Equal(t, d.Access, admission.Open, "the slow start is over")
+	case !m.recovered && !m.trialSent.IsZero() && m.now.Before(m.trialSent.Add(trialTimeout)) && !m.trialSent.Before(m.until):
+		assert.Equal(t, d.Access, admission.Shut, "a trial is in flight")
 	}
 	if d.Access == admission.Shut {
-		assert.Assert(t, d.OpensIn > 0 && d.OpensIn <= max(0, m.until.Sub(m.now))+longestSlowStart, "%v", d.OpensIn)
+		assert.Assert(t, d.OpensIn > 0 && d.OpensIn <= max(0, m.until.Sub(m.now))+maxSlowStart, "%v", d.OpensIn)
 		at := m.now.Add(d.OpensIn)
 		later := admission.Decide(admission.Facts{Usable: true, State: m.state, Lot: lot, Priority: priority}, at)
-		assert.Assert(t, later.Cause != admission.BackingOff, "it was said to open then")
+		assert.Assert(t, later.Cause != admission.BackingOff, "still backing off at OpensIn")
 	}
 	if d.Deferred {
-		assert.Assert(t, m.hinted, "nobody has told of a backoff")
+		assert.Assert(t, m.hinted, "no hint was received")
 	}
 	if m.decide(lot, priority+1).Admits() {
 		assert.Assert(t, d.Admits(), "a less urgent request is admitted")
 	}
 	shut := admission.Decide(admission.Facts{Usable: true, State: m.state, Limit: limit.Withheld, Lot: lot}, m.now)
-	assert.Assert(t, !shut.Admits(), "no limit is overruled")
-	assert.Equal(t, admission.Decide(admission.Facts{State: m.state, Lot: lot}, m.now).Access, admission.Never, "what is not listed gets nothing")
+	assert.Assert(t, !shut.Admits(), "the limit was ignored")
+	assert.Equal(t, admission.Decide(admission.Facts{State: m.state, Lot: lot}, m.now).Access, admission.Never, "an unlisted endpoint gets no requests")
 }
 
-// TestModel lets endpoints say things in any order, with answers that cross, requests, hints,
-// suspensions and restored states between, and checks by name what must hold: nothing goes to one that
-// leaves or wants none, one request is tried at a time, all come back in time, the more urgent first,
-// and what others told binds nobody.
+// TestModel performs random sequences of answers, some of them late, requests, hints, suspensions
+// and restores. It checks that an endpoint that is leaving or backing off gets no requests, that
+// one trial runs at a time, that the slow start ends in time, that urgent requests are admitted
+// first, and that a hint alone never excludes an endpoint.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &model{now: begin}
+		m := &model{now: testStart}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			m.step(t)
 			m.check(t)
@@ -126,12 +126,12 @@
 	})
 }
 
-// TestHintsModel: whatever is told, a balancer tells of two backoffs a second at most, and of none
-// where it has heard of twenty.
+// TestHintsModel checks that a balancer sends at most two hints per second, and none after it has
+// counted twenty in the last second.
 func TestHintsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h admission.Hints
-		now := begin
+		now := testStart
 		var told, heard []time.Time
 		within := func(times []time.Time) (n int) {
 			for _, at := range times {
@@ -152,7 +152,7 @@
 			if allowed {
 				h, told = h.Told(now), append(told, now)
 			}
-			assert.Assert(t, !h.Allow(admission.State{}.WithHint(time.Second, now), now), "another one has told of it")
+			assert.Assert(t, !h.Allow(admission.State{}.WithHint(time.Second, now), now), "a hint is in force")
 		}
 	})
 }
--- a/coord/admission/state.go
+++ b/coord/admission/state.go
@@ -6,79 +6,81 @@
 )
 
 const (
-	// shortestSlowStart and longestSlowStart bound the slow start after a backoff, which otherwise
-	// takes as long as the backoff.
-	shortestSlowStart = 250 * time.Millisecond
-	longestSlowStart  = 2 * time.Second
-	// trialFor is for how long one request is waited for before another one is tried.
-	trialFor = time.Second
+	// minSlowStart and maxSlowStart bound the duration of the slow start, which is otherwise that
+	// of the backoff before it.
+	minSlowStart = 250 * time.Millisecond
+	maxSlowStart = 2 * time.Second
+	// trialTimeout is how long a trial request may take before another one is sent.
+	trialTimeout = time.Second
 )
 
-// State is what one start of an endpoint has said of whether it wants requests, and what became of
-// requests sent there since. It is an immutable value; the zero value has heard nothing.
+// State is what one incarnation of an endpoint has said about accepting requests, and the outcome
+// of requests sent since. It is an immutable value; the zero value says that the endpoint has said
+// nothing.
 type State struct {
-	leaving bool
-	own     pause     // for which it wanted no requests from this balancer
-	proved  bool      // it has run a request since
-	trial   time.Time // when a request was last sent there while that was not so
-	others  pause     // for which it wanted no requests from another balancer
+	leaving   bool
+	own       backoff   // the longest backoff that the endpoint has asked this balancer for
+	recovered bool      // it has run a request since own
+	trialSent time.Time // when the last trial request was sent in the slow start; zero for none
+	hinted    backoff   // the longest backoff that it has asked another balancer for
 }
 
-// pause is a time without requests and the slow start after it.
-type pause struct {
-	until time.Time
-	slow  time.Duration
+// backoff is a time without requests and the slow start after it.
+type backoff struct {
+	until     time.Time     // end of the backoff
+	slowStart time.Duration // duration of the slow start
 }
 
-func newPause(d time.Duration, from time.Time) pause {
-	return pause{until: from.Add(d), slow: min(max(d, shortestSlowStart), longestSlowStart)}
+func newBackoff(d time.Duration, from time.Time) backoff {
+	return backoff{until: from.Add(d), slowStart: min(max(d, minSlowStart), maxSlowStart)}
 }
 
-// silent reports whether nothing was said, as of most endpoints at most times.
-func (s *State) silent() bool {
-	return !s.leaving && s.own.until.IsZero() && s.others.until.IsZero()
+// isEmpty reports whether the endpoint has said nothing, which is the usual case.
+func (s *State) isEmpty() bool {
+	return !s.leaving && s.own.until.IsZero() && s.hinted.until.IsZero()
 }
 
-// With returns the state after an answer that came at a time. Nothing takes a word back: an
-// endpoint that leaves does so for good, and a backoff lasts as long as the longest one asked for,
-// since answers cross on their way.
+// With returns the state after an answer that arrived at heard. Nothing revokes what an answer
+// said, since answers may arrive out of order: an endpoint that is leaving does not return, and a
+// backoff lasts until the latest end that was asked for.
 func (s State) With(w Word, heard time.Time) State {
 	s.leaving = s.leaving || w.Leaving
-	if p := newPause(w.Backoff, heard); w.Backoff > 0 && p.until.After(s.own.until) {
-		s.own, s.proved, s.trial = p, false, time.Time{}
+	if p := newBackoff(w.Backoff, heard); w.Backoff > 0 && p.until.After(s.own.until) {
+		s.own, s.recovered, s.trialSent = p, false, time.Time{}
 	}
 	return s
 }
 
-// WithHint returns the state after another balancer told that the endpoint wants no requests from
-// it for a while. That binds nobody else, but the endpoint is likely to refuse others as well.
+// WithHint returns the state after a hint that the endpoint asked another balancer for a backoff
+// of d. The hint does not forbid requests, but the endpoint is likely to refuse this balancer as
+// well.
 func (s State) WithHint(d time.Duration, heard time.Time) State {
-	if p := newPause(d, heard); d > 0 && p.until.After(s.others.until) {
-		s.others = p
+	if p := newBackoff(d, heard); d > 0 && p.until.After(s.hinted.until) {
+		s.hinted = p
 	}
 	return s
 }
 
-// WithSent returns the state after a request was sent to the endpoint.
+// WithSent returns the state after a request was sent to the endpoint at now.
 func (s State) WithSent(now time.Time) State {
 	if s.OnTrial(now) {
-		s.trial = now
+		s.trialSent = now
 	}
 	return s
 }
 
-// WithRun returns the state after the endpoint ran a request that was sent at a time.
+// WithRun returns the state after the endpoint ran a request that was sent at the given time.
 func (s State) WithRun(sent time.Time) State {
 	if !s.own.until.IsZero() && !sent.Before(s.own.until) {
-		s.proved = true
+		s.recovered = true
 	}
 	return s
 }
 
-// WithSuspension returns the state after the VM was suspended for a while, in which its clock
-// stood still.
+// WithSuspension returns the state after the VM was suspended for the given time, during which its
+// clock stood still.
 func (s State) WithSuspension(slept time.Duration) State {
-	for _, at := range []*time.Time{&s.own.until, &s.others.until, &s.trial} {
+	for _, at := range []*time.Time{&s.own.until, &s.hinted.until, &s.trialSent} {
 		if !at.IsZero() {
 			*at = at.Add(-slept)
 		}
@@ -86,53 +88,54 @@
 	return s
 }
 
-// Leaving reports whether the endpoint has said that it leaves.
+// Leaving reports whether the endpoint has said that it is leaving.
 func (s State) Leaving() bool { return s.leaving }
 
-// Until returns when the endpoint's backoff ends; zero where it has never asked for one.
+// Until returns when the endpoint's backoff ends; zero if it has never asked for one.
 func (s State) Until() time.Time { return s.own.until }
 
-// BackingOff reports whether the endpoint wants no request at now.
+// BackingOff reports whether the endpoint wants no requests from this balancer at now.
 func (s State) BackingOff(now time.Time) bool { return now.Before(s.own.until) }
 
-// OnTrial reports whether a request that is sent at now tries whether the endpoint runs requests
-// again.
-func (s State) OnTrial(now time.Time) bool { return !s.proved && s.SlowStart(now) }
+// OnTrial reports whether a request sent at now is a trial: the endpoint is in its slow start and
+// has not run a request since its backoff.
+func (s State) OnTrial(now time.Time) bool { return !s.recovered && s.SlowStart(now) }
 
-// SlowStart reports whether the endpoint gets requests again little by little.
+// SlowStart reports whether the endpoint is in the slow start after a backoff.
 func (s State) SlowStart(now time.Time) bool {
-	return !s.own.until.IsZero() && !now.Before(s.own.until) && now.Before(s.own.until.Add(s.own.slow))
+	return !s.own.until.IsZero() && !now.Before(s.own.until) && now.Before(s.own.until.Add(s.own.slowStart))
 }
 
-// opens returns when a request may go to the endpoint, as far as the pause decides. From its end the
-// share of the requests that may grows to all of them: lot, a random number in [0,1) of the request
-// and the endpoint, is its place among them. A share of the usual requests is right however many
-// balancers there are. The more urgent ones, of lower priority numbers, come first.
-func (p pause) opens(lot float64, priority int) time.Time {
+// admitsAt returns when a request may be sent to the endpoint as far as the backoff is concerned;
+// zero if there was none. During the slow start the share of requests that may be sent grows to
+// all of them. lot, a random number in [0,1) for the request and the endpoint, is the position of
+// the request among them. A share of the usual requests suits any number of balancers. More urgent
+// requests, which have lower priority numbers, are admitted earlier.
+func (p backoff) admitsAt(lot float64, priority int) time.Time {
 	if p.until.IsZero() {
 		return time.Time{}
 	}
 	rank := 1 / float64(1+max(0, priority))
-	return p.until.Add(time.Duration(float64(p.slow) * math.Pow(lot, rank)))
+	return p.until.Add(time.Duration(float64(p.slowStart) * math.Pow(lot, rank)))
 }
 
-// HintedUntil returns when the backoff ends that another balancer told of; zero for none.
-func (s State) HintedUntil() time.Time { return s.others.until }
+// HintedUntil returns when the hinted backoff ends; zero if there was no hint.
+func (s State) HintedUntil() time.Time { return s.hinted.until }
 
-// Hinted reports whether another balancer has told that the endpoint wants no requests at now.
-func (s State) Hinted(now time.Time) bool { return now.Before(s.others.until) }
+// Hinted reports whether a hinted backoff is in force at now.
+func (s State) Hinted(now time.Time) bool { return now.Before(s.hinted.until) }
 
-// tried returns until when a request is waited for that tries whether the endpoint runs requests
-// again; zero where none is.
-func (s State) tried(now time.Time) time.Time {
-	if s.trial.IsZero() || !s.OnTrial(now) {
+// trialDeadline returns until when the outcome of a trial request is awaited; zero if none was
+// sent, or no trial is needed at now.
+func (s State) trialDeadline(now time.Time) time.Time {
+	if s.trialSent.IsZero() || !s.OnTrial(now) {
 		return time.Time{}
 	}
-	return s.trial.Add(trialFor)
+	return s.trialSent.Add(trialTimeout)
 }
 
-// Snapshot is the part of a State that decides for one ledger of all requests, as it is written to a
-// trace.
+// Snapshot is the part of a State that matters to a ledger through which all requests to an
+// endpoint pass, as it is written to a trace. It contains neither leaving nor hints.
 type Snapshot struct {
 	Until  time.Time     `json:"until"`
 	Slow   time.Duration `json:"slow_start"`
@@ -142,10 +145,10 @@
 
 // Snapshot returns the state in a form that can be stored.
 func (s State) Snapshot() Snapshot {
-	return Snapshot{Until: s.own.until, Slow: s.own.slow, Proved: s.proved, Trial: s.trial}
+	return Snapshot{Until: s.own.until, Slow: s.own.slowStart, Proved: s.recovered, Trial: s.trialSent}
 }
 
-// Restore returns the state that a snapshot was taken of.
+// Restore returns the state from which a snapshot was taken.
 func Restore(s Snapshot) State {
-	return State{own: pause{until: s.Until, slow: s.Slow}, proved: s.Proved, trial: s.Trial}
+	return State{own: backoff{until: s.Until, slowStart: s.Slow}, recovered: s.Proved, trialSent: s.Trial}
 }
