--- a/coord/budget/account.go
+++ b/coord/budget/account.go
@@ -6,15 +6,15 @@
 	"github.com/lotuswing/lotuswing/coord/lease"
 )
 
-// Account is what one balancer may spend: the bucket of the lease term that it
-// holds. It is an immutable value; the zero value covers nothing.
+// Account is what one balancer may spend: the bucket of the lease term that it holds. It is an
+// immutable value; the zero value allows no spending.
 type Account struct {
 	bucket Bucket
 	term   lease.Term
 }
 
-// WithTerm returns the account after the lease was acquired or renewed. A new
-// holding begins with an empty bucket.
+// WithTerm returns the account after the lease was acquired or renewed. If the lease was acquired
+// anew, the bucket is replaced by an empty one.
 func (a Account) WithTerm(term lease.Term, limit Limit, now time.Time) Account {
 	if !term.SameHolding(a.term) {
 		a.bucket = New(limit, now)
@@ -24,8 +24,9 @@
 	return a
 }
 
-// Spend accounts for a measurement that is about to be made; it covers nothing
-// once the term has ended.
+// Spend charges the cost of a measurement that is about to be made. It returns the account
+// afterwards, and whether the measurement may be made: the term must be valid and the bucket must
+// cover the cost.
 func (a Account) Spend(now time.Time, cost time.Duration) (Account, bool) {
 	if !a.term.Valid(now) {
 		return a, false
@@ -35,9 +36,9 @@
 	return a, ok
 }
 
-// Holds reports whether the term is valid. Ask again just before sending what
-// Spend has covered: a process may have been paused in between.
+// Holds reports whether the term is valid at now. Call it again just before sending a measurement
+// that Spend has allowed: the process may have been paused in between.
 func (a Account) Holds(now time.Time) bool { return a.term.Valid(now) }
 
-// Term returns the term of the account.
+// Term returns the lease term that the account belongs to.
 func (a Account) Term() lease.Term { return a.term }
--- a/coord/budget/account_test.go
+++ b/coord/budget/account_test.go
@@ -19,53 +19,51 @@
 	cost  = 7 * time.Millisecond
 	step  = 50 * time.Millisecond
 
-	histories = 10000
-	steps     = 400
+	seeds = 10000
+	steps = 400
 )
 
 var limit = budget.Limit{Rate: 40 * time.Millisecond, Burst: 28 * time.Millisecond, Reserve: 14 * time.Millisecond}
 
-// holder is a balancer that measures while it holds the lease, as the daemon
-// does: account, check again, send.
+// holder is a balancer that measures while it holds the lease. Like the daemon, it charges the
+// cost, checks the term again and sends.
 type holder struct {
-	keeper  *lease.Keeper
-	account budget.Account
-	renewed time.Time
-	paused  time.Time // until
-	checked bool      // paused between the last check and sending
-	covered bool      // paused between accounting and the last check
+	keeper            *lease.Keeper
+	account           budget.Account
+	renewed           time.Time
+	pausedUntil       time.Time
+	pausedBeforeSend  bool // paused between the last check and sending
+	pausedBeforeCheck bool // paused between charging and the last check
 }
 
-// spending is one measurement that reached an endpoint.
-type spending struct {
+// measurement is one measurement that reached an endpoint.
+type measurement struct {
 	at   time.Time
 	cost time.Duration
 }
 
-// world is a fleet in virtual time.
-type world struct {
-	t       *testing.T
-	rng     *rand.Rand
-	now     time.Time
-	store   *fakestore.Store
-	holders []*holder
-	spent   []spending
-	late    int // measurements that a pause delayed after the last check and that are still out
-	down    bool
-	// lateSent counts the delayed ones that reached their endpoint.
+// simulation is a fleet in virtual time.
+type simulation struct {
+	t           *testing.T
+	rng         *rand.Rand
+	now         time.Time
+	store       *fakestore.Store
+	holders     []*holder
+	spent       []measurement
+	pendingLate int // measurements paused after the last check and not sent yet
+	storeDown   bool
+	// lateSent counts the measurements that were sent after such a pause.
 	lateSent int
 }
 
-// TestFleetNeverSpendsMore lets leases lapse, holders pause at any point and
-// resume, answers of the store get lost and the store go down. Whatever
-// window is looked at, the fleet spends no more than the limit allows in it.
-// Reserve covers two measurements: the one that the present holder has
-// accounted and not sent yet, and one of an earlier holder that was paused
-// after its last check.
-func TestFleetNeverSpendsMore(t *testing.T) {
+// TestFleetStaysWithinLimit simulates leases that expire, holders that are paused at any point and
+// resume, lost replies of the store and store outages. In every window the fleet must spend no
+// more than the limit allows. Reserve covers two measurements: one that the current holder has
+// charged and not sent yet, and one of an earlier holder that was paused after its last check.
+func TestFleetStaysWithinLimit(t *testing.T) {
 	total, late := 0, 0
-	for seed := range uint64(histories) {
-		w := newWorld(t, seed)
+	for seed := range uint64(seeds) {
+		w := newSimulation(t, seed)
 		for range steps {
 			w.step()
 		}
@@ -73,17 +71,17 @@
 		total += len(w.spent)
 		late += w.lateSent
 	}
-	t.Logf("%d histories, %d measurements, %d of them late", histories, total, late)
-	assert.Assert(t, total > 20*histories, "only %d measurements: proves nothing", total)
-	assert.Assert(t, late > histories/10, "only %d late measurements: proves nothing", late)
+	t.Logf("%d seeds, %d measurements, %d of them late", seeds, total, late)
+	assert.Assert(t, total > 20*seeds, "only %d measurements, too few for the test to mean anything", total)
+	assert.Assert(t, late > seeds/10, "only %d late measurements, too few for the test to mean anything", late)
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
-	w := &world{t: t, now: time.Unix(1e9, 0), rng: rand.New(rand.NewPCG(seed, 20261202))}
+func newSimulation(t *testing.T, seed uint64) *simulation {
+	w := &simulation{t: t, now: time.Unix(1e9, 0), rng: rand.New(rand.NewPCG(seed, 20261202))}
 	w.store = fakestore.New(fakestore.Options{
 		Clock: func() time.Time { return w.now },
 		Roll: func(n int) int {
-			if w.down {
+			if w.storeDown {
 				return 0
 			}
 			return w.rng.IntN(n)
@@ -96,35 +94,35 @@
 	return w
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now = w.now.Add(step)
 	if w.rng.IntN(100) == 0 {
-		w.down = !w.down
+		w.storeDown = !w.storeDown
 		w.store.Land()
 	}
 	for _, h := range w.holders {
-		w.act(h)
+		w.stepHolder(h)
 	}
 }
 
-// act lets one holder do what it does in one step.
-func (w *world) act(h *holder) {
-	if w.now.Before(h.paused) {
+// stepHolder performs what one holder does in one step.
+func (w *simulation) stepHolder(h *holder) {
+	if w.now.Before(h.pausedUntil) {
 		return
 	}
-	if h.checked { // resumes in the middle of sending
-		h.checked = false
-		w.late--
+	if h.pausedBeforeSend { // resumes just before sending
+		h.pausedBeforeSend = false
+		w.pendingLate--
 		w.lateSent++
 		w.send()
 		return
 	}
-	if h.covered { // resumes before the last check
-		h.covered = false
-		w.finish(h)
+	if h.pausedBeforeCheck { // resumes before the last check
+		h.pausedBeforeCheck = false
+		w.checkAndSend(h)
 		return
 	}
-	if h.account.Holds(w.now) && w.rng.IntN(100) == 0 { // a planned stop
+	if h.account.Holds(w.now) && w.rng.IntN(100) == 0 { // planned shutdown
 		h.account = budget.Account{}
 		_ = h.keeper.Release(context.Background())
 		h.renewed = w.now.Add(ttl)
@@ -143,40 +141,41 @@
 			return
 		}
 		if w.maybePause(h, 30) {
-			h.covered = true
+			h.pausedBeforeCheck = true
 			return
 		}
-		w.finish(h)
+		w.checkAndSend(h)
 	}
 }
 
-// finish is the last check and the sending.
-func (w *world) finish(h *holder) {
+// checkAndSend checks the term a last time and sends the measurement, unless the holder is paused
+// in between.
+func (w *simulation) checkAndSend(h *holder) {
 	if !h.account.Holds(w.now) {
 		return
 	}
-	if w.late < 1 && w.maybePause(h, 60) {
-		w.late++
-		h.checked = true
+	if w.pendingLate < 1 && w.maybePause(h, 60) {
+		w.pendingLate++
+		h.pausedBeforeSend = true
 		return
 	}
 	w.send()
 }
 
-func (w *world) maybePause(h *holder, oneIn int) bool {
+func (w *simulation) maybePause(h *holder, oneIn int) bool {
 	if w.rng.IntN(oneIn) != 0 {
 		return false
 	}
-	h.paused = w.now.Add(time.Duration(w.rng.IntN(200)+1) * step)
+	h.pausedUntil = w.now.Add(time.Duration(w.rng.IntN(200)+1) * step)
 	return true
 }
 
-func (w *world) send() {
-	w.spent = append(w.spent, spending{at: w.now, cost: cost})
+func (w *simulation) send() {
+	w.spent = append(w.spent, measurement{at: w.now, cost: cost})
 }
 
-// check looks at every window that begins and ends with a measurement.
-func (w *world) check(seed uint64) {
+// check fails the test if a window that begins and ends with a measurement exceeds the limit.
+func (w *simulation) check(seed uint64) {
 	for i := range w.spent {
 		sum := time.Duration(0)
 		for j := i; j < len(w.spent); j++ {
@@ -189,9 +188,9 @@
 	}
 }
 
-// TestStoreDownMeansNoMeasuring: without the store the term lapses and nothing
-// is covered any more.
-func TestStoreDownMeansNoMeasuring(t *testing.T) {
+// TestNoSpendingAfterTermExpires checks that a holder that cannot renew its lease, for example
+// because the store is down, spends nothing once the term has ended.
+func TestNoSpendingAfterTermExpires(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	s := fakestore.New(fakestore.Options{Clock: func() time.Time { return now }})
 	k := lease.NewKeeper(s, "lease", "h", ttl)
@@ -202,6 +201,6 @@
 	assert.Assert(t, ok)
 	_, ok = a.Spend(now.Add(ttl), cost)
 	assert.Assert(t, !ok)
-	// What was covered before a pause is not sent after it.
+	// A measurement that was charged before a pause is not sent after the term has ended.
 	assert.Assert(t, a.Holds(now) && !a.Holds(now.Add(ttl)))
 }
--- a/coord/budget/budget.go
+++ b/coord/budget/budget.go
@@ -1,18 +1,16 @@
-// Package budget bounds what measuring endpoints may cost.
+// Package budget bounds the cost of measuring endpoints.
 //
-// A cost is the time that a measurement takes from an endpoint. The limit of a
-// tenant is a rate and a burst: in any window of length w the whole fleet
-// spends at most Rate*w + Burst. Only one balancer at a time, the holder of a
-// lease, has a Bucket; a new holder starts with an empty one, so a change of
-// holder never adds to what was allowed before. Reserve is the part of Burst
-// that is never handed to a holder. It covers what was accounted in one window
-// and reaches its endpoint in a later one: the measurement that the present
-// holder is about to send, and one of an earlier holder whose process was
-// paused after its last check. So it is at least twice the cost of one
-// measurement.
+// The cost of a measurement is the time that it takes from an endpoint. The limit of a tenant is
+// a rate and a burst: in any window of length w the whole fleet spends at most Rate*w + Burst.
+// Only one balancer at a time, the holder of a lease, has a Bucket. The bucket of a new holder
+// starts empty, so a change of holder never adds to what was allowed before. Reserve is the part
+// of Burst that no holder may spend. It covers measurements that are charged in one window and
+// reach their endpoint in a later one: the measurement that the current holder is about to send,
+// and one of an earlier holder whose process was paused after its last check. So it must be at
+// least twice the cost of one measurement.
 //
-// The package owns no state: a Bucket and an Account are immutable values that their
-// holder keeps. Rates and costs come from the tenant's document.
+// The package has no global state: a Bucket and an Account are immutable values that their
+// holder stores. Rates and costs come from the tenant's document.
 //
 // # Usage
 //
@@ -28,14 +26,14 @@
 	"time"
 )
 
-// Limit is what a tenant allows for measuring.
+// Limit is what a tenant allows to be spent on measurements.
 type Limit struct {
 	Rate    time.Duration // endpoint time per second
 	Burst   time.Duration // endpoint time above Rate in any window
 	Reserve time.Duration // part of Burst kept for delayed measurements
 }
 
-// Validate reports what is wrong with the limit.
+// Validate returns an error if a value is negative or Reserve exceeds Burst.
 func (l Limit) Validate() error {
 	if l.Rate < 0 || l.Burst < 0 || l.Reserve < 0 {
 		return fmt.Errorf("budget: rate, burst and reserve must not be negative")
@@ -46,7 +44,8 @@
 	return nil
 }
 
-// Allowed returns the most that may be spent in a window.
+// Allowed returns the most endpoint time that the fleet may spend in any window of the given
+// length.
 func (l Limit) Allowed(window time.Duration) time.Duration {
 	return scale(l.Rate, window) + l.Burst
 }
@@ -58,7 +57,7 @@
 	updated time.Time
 }
 
-// New returns the bucket of a term that begins at now. It is empty.
+// New returns the empty bucket of a term that begins at now.
 func New(limit Limit, now time.Time) Bucket {
 	return Bucket{limit: limit, updated: now}
 }
@@ -66,8 +65,7 @@
 // Limit returns the limit that the bucket enforces.
 func (b Bucket) Limit() Limit { return b.limit }
 
-// WithLimit returns the bucket under another limit, keeping what it holds up
-// to the new capacity.
+// WithLimit returns the bucket under another limit. It keeps its tokens up to the new capacity.
 func (b Bucket) WithLimit(limit Limit, now time.Time) Bucket {
 	b = b.refill(now)
 	b.limit = limit
@@ -75,8 +73,9 @@
 	return b
 }
 
-// Spend returns the bucket after a measurement of the given cost, and whether
-// the bucket covered it. Account first and send afterwards.
+// Spend charges the cost of a measurement. It returns the bucket afterwards, and whether the
+// bucket covered the cost; if not, only the refill is applied. Call Spend before sending the
+// measurement.
 func (b Bucket) Spend(now time.Time, cost time.Duration) (Bucket, bool) {
 	b = b.refill(now)
 	if cost < 0 || cost > b.tokens {
@@ -86,8 +85,10 @@
 	return b, true
 }
 
+// capacity returns the largest number of tokens, which excludes Reserve.
 func (b Bucket) capacity() time.Duration { return b.limit.Burst - b.limit.Reserve }
 
+// refill returns the bucket with the tokens earned until now.
 func (b Bucket) refill(now time.Time) Bucket {
 	elapsed := now.Sub(b.updated)
 	if elapsed <= 0 {
