--- a/coord/limit/bench_test.go
+++ b/coord/limit/bench_test.go
@@ -12,7 +12,7 @@
 // rarely.
 func BenchmarkAsked(b *testing.B) {
 	const balancers, endpoints = 1210, 384
-	book := NewLimiter(1)
+	limiter := NewLimiter(1)
 	addrs := make([]string, balancers)
 	for i := range addrs {
 		addrs[i] = fmt.Sprintf("10.1.0.%d:8301", i)
@@ -22,6 +22,6 @@
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(100 * time.Microsecond)
 		ask := Ask{Target: Target{ID: fmt.Sprintf("i-%d", i%endpoints), Start: 1}, Want: 1, Word: word}
-		book.HandleAsks(addrs[i%balancers], []Ask{ask}, true, now)
+		limiter.HandleAsks(addrs[i%balancers], []Ask{ask}, true, now)
 	}
 }
--- a/coord/limit/fleet_test.go
+++ b/coord/limit/fleet_test.go
@@ -33,7 +33,7 @@
 	probeCount int
 }
 
-// arrival is a request that reached the endpoint. told header that its balancer had been told of the
+// arrival is a request that reached the endpoint. told says that its balancer had been told of the
 // limit at least 500 ms before.
 type arrival struct {
 	at   time.Time
@@ -45,7 +45,7 @@
 	addr        string
 	zone        int
 	incarnation int
-	book        *Limiter
+	limiter     *Limiter
 	down        bool
 	told        time.Time // when the first answer with a limit arrived in this incarnation
 	slow        time.Duration
@@ -66,7 +66,7 @@
 
 // start starts or restarts a node, with no state from before.
 func (f *fleet) start(n *node) {
-	n.book, n.down, n.told = NewLimiter(f.rng.Uint64()), false, time.Time{}
+	n.limiter, n.down, n.told = NewLimiter(f.rng.Uint64()), false, time.Time{}
 	n.incarnation++
 }
 
@@ -119,7 +119,7 @@
 	f.callCount++
 	unanswered := func() {
 		if n.incarnation == incarnation {
-			n.book.HandleNoReply(a, f.Now())
+			n.limiter.HandleNoReply(a, f.Now())
 		}
 	}
 	if owner == nil || !f.delivered(n, owner) {
@@ -131,7 +131,7 @@
 			f.After(simCallTimeout, unanswered)
 			return
 		}
-		r := owner.book.HandleAsks(n.addr, []Ask{a}, true, f.Now())
+		r := owner.limiter.HandleAsks(n.addr, []Ask{a}, true, f.Now())
 		f.publishNote(owner)
 		if !f.delivered(owner, n) {
 			f.After(simCallTimeout, unanswered)
@@ -141,7 +141,7 @@
 			if n.incarnation != incarnation || len(r.Grants) == 0 {
 				return
 			}
-			if n.book.HandleReply(a, r.Grants[0], r.Askers, f.Now()) {
+			if n.limiter.HandleReply(a, r.Grants[0], r.Askers, f.Now()) {
 				f.probe(n)
 			}
 		})
@@ -150,9 +150,9 @@
 
 // publishNote sends the note of the owner to all other nodes, if there is one.
 func (f *fleet) publishNote(owner *node) {
-	told, ok := owner.book.TakeNote(f.target, f.Now())
+	told, ok := owner.limiter.TakeNote(f.target, f.Now())
 	if !ok {
-		if after, due := owner.book.NoteDelay(f.target, f.Now()); due {
+		if after, due := owner.limiter.NoteDelay(f.target, f.Now()); due {
 			f.After(after, func() { f.publishNote(owner) })
 		}
 		return
@@ -167,7 +167,7 @@
 					aged := told
 					aged.AskedAge += f.Now().Sub(sent)
 					aged.HeardAge += f.Now().Sub(sent)
-					n.book.MergeRemote(f.target, aged, f.Now())
+					n.limiter.MergeRemote(f.target, aged, f.Now())
 				}
 			})
 		}
@@ -188,8 +188,8 @@
 		if said == Named && n.told.IsZero() && !probe {
 			n.told = f.Now()
 		}
-		n.book.ObserveAnswer(target, Answer{Said: said, Rate: arrivalRate, Asked: asked, Heard: f.Now()}, probe)
-		if a, ok := n.book.Report(target, f.Now()); ok {
+		n.limiter.ObserveAnswer(target, Answer{Said: said, Rate: arrivalRate, Asked: asked, Heard: f.Now()}, probe)
+		if a, ok := n.limiter.Report(target, f.Now()); ok {
 			f.call(n, a)
 		}
 	})
@@ -214,12 +214,12 @@
 	if n.down {
 		return
 	}
-	s, _ := n.book.Standing(f.target, f.Now())
+	s, _ := n.limiter.Standing(f.target, f.Now())
 	switch s {
 	case Free, Held:
 		f.send(n)
 	case Askable:
-		a, _ := n.book.Ask(f.target, f.Now())
+		a, _ := n.limiter.Ask(f.target, f.Now())
 		f.call(n, a)
 		f.awaitPermit(n, n.incarnation, f.Now())
 	case Withheld:
@@ -232,7 +232,7 @@
 		if n.incarnation != incarnation || n.down {
 			return
 		}
-		switch s, _ := n.book.Standing(f.target, f.Now()); {
+		switch s, _ := n.limiter.Standing(f.target, f.Now()); {
 		case s == Held || s == Free:
 			f.send(n)
 		case s == Withheld && f.Now().Sub(since) < simAskWait:
@@ -242,7 +242,7 @@
 }
 
 func (f *fleet) send(n *node) {
-	if !n.book.Use(f.target, f.Now()).Admits() {
+	if !n.limiter.Use(f.target, f.Now()).Admits() {
 		return
 	}
 	asked := f.Now()
