--- a/coord/limit/limit.go
+++ b/coord/limit/limit.go
@@ -3,13 +3,13 @@
 //
 // An Observation is what an endpoint last said about its limit. Answers may arrive out of order,
 // so observations are ordered by when the request was sent and when its answer arrived
-// (word.go). Each endpoint has an owner, the relay of its availability zone (Owner), which keeps
+// (observation.go). Each endpoint has an owner, the relay of its availability zone (Owner), which keeps
 // a token bucket for the limit (bucket.go) and grants permits one request at a time to the
 // balancers that ask (owner.go). Static shares would not work: a limit is often below one
 // request per second for each balancer. Announcing the state of the bucket would not work
 // either: by the time balancers hear of free tokens, many of them would use the same ones. A
 // balancer whose owner does not reply sends at random times; all such balancers together use
-// half of the limit (account.go). A Limiter is the state of one balancer, both as asker and, if
+// half of the limit (allowance.go). A Limiter is the state of one balancer, both as asker and, if
 // it is a relay, as owner.
 //
 // The package does no I/O and reads no clock; random numbers come from the seed of a Limiter. A
