--- a/coord/health/health.go
+++ b/coord/health/health.go
@@ -1,13 +1,13 @@
-// Package health judges an endpoint by its own completions, compared with its
+// Package health judges an endpoint by the results of its own requests, compared with its
 // peers in the same service.
 //
-// A shed or failed answer is evidence against an endpoint and never a low
-// latency. Completions enter as the ratio of their latency to what the service
-// usually takes for that class of request, so that a long export and a short
-// look-up can be compared. The average is taken of the logarithm: one request
+// A shed or failed response is evidence against an endpoint; its latency, which may be low, is not
+// counted. A completion is recorded as the ratio of its latency to the usual latency of the
+// service for that class of request, so that a long export and a short look-up can be
+// compared. The moving average is taken of the logarithm of the ratio: one request
 // from a heavy tail does not make an endpoint look slow.
 //
-// The package owns no state: a State is an immutable value.
+// The package keeps no state: a State is an immutable value.
 //
 // # Usage
 //
@@ -24,18 +24,18 @@
 	"time"
 )
 
-// Options of the rules. Zero fields take the defaults.
+// Options of the health rules. Zero fields take the defaults.
 type Options struct {
-	EjectAfter  int           // failures in a row before an endpoint is ejected; default 3
-	EjectFor    time.Duration // first ejection, doubled each time; default 500 ms
+	EjectAfter  int           // consecutive failures after which an endpoint is ejected; default 3
+	EjectFor    time.Duration // duration of the first ejection, doubled each time; default 500 ms
 	EjectMost   time.Duration // longest ejection; default 8 s
-	SlowFactor  float64       // times the peers' median that count as slow; default 3
+	SlowFactor  float64       // multiple of the peers' median slowness above which an endpoint is slow; default 3
 	SlowSamples int           // completions needed before the comparison; default 3
 }
 
 const (
-	alpha       = 0.2 // weight of a new sample in the moving average
-	mostDoubled = 10  // doublings of an ejection, which EjectMost bounds anyway
+	alpha        = 0.2 // weight of a new sample in the moving average
+	maxDoublings = 10  // keeps the doubled ejection from overflowing before EjectMost limits it
 )
 
 func (o Options) withDefaults() Options {
@@ -47,54 +47,54 @@
 	return o
 }
 
-// State is what is known of one endpoint. It is an immutable value.
+// State is the health of one endpoint. It is an immutable value.
 type State struct {
-	opts     Options
-	log      float64 // moving average of the logarithm of the ratio
-	slowness float64 // its exponential, kept because it is read far more often
-	samples  int
-	failures int // in a row
-	ejected  int // times in a row
-	until    time.Time
+	opts         Options
+	logSlowness  float64 // moving average of the logarithm of the ratio
+	slowness     float64 // exp(logSlowness), cached because it is read far more often than it changes
+	samples      int
+	failures     int // consecutive
+	ejections    int // consecutive ejections
+	ejectedUntil time.Time
 }
 
-// New returns the state of an endpoint of which nothing is known.
+// New returns the state of an endpoint that has not completed a request yet.
 func New(opts Options) State { return State{opts: opts.withDefaults(), slowness: 1} }
 
-// Slowness returns how many times longer the endpoint takes than usual; 1
-// while nothing is known.
+// Slowness returns the ratio of the endpoint's latency to the usual latency, as a moving average;
+// 1 before the first completion.
 func (s State) Slowness() float64 { return s.slowness }
 
 // Known reports whether a request has completed.
 func (s State) Known() bool { return s.samples > 0 }
 
-// Ejected reports whether the endpoint gets no requests at now.
-func (s State) Ejected(now time.Time) bool { return now.Before(s.until) }
+// Ejected reports whether the endpoint is ejected at now, so that it gets no requests.
+func (s State) Ejected(now time.Time) bool { return now.Before(s.ejectedUntil) }
 
 // EjectedUntil returns the end of the last ejection.
-func (s State) EjectedUntil() time.Time { return s.until }
+func (s State) EjectedUntil() time.Time { return s.ejectedUntil }
 
-// OnTrial reports whether an ejection has ended and no completion has come
+// OnTrial reports whether an ejection has ended and no request has completed
 // since: such an endpoint gets one request at a time.
-func (s State) OnTrial(now time.Time) bool { return s.ejected > 0 && !s.Ejected(now) }
+func (s State) OnTrial(now time.Time) bool { return s.ejections > 0 && !s.Ejected(now) }
 
-// WithCompletion returns the state after a request that ran to its end in
-// ratio times what is usual.
+// WithCompletion returns the state after a completed request whose latency was
+// ratio times the usual one.
 func (s State) WithCompletion(ratio float64) State {
 	sample := math.Log(max(ratio, math.SmallestNonzeroFloat32))
 	if s.samples == 0 {
-		s.log = sample * alpha
+		s.logSlowness = sample * alpha
 	} else {
-		s.log += alpha * (sample - s.log)
+		s.logSlowness += alpha * (sample - s.logSlowness)
 	}
-	s.slowness = math.Exp(s.log)
+	s.slowness = math.Exp(s.logSlowness)
 	s.samples++
 	s.failures = 0
-	s.ejected = 0
+	s.ejections = 0
 	return s
 }
 
-// WithFailure returns the state after an answer or connection that failed.
+// WithFailure returns the state after a failed response or connection.
 func (s State) WithFailure(now time.Time) State {
 	s.failures++
 	if s.failures >= s.opts.EjectAfter || s.OnTrial(now) {
@@ -104,28 +104,30 @@
 }
 
 // WithoutEjection returns the state with its ejection ended, for an endpoint
-// that cannot be spared.
+// without which too few would be left.
 func (s State) WithoutEjection() State {
-	s.until = time.Time{}
-	s.ejected = 0
+	s.ejectedUntil = time.Time{}
+	s.ejections = 0
 	return s
 }
 
+// eject returns the state after an ejection that begins at now.
 func (s State) eject(now time.Time) State {
-	d := s.opts.EjectFor << min(s.ejected, mostDoubled)
-	s.until = now.Add(min(d, s.opts.EjectMost))
-	s.ejected++
+	d := s.opts.EjectFor << min(s.ejections, maxDoublings)
+	s.ejectedUntil = now.Add(min(d, s.opts.EjectMost))
+	s.ejections++
 	s.failures = 0
 	return s
 }
 
-// Slow reports whether the endpoint is slow against the median slowness of its
+// Slow reports whether the endpoint is slow compared with the median slowness of its
 // peers.
 func (s State) Slow(median float64) bool {
 	return s.samples >= s.opts.SlowSamples && s.Slowness() > s.opts.SlowFactor*median
 }
 
-// Median returns the median slowness of the states, 1 where there is none.
+// Median returns the lower median of the slowness of the states that have completed a request, 1
+// if there is none.
 func Median(states []State) float64 {
 	known := make([]float64, 0, len(states))
 	for _, s := range states {
@@ -151,10 +153,10 @@
 
 // Snapshot returns the state in a form that can be stored.
 func (s State) Snapshot() Snapshot {
-	return Snapshot{Log: s.log, Samples: s.samples, Failures: s.failures, Ejected: s.ejected, Until: s.until}
+	return Snapshot{Log: s.logSlowness, Samples: s.samples, Failures: s.failures, Ejected: s.ejections, Until: s.ejectedUntil}
 }
 
-// Restore returns the state that a snapshot was taken of.
+// Restore returns the state from which a snapshot was taken.
 func Restore(opts Options, s Snapshot) State {
-	return State{opts: opts.withDefaults(), log: s.Log, slowness: math.Exp(s.Log), samples: s.Samples, failures: s.Failures, ejected: s.Ejected, until: s.Until}
+	return State{opts: opts.withDefaults(), logSlowness: s.Log, slowness: math.Exp(s.Log), samples: s.Samples, failures: s.Failures, ejections: s.Ejected, ejectedUntil: s.Until}
 }
