--- a/coord/leaving/leaving.go
+++ b/coord/leaving/leaving.go
@@ -1,11 +1,11 @@
-// Package leaving keeps the marks of endpoints that are going away.
+// Package leaving records which endpoints are leaving.
 //
-// A mark names one incarnation of an endpoint, the identity of its VM. It is
+// A mark names one incarnation of an endpoint by the identity of its VM. It is
 // never taken back: only a newer incarnation, which has another identity,
-// gets new work at the same address. Sets merge by union, so balancers may
+// gets new requests at the same address. Sets merge by union, so balancers may
 // exchange them in any order and any number of times.
 //
-// The package owns no state: a Set is an immutable value.
+// The package keeps no state: a Set is an immutable value.
 //
 // # Usage
 //
@@ -20,14 +20,14 @@
 	"time"
 )
 
-// Source says where the evidence came from.
+// Source says where the evidence that an endpoint is leaving came from.
 type Source string
 
 // The sources of evidence.
 const (
-	Answer Source = "answer" // the endpoint's own word on an answer
-	Probe  Source = "probe"  // the endpoint's own word on a probe
-	List   Source = "list"   // the platform's list of VMs
+	Answer Source = "answer" // a response of the endpoint said so
+	Probe  Source = "probe"  // the endpoint's answer to a probe said so
+	List   Source = "list"   // the platform's list of VMs said so
 )
 
 // Mark says that one incarnation of an endpoint is leaving.
@@ -36,9 +36,10 @@
 	Source Source
 }
 
+// entry is a mark and when this process first learnt of it.
 type entry struct {
-	mark  Mark
-	heard time.Time
+	mark    Mark
+	addedAt time.Time
 }
 
 // Set is an immutable set of marks. The zero value is empty.
@@ -55,13 +56,14 @@
 // Len returns the number of marks.
 func (s Set) Len() int { return len(s.marks) }
 
-// With returns the set with a mark added. A known mark is kept as it is.
+// With returns the set with a mark added. If the VM is marked already, its mark is kept.
 func (s Set) With(m Mark, now time.Time) Set {
 	merged, _ := s.Merge([]Mark{m}, now)
 	return merged
 }
 
-// Merge returns the union of the set and marks, and the marks that were new.
+// Merge returns the union of the set and marks, and the marks that were new. If a VM is marked
+// already, its mark is kept.
 func (s Set) Merge(marks []Mark, now time.Time) (Set, []Mark) {
 	var fresh []Mark
 	for _, m := range marks {
@@ -75,12 +77,12 @@
 	next := make(map[string]entry, len(s.marks)+len(fresh))
 	maps.Copy(next, s.marks)
 	for _, m := range fresh {
-		next[m.VM] = entry{mark: m, heard: now}
+		next[m.VM] = entry{mark: m, addedAt: now}
 	}
 	return Set{marks: next}, fresh
 }
 
-// Marks returns the marks in order of VM.
+// Marks returns the marks sorted by VM.
 func (s Set) Marks() []Mark {
 	out := make([]Mark, 0, len(s.marks))
 	for _, e := range s.marks {
@@ -90,13 +92,13 @@
 	return out
 }
 
-// Forget returns the set without the marks of VMs that listed reports as gone
-// and that were heard of before the given time. A VM's identity is never used
-// again, so a mark is only needed while some list may still name it.
+// Forget returns the set without the marks that were added before the given time
+// and whose VM is not listed. A VM's identity is never reused, so a mark is only
+// needed while some list may still name it.
 func (s Set) Forget(before time.Time, listed func(vm string) bool) Set {
 	next := make(map[string]entry, len(s.marks))
 	for vm, e := range s.marks {
-		if listed(vm) || !e.heard.Before(before) {
+		if listed(vm) || !e.addedAt.Before(before) {
 			next[vm] = e
 		}
 	}
--- a/coord/leaving/leaving_test.go
+++ b/coord/leaving/leaving_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestMarksReachEveryBalancer spreads one mark by heartbeats in virtual time:
-// each balancer exchanges with two others each 300 ms and a third of the
-// messages are lost. Every balancer knows within three seconds.
+// each balancer exchanges marks with two others every 300 ms, and a third of the
+// exchanges are lost. Every balancer must know the mark within three seconds.
 func TestMarksReachEveryBalancer(t *testing.T) {
 	const (
 		period = 300 * time.Millisecond
@@ -47,7 +47,7 @@
 	}
 }
 
-// exchange swaps marks between balancer i and another; a third gets lost.
+// exchange swaps marks between balancer i and a random other one; one exchange in three is lost.
 func exchange(sets []leaving.Set, i int, rng *rand.Rand, now time.Time) {
 	j := (i + 1 + rng.IntN(len(sets)-1)) % len(sets)
 	if rng.IntN(3) == 0 {
@@ -57,7 +57,8 @@
 	sets[i], _ = sets[i].Merge(sets[j].Marks(), now)
 }
 
-// TestMarksAreNeverTakenBack: a set only grows, in any order of merging.
+// TestMarksAreNeverTakenBack checks that merging keeps all marks in either set, and that adding a
+// mark leaves the earlier set unchanged.
 func TestMarksAreNeverTakenBack(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	var a, b leaving.Set
@@ -73,9 +74,9 @@
 	assert.Assert(t, a.Has("new") && !old.Has("new"))
 }
 
-// TestForgetKeepsWhatIsListed: a mark is dropped only when the VM is neither
-// listed nor freshly heard of.
-func TestForgetKeepsWhatIsListed(t *testing.T) {
+// TestForgetKeepsListedAndRecentMarks checks that a mark is dropped only if its VM is not
+// listed and the mark is not recent.
+func TestForgetKeepsListedAndRecentMarks(t *testing.T) {
 	then := time.Unix(1e9, 0)
 	s := leaving.Set{}.With(leaving.Mark{VM: "listed"}, then).With(leaving.Mark{VM: "gone"}, then)
 	s = s.With(leaving.Mark{VM: "fresh"}, then.Add(time.Hour))
