--- a/coord/lease/example_test.go
+++ b/coord/lease/example_test.go
@@ -19,7 +19,7 @@
 	term, _ := first.Renew(context.Background(), clock)
 	_, err := second.Renew(context.Background(), clock)
 	fmt.Println(term.Valid(now), errors.Is(err, lease.ErrHeld))
-	now = now.Add(8 * time.Second) // the first holder was paused
+	now = now.Add(8 * time.Second) // the first holder's lease expires while it is paused
 	_, err = second.Renew(context.Background(), clock)
 	fmt.Println(term.Valid(now), err)
 	// Output:
--- a/coord/lease/lease.go
+++ b/coord/lease/lease.go
@@ -1,12 +1,12 @@
-// Package lease holds a lease in a key-value store and knows when it no longer
-// does.
+// Package lease acquires and renews a lease in a key-value store, and determines locally when
+// it is no longer valid.
 //
-// A holder that was paused must not act on what it no longer owns. A Term
-// therefore carries a deadline on the holder's own monotonic clock, taken
-// before the request to the store was sent and shortened by a margin for clock
-// drift, and each use asks Valid with the present time.
+// A holder that was paused must not act on a lease that has expired. A Term
+// therefore has a deadline on the holder's own monotonic clock. It counts from
+// before the request to the store was sent and is shortened by a margin for clock
+// drift. Each use calls Valid with the present time.
 //
-// A Keeper owns the term that it holds; the store owns the lease. It relies on a Store
+// A Keeper owns its term; the store owns the lease. The Keeper needs a Store
 // with compare-and-swap and times to live.
 //
 // # Usage
@@ -30,21 +30,22 @@
 	"github.com/lotuswing/lotuswing/coord/store"
 )
 
-// marginDivisor is the share of the time to live that is given up against clock drift between
-// holder and store: one eighth.
+// marginDivisor sets the margin for clock drift between holder and store: the term ends one
+// eighth of the time to live early.
 const marginDivisor = 8
 
 // ErrHeld is returned while another holder has the lease.
-var ErrHeld = errors.New("lease: held by another")
+var ErrHeld = errors.New("lease: held by another holder")
 
-// Term is one period of holding. The zero value is not valid at any time.
+// Term is the period for which a lease is held. The zero value is never valid.
 type Term struct {
-	Token    uint64 // the store's revision: grows with each holder
+	Token    uint64 // fencing token: the store's revision at the last renewal, so it grows with each holder
 	First    uint64 // the revision at which this holder acquired the lease
 	Deadline time.Time
 }
 
-// Granted returns the term of a lease whose request was sent at sent.
+// Granted returns the term of a lease whose request was sent at sent. first is the revision at
+// which the holder acquired the lease, token that of this grant.
 func Granted(sent time.Time, ttl time.Duration, first, token uint64) Term {
 	return Term{Token: token, First: first, Deadline: sent.Add(ttl - ttl/marginDivisor)}
 }
@@ -54,10 +55,11 @@
 	return t.Token != 0 && now.Before(t.Deadline)
 }
 
-// SameHolding reports whether two terms belong to one unbroken holding.
+// SameHolding reports whether two terms belong to the same holding, which no other holder and no
+// lapse interrupted.
 func (t Term) SameHolding(o Term) bool { return t.First == o.First && t.First != 0 }
 
-// Store is what a Keeper needs of the key-value service.
+// Store is the part of a key-value store that a Keeper uses.
 type Store interface {
 	Get(ctx context.Context, key string) (store.Entry, error)
 	CompareAndSwap(ctx context.Context, w store.Write) (store.Entry, error)
@@ -65,45 +67,47 @@
 
 // Keeper acquires and renews one lease. It is not safe for concurrent use.
 type Keeper struct {
-	store  Store
-	key    string
-	holder string
-	ttl    time.Duration
-	term   Term
-	known  store.Entry // last entry seen under the key
-	writes uint64      // made so far; part of each value, to tell them apart
+	store     Store
+	key       string
+	holder    string
+	ttl       time.Duration
+	term      Term
+	lastEntry store.Entry // own entry last seen under the key; zero for none
+	writes    uint64      // number of writes; part of each value, to distinguish them
 }
 
-// NewKeeper returns a keeper that holds nothing. The holder's name must be
+// NewKeeper returns a keeper that does not hold the lease. The holder's name must be
 // unique to the process, not only to the VM.
 func NewKeeper(s Store, key, holder string, ttl time.Duration) *Keeper {
 	return &Keeper{store: s, key: key, holder: holder, ttl: ttl}
 }
 
-// Term returns the last term granted; ask it whether it is still valid.
+// Term returns the last term granted, which may no longer be valid.
 func (k *Keeper) Term() Term { return k.term }
 
-// Drop forgets the term, as after a pause. The store lets it lapse.
+// Drop forgets the term without a call to the store, as after a pause. The lease expires in the
+// store.
 func (k *Keeper) Drop() {
 	k.term = Term{}
-	k.known = store.Entry{}
+	k.lastEntry = store.Entry{}
 }
 
-// Renew acquires the lease or extends it. It makes at most three calls.
-// After an error the old term is unchanged and lapses at its deadline.
+// Renew acquires the lease or extends it, with at most three calls to the store. After an error it
+// returns the previous term, which stays valid until its deadline. The error is ErrHeld if the
+// store has another holder's entry, and store.ErrConflict if a write came in between.
 func (k *Keeper) Renew(ctx context.Context, clock func() time.Time) (Term, error) {
-	if k.known.Revision == 0 {
-		if err := k.look(ctx); err != nil {
+	if k.lastEntry.Revision == 0 {
+		if err := k.readEntry(ctx); err != nil {
 			return k.term, err
 		}
 	}
 	sent := clock()
-	entry, err := k.write(ctx)
+	entry, err := k.writeEntry(ctx)
 	if errors.Is(err, store.ErrUnknown) {
-		entry, err = k.settle(ctx)
+		entry, err = k.confirmWrite(ctx)
 	}
 	if errors.Is(err, store.ErrConflict) {
-		k.known = store.Entry{}
+		k.lastEntry = store.Entry{}
 	}
 	if err != nil {
 		return k.term, err
@@ -112,23 +116,25 @@
 	if k.term.Valid(sent) {
 		first = k.term.First
 	}
-	k.known = entry
+	k.lastEntry = entry
 	k.term = Granted(sent, k.ttl, first, entry.Revision)
 	return k.term, nil
 }
 
-// Release gives the lease back so that another can acquire it at once.
+// Release deletes the lease from the store so that another holder can acquire it at once.
 func (k *Keeper) Release(ctx context.Context) error {
-	if k.known.Revision == 0 {
+	if k.lastEntry.Revision == 0 {
 		return nil
 	}
-	w := store.Write{Key: k.key, Revision: k.known.Revision, Delete: true}
+	w := store.Write{Key: k.key, Revision: k.lastEntry.Revision, Delete: true}
 	k.Drop()
 	_, err := k.store.CompareAndSwap(ctx, w)
 	return err
 }
 
-func (k *Keeper) look(ctx context.Context) error {
+// readEntry reads the lease's entry from the store. It returns ErrHeld if the entry is another
+// holder's.
+func (k *Keeper) readEntry(ctx context.Context) error {
 	entry, err := k.store.Get(ctx, k.key)
 	if errors.Is(err, store.ErrNotFound) {
 		return nil
@@ -136,36 +142,38 @@
 	if err != nil {
 		return err
 	}
-	if !k.mine(entry) {
-		return fmt.Errorf("%w: %s has %s", ErrHeld, entry.Value, k.key)
+	if !k.isOwn(entry) {
+		return fmt.Errorf("%w: %s holds %s", ErrHeld, entry.Value, k.key)
 	}
-	k.known = entry
+	k.lastEntry = entry
 	return nil
 }
 
-// separator stands between the holder and the number of the write.
+// separator separates the holder from the number of the write in an entry's value.
 const separator = "#"
 
-// mine reports whether any write of this keeper made the entry.
-func (k *Keeper) mine(entry store.Entry) bool {
+// isOwn reports whether any write of this keeper made the entry.
+func (k *Keeper) isOwn(entry store.Entry) bool {
 	return strings.HasPrefix(string(entry.Value), k.holder+separator)
 }
 
-func (k *Keeper) write(ctx context.Context) (store.Entry, error) {
+// writeEntry acquires or extends the lease by one compare-and-swap.
+func (k *Keeper) writeEntry(ctx context.Context) (store.Entry, error) {
 	k.writes++
-	w := store.Write{Key: k.key, Revision: k.known.Revision, Value: k.value(), TTL: k.ttl}
+	w := store.Write{Key: k.key, Revision: k.lastEntry.Revision, Value: k.value(), TTL: k.ttl}
 	return k.store.CompareAndSwap(ctx, w)
 }
 
-// value is what the present write stores.
+// value returns the value that the present write stores.
 func (k *Keeper) value() []byte {
 	return []byte(k.holder + separator + strconv.FormatUint(k.writes, 10))
 }
 
-// settle learns by reading whether the write whose answer was lost took
-// effect. An earlier write of the same keeper may have arrived late instead:
-// its time to live began before this one was sent, so it extends nothing.
-func (k *Keeper) settle(ctx context.Context) (store.Entry, error) {
+// confirmWrite reads the entry to learn whether a write whose answer was lost took
+// effect. It returns store.ErrConflict if it did not. An earlier write of the same keeper may have
+// been applied late instead: its time to live began before this write was sent, so it extends
+// nothing.
+func (k *Keeper) confirmWrite(ctx context.Context) (store.Entry, error) {
 	entry, err := k.store.Get(ctx, k.key)
 	if err != nil {
 		return entry, err
--- a/coord/lease/lease_test.go
+++ b/coord/lease/lease_test.go
@@ -27,9 +27,9 @@
 
 const ttl = 5 * time.Second
 
-// TestAtMostOneValidHolder lets holders renew at any time, late after pauses,
-// over a store that loses answers and applies writes late. At no time do two
-// believe that they hold the lease.
+// TestAtMostOneValidHolder lets holders renew at any time, also late after pauses,
+// over a store that loses answers and applies writes late. At no time may two
+// holders have a valid term.
 func TestAtMostOneValidHolder(t *testing.T) {
 	held := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -54,7 +54,7 @@
 			case 2:
 				_ = k.Release(context.Background())
 			default:
-				// The request may travel for long before the store takes it.
+				// The request may take up to 2 s to reach the store.
 				_, _ = k.Renew(context.Background(), func() time.Time {
 					sent := now
 					now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "travel ms")) * time.Millisecond)
@@ -67,16 +67,16 @@
 					valid++
 				}
 			}
-			assert.Assert(t, valid <= 1, "%d holders", valid)
+			assert.Assert(t, valid <= 1, "%d valid holders", valid)
 			held += valid
 		}
 	})
-	assert.Assert(t, held > 100, "held only %d times: proves nothing", held)
+	assert.Assert(t, held > 100, "a lease was held only %d times, too few to test the rule", held)
 }
 
-// TestLateWriteExtendsNothing: a write that was thought lost arrives late, and
-// the answer of a later write is lost too. What is found in the store is the
-// earlier write, whose time to live began earlier.
+// TestLateWriteExtendsNothing checks a write that was taken for lost and is applied late, while
+// the answer to a later write is lost too. The entry found in the store is then the
+// earlier write, whose time to live began earlier, so the term must not be extended.
 func TestLateWriteExtendsNothing(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	clock := func() time.Time { return now }
@@ -107,8 +107,9 @@
 	assert.Equal(t, after, first)
 }
 
-// TestPauseIsNoticed by the clock that it is given, and no jump of the time of day.
-func TestPauseIsNoticed(t *testing.T) {
+// TestPauseIsDetected checks that gaps are measured on the clock that is given, also if it has no
+// monotonic reading, and that a clock going back is not taken for a pause.
+func TestPauseIsDetected(t *testing.T) {
 	d := lease.NewPauseDetector(time.Second)
 	start := time.Now()
 	assert.Assert(t, !d.Tick(start))
@@ -118,5 +119,5 @@
 	d.Tick(start.Round(0))
 	assert.Assert(t, d.Tick(start.Add(time.Hour).Round(0)))
 	assert.Assert(t, !d.Tick(start.Add(time.Hour).Round(0).Add(900*time.Millisecond)))
-	assert.Assert(t, !d.Tick(start.Round(0)), "it goes back for nobody, and no pause is seen in that")
+	assert.Assert(t, !d.Tick(start.Round(0)), "a clock that goes back shows no pause")
 }
