--- a/directory/apply.go
+++ b/directory/apply.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Apply brings changes into force, whoever brought them, and says so in the
-// log.
+// Apply brings changes into force, whether the store or another process sent them, and logs
+// what they did.
 func (f *Follower) Apply(changes Changes) {
 	applied := f.directory.Apply(changes, time.Now())
 	if applied.Version > 0 {
@@ -25,25 +25,26 @@
 		f.opts.Log.Info("rollout", "service", r.Order.Service, "version", r.version(), "state", r.Status().State, "share", r.Share(),
 			"begun", r.Begun(), "taken_back", r.Order.Over, "by", r.Record.By)
 	}
-	f.logMoved(applied.Moved, changes)
+	f.logStateChanges(applied.StateChanges, changes)
 	f.opts.Observe(changes)
 }
 
-// logMoved writes a line for each endpoint whose state changed, and one line for a first copy, which
-// names all there are.
-func (f *Follower) logMoved(moved []Change, changes Changes) {
-	if (changes.Whole || changes.Part) && len(moved) > mostLines {
+// logStateChanges logs one line for each endpoint whose state changed, or one line for all if
+// a read of everything, or a part of one, changed more than maxEndpointLines.
+func (f *Follower) logStateChanges(stateChanges []Change, changes Changes) {
+	if (changes.Whole || changes.Part) && len(stateChanges) > maxEndpointLines {
 		count := map[State]int{}
-		for _, c := range moved {
+		for _, c := range stateChanges {
 			count[c.State]++
 		}
 		f.opts.Log.Info("endpoints", "listed", count[Listed], "missing", count[Missing], "leaving", count[Leaving], "revision", changes.At)
 		return
 	}
-	for _, c := range moved {
+	for _, c := range stateChanges {
 		f.opts.Log.Info("endpoint", "id", c.ID, "service", c.Service, "state", c.State.String(), "revision", changes.At)
 	}
 }
 
-// mostLines is how many endpoints of a whole reading are told one by one.
-const mostLines = 64
+// maxEndpointLines is how many state changes of a read of everything are logged line by line; more
+// are logged as one line with their number by state.
+const maxEndpointLines = 64
--- a/directory/bad.go
+++ b/directory/bad.go
@@ -2,30 +2,29 @@
 
 import "time"
 
-// MarkBad notes that the version of an order was found bad, and reports whether that was news. The
-// order may be told later.
+// MarkBad records that the version of the rollout order with the given revision was found bad, and
+// reports whether that was new. The order itself may become known later.
 func (d *Directory) MarkBad(service string, order uint64, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if order <= d.bad[service] {
+	if order <= d.badOrders[service] {
 		return false
 	}
-	d.bad[service] = order
+	d.badOrders[service] = order
 	if d.applyBad(service) {
-		d.touchAll(service)
+		d.markAllChanged(service)
 		d.publish(now)
 	}
 	return true
 }
 
-// applyBad notes of a service's roll-out whether its version was found bad, and reports whether it
-// was.
+// applyBad sets Bad in a service's rollout and returns it; d.mu is held.
 func (d *Directory) applyBad(service string) bool {
 	r, known := d.rollouts[service]
 	if !known {
 		return false
 	}
-	r.Bad = r.Order.Revision == d.bad[service]
+	r.Bad = r.Order.Revision == d.badOrders[service]
 	d.rollouts[service] = r
 	return r.Bad
 }
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/lotuswing/lotuswing/directory"
 )
 
-// BenchmarkFirstCopy applies a first copy of 719 endpoints with its log: 1.6 ms with a
-// line for each, 1.0 ms with one for all.
+// BenchmarkFirstCopy applies and logs a first copy of 719 endpoints: 1.6 ms with a log
+// line for each, 1.0 ms with one line for all.
 func BenchmarkFirstCopy(b *testing.B) {
 	var entries []directory.Entry
 	for i := range 719 {
@@ -24,8 +24,9 @@
 }
 
 // BenchmarkOneChange applies the change of one of 10,000 endpoints, as a balancer does for
-// each that joins or leaves: 13.8 ms while all lists were made anew, 0.83 ms with that of its
-// service alone, a tenth of the endpoints, and 0.11 ms since the change is merged into it.
+// each that joins or leaves: 13.8 ms when all lists were rebuilt, 0.83 ms when only the list of its
+// service was, which has a tenth of the endpoints, and 0.11 ms since the change is merged into
+// that list.
 func BenchmarkOneChange(b *testing.B) {
 	d := directory.New()
 	var entries []directory.Entry
--- a/directory/changes.go
+++ b/directory/changes.go
@@ -15,8 +15,9 @@
 	Teams    *access.Table // nil where callers need no keys
 }
 
-// after returns the configuration with what it has to remember of the one in force before.
-func (c *Config) after(before *Config) *Config {
+// withStateOf returns the configuration with the state that it takes over from the one in force
+// before it.
+func (c *Config) withStateOf(before *Config) *Config {
 	if before == nil {
 		return c
 	}
@@ -25,75 +26,76 @@
 	return &next
 }
 
-// Entry is what the store holds of one endpoint.
+// Entry is the store's entry for one endpoint.
 type Entry struct {
 	Endpoint Endpoint
 	Leaving  bool
-	Warmup   time.Duration // how much longer it is slow
+	Warmup   time.Duration // remaining warm-up when the entry was written
 	Revision uint64
 }
 
-// Gone says that an endpoint's entry went, or that what stands there cannot be read.
+// Gone says that an endpoint's entry was deleted or cannot be read.
 type Gone struct {
 	ID       string
 	Revision uint64
-	Spoiled  bool // an entry stands there that names no server
+	Spoiled  bool // the entry exists but cannot be read
 }
 
-// Evacuation says that an availability zone is emptied, so that its endpoints get
-// nothing more, or that it is taken back.
+// Evacuation says that an availability zone is evacuated, so that its endpoints get no
+// more requests, or that its evacuation has ended.
 type Evacuation struct {
 	Zone     string
 	Over     bool
 	Revision uint64
 }
 
-// RolloutOrder is an operator's order to bring a version of a service in, or its end.
+// RolloutOrder is an operator's order to roll out a version of a service, or the end of
+// that order.
 type RolloutOrder struct {
 	Service  string
-	Version  string        // that comes in
-	Duration time.Duration // in which it should have come in
-	Over     bool          // the order was taken back
+	Version  string        // to roll out
+	Duration time.Duration // within which the rollout should complete
+	Over     bool          // the order was withdrawn
 	Revision uint64
 }
 
-// Record is a key of the store, or its end. Its meaning is the source's alone;
-// processes hand it on to one another as it is, as JSON with the names of its
-// fields.
+// Record is a key of the store with its value, or the deletion of the key. Only the
+// source interprets it; processes pass it on to one another unchanged, as JSON with the
+// names of its fields.
 type Record struct {
 	Key      string
 	Value    []byte
 	Revision uint64
-	Lease    uint64 // with which the key ends; 0 for none
+	Lease    uint64 // lease that the key is attached to; 0 for none
 	Gone     bool
 }
 
-// Changes are news from the store. Config is nil when it has not changed.
+// Changes are changes read from the store. Config is nil when it has not changed.
 type Changes struct {
 	Config  *Config
 	Entries []Entry
 	Gone    []Gone
-	// Evacuations are the availability zones that are emptied or taken back.
+	// Evacuations are the availability zones whose evacuation began or ended.
 	Evacuations []Evacuation
-	// Rollouts are orders to bring versions in, or their ends.
+	// Rollouts are the orders to roll out versions that were given or withdrawn.
 	Rollouts []RolloutOrder
-	// Registrations are the keys that balancers keep, by the names that they
-	// gave them.
+	// Registrations are the keys that balancers write for one another, under the names
+	// that the balancers gave them.
 	Registrations []Record
-	At            uint64   // revision up to which all changes are known
-	Part          bool     // a part of a first copy: of the entries others are there that it does not name
-	Whole         bool     // the entries are all there are; others have gone
-	Faults        []error  // of what could not be read
-	Records       []Record // all of the above as the store holds it
+	At            uint64   // revision up to which the changes are complete
+	Part          bool     // the changes are one part of a read of everything; the store has entries that are not in it
+	Whole         bool     // the changes are all that the store holds; what is not in them was deleted
+	Faults        []error  // errors of records that could not be read
+	Records       []Record // the store's records of all of the above
 }
 
-// Outdated reports whether the changes are a whole reading that is older than what is
-// known up to a revision, or a part of one after everything is known. It would bring keys
-// back whose ends were told before the reading that began what is known, and so are
-// remembered by nobody: two first copies may come at once, the older one last.
+// Outdated reports whether the changes are a read of everything at a revision below known,
+// or a part of one although everything is known already. Applying them would restore keys that
+// were deleted before the read that is in force, because no record of those deletions is kept. It
+// happens when two first copies are read at once and the older one arrives last.
 func (c Changes) Outdated(known uint64) bool { return c.Whole && c.At < known || c.Part && known > 0 }
 
-// count returns how many changes there are.
+// count returns the number of changes.
 func (c Changes) count() int {
 	n := len(c.Entries) + len(c.Gone) + len(c.Evacuations) + len(c.Registrations) + len(c.Rollouts)
 	if c.Config != nil {
@@ -102,15 +104,15 @@
 	return n
 }
 
-// Applied says what changes did.
+// Applied says what the changes did to the directory.
 type Applied struct {
-	Version uint64       // of a configuration that came into force, 0 for none
-	Ignored uint64       // of a configuration that is older than the one in force, 0 for none
-	Moved   []Change     // endpoints whose state changed
-	Zones   []Evacuation // that are emptied or taken back since
+	Version      uint64       // of a configuration that came into force, 0 for none
+	Ignored      uint64       // of a configuration that is older than the one in force, 0 for none
+	StateChanges []Change     // new states of endpoints
+	Zones        []Evacuation // zones whose evacuation began or ended
 
-	Rollouts []Rollout // of which something is new
-	Faults   []error   // of records that could not be read
+	Rollouts []Rollout // rollouts that changed
+	Faults   []error   // errors of records that could not be read
 }
 
 // Change is an endpoint's new state.
--- a/directory/departed.go
+++ b/directory/departed.go
@@ -2,62 +2,63 @@
 
 import "time"
 
-// departure names one start of an endpoint.
-type departure struct {
+// leavingNotice names one start of an endpoint that is leaving.
+type leavingNotice struct {
 	id    string
 	start int64
 }
 
-// mostDeparted bounds how many departures are kept of endpoints whose entries are not known.
-const mostDeparted = 4096
+// maxLeavingNotices bounds the notices that are kept.
+const maxLeavingNotices = 4096
 
-// departures are the starts of endpoints that are known to leave while no entry of them is: the
-// word of one balancer may reach another one before the entry does. They are kept for as long as
-// what is known of an endpoint that left.
-type departures map[departure]time.Time
+// leavingNotices holds, with the time of their latest arrival, the notices about endpoints whose
+// entries are not known yet: another balancer's notice may arrive before the entry does. A notice
+// is kept for leavingRetention.
+type leavingNotices map[leavingNotice]time.Time
 
-// add keeps a departure. Where there are too many the oldest goes.
-func (d departures) add(id string, start int64, now time.Time) {
-	key := departure{id, start}
-	if _, known := d[key]; !known && len(d) >= mostDeparted {
-		d.dropOldest()
+// add keeps a notice. When there are maxLeavingNotices already, it drops the oldest one.
+func (n leavingNotices) add(id string, start int64, now time.Time) {
+	key := leavingNotice{id, start}
+	if _, known := n[key]; !known && len(n) >= maxLeavingNotices {
+		n.dropOldest()
 	}
-	d[key] = now
+	n[key] = now
 }
 
-func (d departures) dropOldest() {
-	var oldest departure
+// dropOldest removes the notice whose latest arrival is the longest ago.
+func (n leavingNotices) dropOldest() {
+	var oldest leavingNotice
 	var at time.Time
-	for key, heard := range d {
-		if at.IsZero() || heard.Before(at) {
-			oldest, at = key, heard
+	for key, arrived := range n {
+		if at.IsZero() || arrived.Before(at) {
+			oldest, at = key, arrived
 		}
 	}
-	delete(d, oldest)
+	delete(n, oldest)
 }
 
-// take removes the departure of a start and reports whether there was one.
-func (d departures) take(id string, start int64) bool {
-	key := departure{id, start}
-	_, known := d[key]
-	delete(d, key)
+// take removes the notice about a start and reports whether there was one.
+func (n leavingNotices) take(id string, start int64) bool {
+	key := leavingNotice{id, start}
+	_, known := n[key]
+	delete(n, key)
 	return known
 }
 
-// forget drops departures that are too old.
-func (d departures) forget(now time.Time) {
-	for key, heard := range d {
-		if now.Sub(heard) > leavingFor {
-			delete(d, key)
+// removeExpired removes the notices older than leavingRetention.
+func (n leavingNotices) removeExpired(now time.Time) {
+	for key, arrived := range n {
+		if now.Sub(arrived) > leavingRetention {
+			delete(n, key)
 		}
 	}
 }
 
-// Leaving returns the endpoints that leave and that the store still lists.
+// Leaving returns the endpoints that are leaving while the store still lists them.
 func (d *Directory) Leaving() (all []Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id := range d.ended {
+	for id := range d.unlisted {
 		if e := d.endpoints[id]; e.State == Leaving && !e.Gone {
 			all = append(all, e)
 		}
@@ -65,9 +66,9 @@
 	return all
 }
 
-// MarkLeaving notes that one start of an endpoint said that it leaves, or that another
-// incarnation answers at its address. It reports whether that was news. An endpoint whose entry is
-// read later is known to leave then.
+// MarkLeaving records that one start of an endpoint announced that it is leaving, or that another
+// incarnation answers at its address, and reports whether that was new. If the endpoint's entry is
+// not known yet, the endpoint is marked as leaving when its entry is read.
 func (d *Directory) MarkLeaving(id string, start int64, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,13 +78,13 @@
 		if e.State == Leaving {
 			return false
 		}
-		d.keep(e, e.withState(Leaving, now))
+		d.store(e, e.withState(Leaving, now))
 		d.publish(now)
 		return true
 	case known && start < e.Start:
-		return false // a start before the one that is known
+		return false // an older start than the one known
 	}
-	_, noted := d.departed[departure{id, start}]
-	d.departed.add(id, start, now)
+	_, noted := d.notices[leavingNotice{id, start}]
+	d.notices.add(id, start, now)
 	return !noted
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,22 +1,22 @@
 // Package directory is a process's copy of the shared configuration and of the
 // list of endpoints, kept up to date from a store that can be watched.
 //
-// It owns that copy. What the request path reads is an immutable Snapshot behind an
-// atomic pointer; requests take no lock here. A Follower reads everything once,
+// The package owns that copy. The request path reads an immutable Snapshot through an
+// atomic pointer and takes no lock. A Follower reads everything once,
 // then follows the changes (follow.go, watch.go), and checks by cheap reads whether
-// the watch can be trusted (monitor.go, watchdog.go). It relies on a Source for the
-// store's calls and the meaning of its records.
+// the watch can be trusted (monitor.go, watchdog.go). A Source makes the
+// store's calls and interprets its records.
 //
-// An operator may empty an availability zone: as long as the store says so, its
+// An operator may evacuate an availability zone: as long as the store says so, its
 // endpoints are known and not usable (evacuation.go).
 //
-// Two rules hold whatever the store says: the version of the configuration never
-// goes back within the life of a process, and an endpoint that has said that it
-// leaves, or whose entry has gone, never comes back under the same identity as
-// draining; only an entry that went while more than three quarters of its
-// service's entries went is kept as a last resort for some seconds, because then
-// it is the store that lost them. Another start under the same identity is another server.
-// They stand in endpoint.go.
+// Two rules hold whatever the store says. The version of the configuration never
+// decreases within the life of a process. An endpoint that announced that it is
+// leaving, or whose entry was deleted, never gets requests again under the same identity as
+// draining. There is one exception: when more than three quarters of a
+// service's entries were deleted within some seconds, the store has lost them, and their
+// endpoints stay usable as a last resort for some seconds. A new start under the same identity is
+// a different server. These rules are in endpoint.go.
 //
 // # Usage
 //
@@ -32,42 +32,43 @@
 	"time"
 )
 
-// Directory is a process's copy. It is safe for concurrent use.
+// Directory is a process's copy of the shared configuration and of the endpoints. It is safe for
+// concurrent use.
 type Directory struct {
 	snapshot atomic.Pointer[Snapshot]
 
-	mu        sync.Mutex // of writers
+	mu        sync.Mutex // held by writers
 	config    *Config
-	endpoints map[string]Endpoint        // by identity
-	ended     map[string]bool            // those that are not listed, by identity
-	services  map[string]map[string]bool // identities by service
-	changed   map[string]touched         // by service, what has changed since the last snapshot
+	endpoints map[string]Endpoint         // by VM identity
+	unlisted  map[string]bool             // identities of endpoints in another state than Listed
+	services  map[string]map[string]bool  // identities of endpoints, by service
+	changed   map[string]changedEndpoints // since the last snapshot, by service
 	zones     evacuations
 	rollouts  rollouts
-	bad       map[string]uint64 // revisions of orders whose versions were found bad, by service
-	departed  departures        // of endpoints whose entries are not known
-	at        uint64
+	badOrders map[string]uint64 // revision of the latest rollout order whose version was found bad, by service
+	notices   leavingNotices    // about endpoints whose entries are not known yet
+	revision  uint64
 }
 
 // New returns an empty directory.
 func New() *Directory {
 	d := &Directory{
-		endpoints: map[string]Endpoint{}, ended: map[string]bool{}, services: map[string]map[string]bool{}, changed: map[string]touched{},
-		zones: evacuations{}, rollouts: rollouts{}, departed: departures{}, bad: map[string]uint64{},
+		endpoints: map[string]Endpoint{}, unlisted: map[string]bool{}, services: map[string]map[string]bool{}, changed: map[string]changedEndpoints{},
+		zones: evacuations{}, rollouts: rollouts{}, notices: leavingNotices{}, badOrders: map[string]uint64{},
 	}
 	d.snapshot.Store(&Snapshot{Endpoints: map[string][]Endpoint{}})
 	return d
 }
 
-// Snapshot returns what is known.
+// Snapshot returns the directory's present content.
 func (d *Directory) Snapshot() *Snapshot { return d.snapshot.Load() }
 
-// Apply brings changes into force.
+// Apply brings changes into force. Outdated changes are ignored.
 func (d *Directory) Apply(c Changes, now time.Time) Applied {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var applied Applied
-	if c.Outdated(d.at) {
+	if c.Outdated(d.revision) {
 		return applied
 	}
 	d.applyConfig(c.Config, &applied)
@@ -80,44 +81,44 @@
 	d.applyEvacuations(c.Evacuations, &applied)
 	if c.Whole {
 		d.applyAbsent(c, now, &applied)
-		d.applyEvacuations(d.zones.missing(c.Evacuations, c.At), &applied)
+		d.applyEvacuations(d.zones.endsOfAbsent(c.Evacuations, c.At), &applied)
 	}
 	d.applyRollouts(c, &applied)
-	d.at = max(d.at, c.At)
-	d.forget(now)
+	d.revision = max(d.revision, c.At)
+	d.removeExpired(now)
 	d.publish(now)
 	return applied
 }
 
-// forget drops endpoints of which nothing has to be remembered any more. Only those that
-// are not listed are looked at: of 10,000 endpoints a few.
-func (d *Directory) forget(now time.Time) {
-	d.departed.forget(now)
-	for id := range d.ended {
+// removeExpired removes the endpoints and leaving notices that need not be remembered any longer.
+// It looks only at endpoints that are not listed: a few of 10,000.
+func (d *Directory) removeExpired(now time.Time) {
+	d.notices.removeExpired(now)
+	for id := range d.unlisted {
 		e := d.endpoints[id]
-		if !e.forgotten(now) {
+		if !e.expired(now) {
 			continue
 		}
-		d.touch(e.Service, id)
+		d.markChanged(e.Service, id)
 		delete(d.endpoints, id)
-		delete(d.ended, id)
+		delete(d.unlisted, id)
 		delete(d.services[e.Service], id)
 	}
 }
 
-// applyConfig puts a newer configuration into force; the version never goes back.
+// applyConfig brings a configuration into force if its version is higher than the present one.
 func (d *Directory) applyConfig(c *Config, applied *Applied) {
 	switch {
 	case c == nil:
 	case d.config == nil || c.Version > d.config.Version:
-		d.config = c.after(d.config)
+		d.config = c.withStateOf(d.config)
 		applied.Version = c.Version
 	case c.Version < d.config.Version:
 		applied.Ignored = c.Version
 	}
 }
 
-// applyEntry notes an endpoint's entry.
+// applyEntry applies the entry of one endpoint.
 func (d *Directory) applyEntry(entry Entry, now time.Time, applied *Applied) {
 	e, known := d.endpoints[entry.Endpoint.VM]
 	if known {
@@ -125,32 +126,32 @@
 	} else {
 		e = newEndpoint(entry, now)
 	}
-	if d.departed.take(e.VM, e.Start) && e.State != Leaving {
+	if d.notices.take(e.VM, e.Start) && e.State != Leaving {
 		e = e.withState(Leaving, now)
 	}
-	d.set(e, applied)
+	d.setEndpoint(e, applied)
 }
 
-// applyGone notes that an entry went.
+// applyGone applies the deletion of an endpoint's entry, or an entry that cannot be read.
 func (d *Directory) applyGone(g Gone, now time.Time, applied *Applied) {
 	if e, known := d.endpoints[g.ID]; known {
-		d.set(e.withoutEntry(g, now), applied)
+		d.setEndpoint(e.withoutEntry(g, now), applied)
 	}
 }
 
-// applyEvacuations notes which zones are emptied or taken back.
-func (d *Directory) applyEvacuations(told []Evacuation, applied *Applied) {
-	for _, e := range told {
-		if d.zones.note(e) {
+// applyEvacuations applies evacuations that began or ended.
+func (d *Directory) applyEvacuations(changes []Evacuation, applied *Applied) {
+	for _, e := range changes {
+		if d.zones.apply(e) {
 			applied.Zones = append(applied.Zones, e)
 			for service := range d.services {
-				d.touchAll(service)
+				d.markAllChanged(service)
 			}
 		}
 	}
 }
 
-// applyAbsent notes as gone what a reading of everything does not name.
+// applyAbsent treats each endpoint that a read of everything does not name as deleted.
 func (d *Directory) applyAbsent(c Changes, now time.Time, applied *Applied) {
 	named := make(map[string]bool, len(c.Entries))
 	for _, e := range c.Entries {
@@ -163,35 +164,35 @@
 	}
 }
 
-// set keeps an endpoint and notes whether its state has changed.
-func (d *Directory) set(e Endpoint, applied *Applied) {
+// setEndpoint stores an endpoint and adds it to applied if its state has changed.
+func (d *Directory) setEndpoint(e Endpoint, applied *Applied) {
 	old, known := d.endpoints[e.VM]
-	d.keep(old, e)
+	d.store(old, e)
 	if !known || old.State != e.State {
-		applied.Moved = append(applied.Moved, Change{ID: e.VM, Service: e.Service, State: e.State})
+		applied.StateChanges = append(applied.StateChanges, Change{ID: e.VM, Service: e.Service, State: e.State})
 	}
 }
 
-// keep keeps what is known of an endpoint in place of what was; d.mu is held.
-func (d *Directory) keep(old, e Endpoint) {
+// store replaces the old value of an endpoint by e and updates the indexes; d.mu is held.
+func (d *Directory) store(old, e Endpoint) {
 	if old.Service != e.Service && old.Service != "" {
 		delete(d.services[old.Service], e.VM)
-		d.touch(old.Service, e.VM)
+		d.markChanged(old.Service, e.VM)
 	}
 	if d.services[e.Service] == nil {
 		d.services[e.Service] = map[string]bool{}
 	}
 	d.services[e.Service][e.VM] = true
-	d.touch(e.Service, e.VM)
+	d.markChanged(e.Service, e.VM)
 	d.endpoints[e.VM] = e
 	if e.State == Listed {
-		delete(d.ended, e.VM)
+		delete(d.unlisted, e.VM)
 	} else {
-		d.ended[e.VM] = true
+		d.unlisted[e.VM] = true
 	}
 }
 
-// Endpoint returns what is known of an endpoint, whether it may get requests or not.
+// Endpoint returns what is known of an endpoint, usable or not.
 func (d *Directory) Endpoint(id string) (Endpoint, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -199,7 +200,8 @@
 	return e, known
 }
 
-// isConfigured reports whether a service is one that requests can go to; d.mu is held.
+// isConfigured reports whether the configuration in force has the service; it returns true while
+// there is no configuration. d.mu is held.
 func (d *Directory) isConfigured(service string) bool {
 	if d.config == nil {
 		return true
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -15,6 +15,7 @@
 
 var start = time.Unix(1000, 0)
 
+// entry returns an entry of service s.
 func entry(id string, revision uint64) directory.Entry {
 	return directory.Entry{
 		Endpoint: directory.Endpoint{Endpoint: placement.Endpoint{VM: id, Addr: "10.0.0.1:80", Slots: 3}, Service: "s"},
@@ -22,6 +23,7 @@
 	}
 }
 
+// listed returns the endpoints of service s in the snapshot.
 func listed(d *directory.Directory) []string {
 	var ids []string
 	for _, e := range d.Snapshot().Endpoints["s"] {
@@ -30,7 +32,8 @@
 	return ids
 }
 
-// TestVersionNeverGoesBack, whatever order configurations come in.
+// TestVersionNeverGoesBack checks that the version in force is the highest one applied, whatever
+// the order in which configurations arrive.
 func TestVersionNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := directory.New()
@@ -45,8 +48,8 @@
 	})
 }
 
-// TestLeavingIsNeverTakenBack: neither an older entry nor a newer one brings an
-// endpoint back that said it leaves.
+// TestLeavingIsNeverTakenBack checks that neither an older entry nor a newer one makes an
+// endpoint usable again after it announced that it is leaving.
 func TestLeavingIsNeverTakenBack(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 1), entry("b", 2)}}, start)
@@ -58,13 +61,13 @@
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 9)}}, start)
 	assert.DeepEqual(t, listed(d), []string{"b"})
 	assert.Assert(t, d.MarkLeaving("b", 0, start))
-	assert.Assert(t, !d.MarkLeaving("b", 0, start), "no news")
+	assert.Assert(t, !d.MarkLeaving("b", 0, start), "already known")
 	assert.Equal(t, len(listed(d)), 0)
 }
 
-// TestListsAreThoseOfAllThatIsKnown, in order, whatever changes they were made by: a few are
-// merged into the lists, many make them anew.
-func TestListsAreThoseOfAllThatIsKnown(t *testing.T) {
+// TestSnapshotListsMatchDirectory checks that the lists of the snapshot are sorted and hold the
+// listed endpoints, both when few changes are merged into them and when many rebuild them.
+func TestSnapshotListsMatchDirectory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := directory.New()
 		now := start
@@ -100,13 +103,13 @@
 	})
 }
 
-// checkList compares a list with what is known of each endpoint. Those that are missing may
-// stand in it or not.
+// checkList compares a list with what is known of each endpoint. Missing endpoints may
+// be in it or not.
 func checkList(t *rapid.T, d *directory.Directory, service string, ids map[string]bool) {
 	in := map[string]bool{}
 	last := ""
 	for _, e := range d.Snapshot().Endpoints[service] {
-		assert.Assert(t, e.VM > last, "in order, each once")
+		assert.Assert(t, e.VM > last, "sorted, without duplicates")
 		last = e.VM
 		in[e.VM] = true
 		known, ok := d.Endpoint(e.VM)
@@ -115,25 +118,27 @@
 	for id := range ids {
 		known, ok := d.Endpoint(id)
 		if ok && known.Service == service && known.State == directory.Listed {
-			assert.Assert(t, in[id], "%s is listed", id)
+			assert.Assert(t, in[id], "%s is listed but not in the snapshot", id)
 		}
 	}
 }
 
-// TestSingleEntryThatWentIsNotUsed, and one that comes back is.
-func TestSingleEntryThatWentIsNotUsed(t *testing.T) {
+// TestSingleRemovedEntryIsNotUsed checks that an endpoint whose entry was deleted is not used until
+// a newer entry is read.
+func TestSingleRemovedEntryIsNotUsed(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 1), entry("b", 2), entry("c", 3)}}, start)
 	d.Apply(directory.Changes{Gone: []directory.Gone{{ID: "a", Revision: 4}}}, start)
 	assert.DeepEqual(t, listed(d), []string{"b", "c"})
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 1)}}, start)
-	assert.DeepEqual(t, listed(d), []string{"b", "c"}) // an entry older than its end is no news
+	assert.DeepEqual(t, listed(d), []string{"b", "c"}) // the entry is older than its deletion
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 5)}}, start)
 	assert.DeepEqual(t, listed(d), []string{"a", "b", "c"})
 }
 
-// TestEntriesThatWentTogetherStay as a last resort: the store lost them.
-func TestEntriesThatWentTogetherStay(t *testing.T) {
+// TestEntriesLostTogetherStayUsable checks that endpoints whose entries were deleted together are
+// used as a last resort: the store has lost them.
+func TestEntriesLostTogetherStayUsable(t *testing.T) {
 	d := directory.New()
 	all := []directory.Entry{entry("a", 1), entry("b", 2), entry("c", 3), entry("d", 4), entry("e", 5)}
 	d.Apply(directory.Changes{Entries: all}, start)
@@ -141,13 +146,14 @@
 	assert.DeepEqual(t, listed(d), []string{"a", "b", "c", "d", "e"})
 	later := start.Add(time.Hour)
 	d.Apply(directory.Changes{At: 10}, later)
-	assert.DeepEqual(t, listed(d), []string{"e"}) // they are not remembered for ever
+	assert.DeepEqual(t, listed(d), []string{"e"}) // missing endpoints expire
 }
 
-// TestReplacedEndpointsAreNoLoss: in a release of a small service the entries of
-// endpoints that never say that they leave go one after the other. None of them
-// is used again, however many went lately.
-func TestReplacedEndpointsAreNoLoss(t *testing.T) {
+// TestRollingReplacementIsNotStoreLoss guards against the last resort taking a release for a loss
+// of the store. In a release of a small service, the entries of endpoints that never announce that
+// they leave are deleted one after the other. None of these endpoints may be
+// used again, however many entries were deleted recently.
+func TestRollingReplacementIsNotStoreLoss(t *testing.T) {
 	d := directory.New()
 	var old []directory.Entry
 	for i := range 7 {
@@ -159,31 +165,32 @@
 		now := start.Add(time.Duration(i+1) * 2 * time.Second)
 		gone := fmt.Sprint("old", i)
 		d.Apply(directory.Changes{Gone: []directory.Gone{{ID: gone, Revision: revision}}}, now)
-		if i%2 == 1 { // what takes its place comes late
+		if i%2 == 1 { // the replacements are registered late
 			d.Apply(directory.Changes{Entries: []directory.Entry{entry(fmt.Sprint("new", i), revision+1)}}, now.Add(time.Second))
 		}
 		revision += 2
 		for _, e := range d.Snapshot().Endpoints["s"] {
-			assert.Equal(t, e.State, directory.Listed, "%s after %s went", e.VM, gone)
+			assert.Equal(t, e.State, directory.Listed, "%s after the entry of %s was deleted", e.VM, gone)
 		}
 	}
 }
 
-// TestLastResortEnds: one that is still missing some seconds after the store lost
-// its entry is gone.
-func TestLastResortEnds(t *testing.T) {
+// TestMissingEndpointStopsBeingUsable checks that an endpoint that is still missing some seconds
+// after the store lost its entry is not used.
+func TestMissingEndpointStopsBeingUsable(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 1), entry("b", 2)}}, start)
 	d.Apply(directory.Changes{Whole: true, At: 9}, start)
 	missing := d.Snapshot().Endpoints["s"][0]
-	assert.Assert(t, missing.Usable(start.Add(2*time.Second)), "its entry may be on its way back")
+	assert.Assert(t, missing.Usable(start.Add(2*time.Second)), "its entry may be written again")
 	assert.Assert(t, !missing.Usable(start.Add(5*time.Second)))
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 10)}}, start.Add(time.Hour))
 	assert.Assert(t, d.Snapshot().Endpoints["s"][0].Usable(start.Add(2*time.Hour)), "listed again")
 }
 
-// TestMissingEndpointThatLeavesIsGone: its own word outweighs the last resort.
-func TestMissingEndpointThatLeavesIsGone(t *testing.T) {
+// TestMissingEndpointThatLeavesIsNotUsed checks that a notice of leaving has precedence over the
+// last resort.
+func TestMissingEndpointThatLeavesIsNotUsed(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 1), entry("b", 2)}}, start)
 	d.Apply(directory.Changes{Whole: true, At: 9}, start)
@@ -192,9 +199,9 @@
 	assert.DeepEqual(t, listed(d), []string{"b"})
 }
 
-// TestOutdatedReadingBringsNothingBack: an endpoint whose entry had gone before what is
-// known was read does not come back by an older reading that comes late.
-func TestOutdatedReadingBringsNothingBack(t *testing.T) {
+// TestOutdatedReadRestoresNothing checks that a read of everything that arrives late does not
+// restore an endpoint whose entry was deleted before the newer read that is in force.
+func TestOutdatedReadRestoresNothing(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Whole: true, At: 6, Entries: []directory.Entry{entry("a", 2)}}, start)
 	d.Apply(directory.Changes{Whole: true, At: 4, Entries: []directory.Entry{entry("a", 2), entry("gone", 3)}}, start)
@@ -202,8 +209,9 @@
 	assert.Equal(t, d.Snapshot().At, uint64(6))
 }
 
-// TestFirstCopyIsOneLine of the log, and later changes a line each.
-func TestFirstCopyIsOneLine(t *testing.T) {
+// TestFirstCopyIsLoggedOnOneLine checks that a first copy is logged as one line, and later changes
+// as one line each.
+func TestFirstCopyIsLoggedOnOneLine(t *testing.T) {
 	var log strings.Builder
 	f := directory.NewFollower(directory.New(), newFakeSource(), directory.Options{
 		Log: hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: &log, DisableTime: true}),
@@ -220,10 +228,10 @@
 	assert.Equal(t, log.String(), "[INFO]  endpoint: id=e7 service=s state=missing revision=101\n")
 }
 
-// TestWarmupCountsDownFromItsFirstWord: an entry that is read late, or once more, tells
-// what was left when it was written; a newer one that tells more says that the endpoint
-// has turned cold again.
-func TestWarmupCountsDownFromItsFirstWord(t *testing.T) {
+// TestWarmupCountsFromFirstReport checks the end of the warm-up. An entry that is read late or
+// again states what was left when it was written; a newer one with more time left says that the
+// endpoint is cold again.
+func TestWarmupCountsFromFirstReport(t *testing.T) {
 	d := directory.New()
 	tell := func(revision uint64, left, after time.Duration) directory.Endpoint {
 		e := entry("a", revision)
@@ -252,7 +260,8 @@
 	}
 }
 
-// TestLeavingIsRememberedWhileListed: the store may go on to say ready for as long as it likes.
+// TestLeavingIsRememberedWhileListed checks that an endpoint stays leaving for as long as the store
+// lists it as ready, and is remembered for a while after its entry is deleted.
 func TestLeavingIsRememberedWhileListed(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Whole: true, At: 2, Entries: []directory.Entry{entry("a", 1), entry("b", 2)}}, start)
@@ -271,11 +280,11 @@
 	assert.Assert(t, known, "a late read may repeat its entry")
 	d.Apply(directory.Changes{At: revision + 2}, end.Add(time.Hour))
 	_, known = d.Endpoint("a")
-	assert.Assert(t, !known, "nothing has to be remembered")
+	assert.Assert(t, !known, "no read can repeat its entry any more")
 }
 
-// TestDeparturesAreBounded, and the latest ones are kept.
-func TestDeparturesAreBounded(t *testing.T) {
+// TestLeavingNoticesAreBounded checks that the oldest notices are dropped and the latest are kept.
+func TestLeavingNoticesAreBounded(t *testing.T) {
 	d := directory.New()
 	const many = 5000
 	for i := range many {
@@ -285,7 +294,7 @@
 	assert.DeepEqual(t, listed(d), []string{"e0"})
 }
 
-// startOf is an entry of one start.
+// startOf returns an entry of one start of an endpoint.
 func startOf(id string, start int64) directory.Entry {
 	e := entry(id, 1)
 	e.Endpoint.Start = start
--- a/directory/endpoint.go
+++ b/directory/endpoint.go
@@ -6,13 +6,14 @@
 	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
-// State of an endpoint's entry.
+// State says whether an endpoint is listed, missing or leaving.
 type State uint8
 
 const (
 	// Listed endpoints get requests.
 	Listed State = iota
-	// Missing endpoints had an entry that went without a word of leaving.
+	// Missing endpoints had an entry that was deleted although they had not announced that they
+	// leave.
 	Missing
 	// Leaving endpoints get no new requests.
 	Leaving
@@ -25,39 +26,39 @@
 // immutable value.
 type Endpoint struct {
 	placement.Endpoint
-	// Start tells the starts of a server apart that come under one identity, each of which
-	// knows nothing of the one before; 0 where it is not told.
+	// Start distinguishes the successive starts of a server under one identity; a new start
+	// knows nothing of the one before. It is 0 where it is unknown.
 	Start    int64
 	Service  string
-	Version  string // of its software
+	Version  string // of the server's software
 	State    State
-	Warmup   time.Duration // how much longer it was slow by its own word, when it wrote its entry
-	WarmAt   time.Time     // until then it is slow by that word
-	WarmTold time.Time     // when that word was read
-	Changed  time.Time     // when the state was learnt
-	Revision uint64        // of the store's entry
-
-	Gone      bool // the store has no entry of it
-	Spoiled   bool // its entry is there and cannot be read, so that it names no server to use
-	Evacuated bool // its availability zone is being emptied; only a Snapshot tells
-	// Side is which version of the service it runs while one comes in; only a Snapshot tells.
+	Warmup   time.Duration // remaining warm-up that the server stated when it wrote its entry
+	WarmAt   time.Time     // end of the warm-up by that statement
+	WarmTold time.Time     // when that statement was first read
+	Changed  time.Time     // when the state last changed here; for a leaving endpoint whose entry was deleted, when that was learnt
+	Revision uint64        // of the store's entry or of its deletion
+
+	Gone      bool // the store has no entry for it
+	Spoiled   bool // its entry exists but cannot be read, so it must not get requests
+	Evacuated bool // its availability zone is evacuated; set only in a Snapshot
+	// Side says to which side of a rollout its version belongs; set only in a Snapshot.
 	Side placement.Side
 }
 
 const (
-	// lastResortFor is how long endpoints that went missing together may still be
-	// used. The platform's servers that live are back within two seconds of the
-	// store's return, and their entries are in force within the pause in which
-	// changes gather, at most 1.75 s.
-	lastResortFor = 4 * time.Second
-	// lossFactor tells a store that lost its entries from endpoints that left: so many times the
-	// listed endpoints must have gone missing within lastResortFor. In a release of a small
-	// service half of them may.
+	// missingUsableFor is how long endpoints that went missing together may still be
+	// used. The platform's servers that are alive have written their entries again within two
+	// seconds of the store's return, and these are in force within the pause in which
+	// changes are batched, at most 1.75 s.
+	missingUsableFor = 4 * time.Second
+	// lossFactor distinguishes a store that lost its entries from endpoints that left: the endpoints
+	// that went missing within missingUsableFor must be more than lossFactor times the listed ones.
+	// In a release of a small service, half of its endpoints may be missing.
 	lossFactor = 3
-	// missingFor is how long an endpoint whose entry went is remembered, and leavingFor the same
-	// for one that said that it leaves: its entry may be repeated by a late read.
-	missingFor = 20 * time.Second
-	leavingFor = 10 * missingFor
+	// missingRetention is how long a missing endpoint is remembered, and leavingRetention the same
+	// for one that is leaving, from the deletion of its entry: a late read may repeat the entry.
+	missingRetention = 20 * time.Second
+	leavingRetention = 10 * missingRetention
 )
 
 // Usable reports whether the endpoint may get requests at now.
@@ -65,23 +66,23 @@
 	if e.Evacuated || e.Spoiled || e.Side == placement.HeldSide {
 		return false
 	}
-	return e.State == Listed || e.State == Missing && now.Sub(e.Changed) <= lastResortFor
+	return e.State == Listed || e.State == Missing && now.Sub(e.Changed) <= missingUsableFor
 }
 
-// forgotten reports whether nothing has to be remembered of the endpoint any more.
-func (e Endpoint) forgotten(now time.Time) bool {
+// expired reports whether the endpoint need not be remembered any longer.
+func (e Endpoint) expired(now time.Time) bool {
 	switch e.State {
 	case Listed:
 		return false
 	case Missing:
-		return now.Sub(e.Changed) > missingFor
+		return now.Sub(e.Changed) > missingRetention
 	case Leaving:
 	}
-	// While the store still lists it, what it has said is remembered nowhere else.
-	return e.Gone && now.Sub(e.Changed) > leavingFor
+	// While the store still lists it, its notice of leaving is recorded nowhere else.
+	return e.Gone && now.Sub(e.Changed) > leavingRetention
 }
 
-// newEndpoint returns an endpoint that was not known before its entry was read.
+// newEndpoint returns the endpoint of an entry, without regard to what was known before.
 func newEndpoint(entry Entry, now time.Time) Endpoint {
 	e := entry.Endpoint
 	e.Revision = entry.Revision
@@ -93,16 +94,16 @@
 	return e
 }
 
-// withEntry returns a known endpoint after an entry of it was read. An older entry
-// than the one known changes nothing, and leaving is never taken back. The entry of
-// another start tells of a server of its own, of which nothing is known: not that it
-// leaves, not how long it stays cold.
+// withEntry returns a known endpoint after an entry for it was read. An entry older
+// than the one known changes nothing, and a leaving endpoint stays leaving. The entry of
+// a new start describes a different server: neither the leaving state nor the warm-up of the
+// earlier start applies to it.
 func (e Endpoint) withEntry(entry Entry, now time.Time) Endpoint {
 	if entry.Revision < e.Revision {
 		return e
 	}
 	next := newEndpoint(entry, now)
-	if e.startsAgain(entry) {
+	if e.isNewStart(entry) {
 		return next
 	}
 	next.Start = e.Start
@@ -111,47 +112,47 @@
 	}
 	next.WarmAt = e.warmAt(entry, now)
 	if entry.Revision == e.Revision {
-		next.WarmTold = e.WarmTold // the same word once more
+		next.WarmTold = e.WarmTold // the same entry was read again
 	}
 	return next
 }
 
-// startsAgain reports whether an entry tells of another start than the one known. One that
-// tells of none is taken for the one known.
-func (e Endpoint) startsAgain(entry Entry) bool {
+// isNewStart reports whether an entry is of another start than the one known. An entry without
+// a start is taken to be of the one known.
+func (e Endpoint) isNewStart(entry Entry) bool {
 	return entry.Endpoint.Start != 0 && entry.Endpoint.Start != e.Start
 }
 
-// warmAt returns until when a known endpoint is slow after an entry of it was read. Its
-// word counts from when it was written, which was earlier, so that what was read first
-// holds as long as it only counts down. A newer entry that tells more than the last one
-// says that the endpoint has turned cold again.
+// warmAt returns the end of a known endpoint's warm-up after an entry for it was read. The
+// remaining warm-up counts from when the entry was written, which is before it was read.
+// While the stated time only decreases, the earliest end found is therefore the most accurate. A
+// newer entry that states more time than the last one says that the endpoint is cold again.
 func (e Endpoint) warmAt(entry Entry, now time.Time) time.Time {
-	told := now.Add(entry.Warmup)
-	again := entry.Revision > e.Revision && entry.Warmup > e.Warmup
-	if !again && e.WarmAt.Before(told) {
+	end := now.Add(entry.Warmup)
+	coldAgain := entry.Revision > e.Revision && entry.Warmup > e.Warmup
+	if !coldAgain && e.WarmAt.Before(end) {
 		return e.WarmAt
 	}
-	return told
+	return end
 }
 
-// withoutEntry returns a known endpoint after its entry went, or was spoiled.
+// withoutEntry returns a known endpoint after its entry was deleted or could not be read.
 func (e Endpoint) withoutEntry(g Gone, now time.Time) Endpoint {
 	if g.Revision < e.Revision {
 		return e
 	}
-	wentNow := !e.Gone && !g.Spoiled
+	deletedNow := !e.Gone && !g.Spoiled
 	e.Revision, e.Spoiled, e.Gone = g.Revision, g.Spoiled, !g.Spoiled
 	switch {
 	case e.State == Listed:
 		e.State, e.Changed = Missing, now
-	case e.State == Leaving && wentNow:
+	case e.State == Leaving && deletedNow:
 		e.Changed = now
 	}
 	return e
 }
 
-// withState returns the endpoint in another state.
+// withState returns the endpoint in another state, entered at now.
 func (e Endpoint) withState(s State, now time.Time) Endpoint {
 	e.State, e.Changed = s, now
 	return e
--- a/directory/evacuation.go
+++ b/directory/evacuation.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// evacuations are the availability zones of which it was told that they are emptied or
-// taken back, by name. What was told last stays remembered for good, because a late read
-// may repeat what was told before it; zones are few.
+// evacuations holds the latest evacuation of each availability zone, by zone, also after it ended.
+// It is never removed, because a late read may repeat an earlier one; zones are
+// few.
 type evacuations map[string]Evacuation
 
-// note keeps what is told of a zone unless something newer is known, and reports whether
-// it was news for the request path.
-func (z evacuations) note(e Evacuation) (news bool) {
+// apply stores an evacuation unless a newer one is known, and reports whether
+// that changed if the zone is evacuated.
+func (z evacuations) apply(e Evacuation) (changed bool) {
 	old, known := z[e.Zone]
 	if known && e.Revision < old.Revision {
 		return false
@@ -18,9 +18,9 @@
 	return e.Over == (known && !old.Over)
 }
 
-// missing returns the ends of the evacuations that a reading of everything up to a
-// revision does not name.
-func (z evacuations) missing(named []Evacuation, at uint64) []Evacuation {
+// endsOfAbsent returns the ends of the evacuations that a read of everything, at the given
+// revision, does not name.
+func (z evacuations) endsOfAbsent(named []Evacuation, at uint64) []Evacuation {
 	var over []Evacuation
 	for zone, e := range z {
 		isNamed := slices.ContainsFunc(named, func(n Evacuation) bool { return n.Zone == zone })
@@ -31,17 +31,17 @@
 	return over
 }
 
-// inForce reports whether a zone is being emptied.
-func (z evacuations) inForce(zone string) bool {
+// isEvacuated reports whether a zone is evacuated.
+func (z evacuations) isEvacuated(zone string) bool {
 	e, known := z[zone]
 	return known && !e.Over
 }
 
-// zones returns the zones that are being emptied, in the order of their names.
-func (z evacuations) zones() []string {
+// inForceZones returns the names of the evacuated zones, sorted.
+func (z evacuations) inForceZones() []string {
 	var names []string
 	for zone := range z {
-		if z.inForce(zone) {
+		if z.isEvacuated(zone) {
 			names = append(names, zone)
 		}
 	}
--- a/directory/evacuation_test.go
+++ b/directory/evacuation_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// inZone is an entry of service s in an availability zone.
+// inZone returns an entry of service s in an availability zone.
 func inZone(id, zone string, revision uint64) directory.Entry {
 	e := entry(id, revision)
 	e.Endpoint.Endpoint = placement.Endpoint{VM: id, Addr: "10.0.0.1:80", Zone: zone, Slots: 2}
@@ -28,17 +28,19 @@
 	return ids
 }
 
+// evacuate returns the evacuation of a zone.
 func evacuate(zone string, revision uint64) []directory.Evacuation {
 	return []directory.Evacuation{{Zone: zone, Revision: revision}}
 }
 
+// takeBack returns the end of a zone's evacuation.
 func takeBack(zone string, revision uint64) []directory.Evacuation {
 	return []directory.Evacuation{{Zone: zone, Revision: revision, Over: true}}
 }
 
-// TestEmptiedZoneIsNotUsed until it is taken back, whichever of the endpoints and the
-// evacuation is heard of first, and also for those that join it meanwhile.
-func TestEmptiedZoneIsNotUsed(t *testing.T) {
+// TestEvacuatedZoneIsNotUsed checks that no endpoint of an evacuated zone is used until the
+// evacuation ends, whether the endpoint's entry or the evacuation arrives first.
+func TestEvacuatedZoneIsNotUsed(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{inZone("a", "x", 1), inZone("b", "y", 2)}}, start)
 	applied := d.Apply(directory.Changes{Evacuations: evacuate("x", 3)}, start)
@@ -48,17 +50,17 @@
 	assert.Equal(t, d.Snapshot().Known, 2)
 
 	d.Apply(directory.Changes{Entries: []directory.Entry{inZone("c", "x", 4)}}, start)
-	assert.DeepEqual(t, usable(d, start), []string{"b"}) // c joined an emptied zone
+	assert.DeepEqual(t, usable(d, start), []string{"b"}) // c joined an evacuated zone
 	d.MarkLeaving("b", 0, start)
-	assert.Equal(t, len(usable(d, start)), 0, "nothing is left, and the zone stays emptied")
+	assert.Equal(t, len(usable(d, start)), 0, "the zone stays evacuated although no other endpoint is left")
 
 	d.Apply(directory.Changes{Evacuations: takeBack("x", 5)}, start)
 	assert.DeepEqual(t, usable(d, start), []string{"a", "c"})
 	assert.Equal(t, len(d.Snapshot().Evacuated), 0)
 }
 
-// TestTwoZonesAreEmptiedAtOnce, and each is taken back alone.
-func TestTwoZonesAreEmptiedAtOnce(t *testing.T) {
+// TestTwoZonesAreEvacuatedAtOnce checks that two zones are evacuated and one evacuation ends alone.
+func TestTwoZonesAreEvacuatedAtOnce(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{inZone("a", "x", 1), inZone("b", "y", 2), inZone("c", "z", 3)}}, start)
 	d.Apply(directory.Changes{Evacuations: append(evacuate("y", 4), evacuate("x", 5)...)}, start)
@@ -68,20 +70,20 @@
 	assert.DeepEqual(t, usable(d, start), []string{"a", "c"})
 }
 
-// TestStoreThatLostItsEntriesEmptiesNoZoneBack: endpoints that are kept as a last resort
-// are not used in an emptied zone either.
-func TestStoreThatLostItsEntriesEmptiesNoZoneBack(t *testing.T) {
+// TestLostEntriesDoNotEndEvacuation checks that missing endpoints kept as a last resort
+// are not used in an evacuated zone either.
+func TestLostEntriesDoNotEndEvacuation(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{inZone("a", "x", 1), inZone("b", "y", 2)}}, start)
 	d.Apply(directory.Changes{Whole: true, At: 9, Evacuations: evacuate("x", 5)}, start)
 	assert.DeepEqual(t, usable(d, start), []string{"b"})
 }
 
-// TestEvacuationsEndWithTheStore: whatever is told late, again or out of order, as changes
-// or as a reading of everything, what the store said last is in force.
-func TestEvacuationsEndWithTheStore(t *testing.T) {
+// TestEvacuationMatchesLastStoreState checks that the store's last state is in force after
+// changes and reads of everything that arrive late, repeatedly or out of order.
+func TestEvacuationMatchesLastStoreState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// The history of one zone: it is emptied at even revisions and taken back at odd ones.
+		// In the history of the zone, evacuations begin at even revisions and end at odd ones.
 		last := rapid.Uint64Range(2, 12).Draw(t, "last")
 		at := func(revision uint64) directory.Changes {
 			if revision%2 == 0 {
@@ -114,8 +116,9 @@
 	})
 }
 
-// TestReadingThatNamesNoEvacuationEndsIt, and one that is older than it does not.
-func TestReadingThatNamesNoEvacuationEndsIt(t *testing.T) {
+// TestFullReadWithoutEvacuationEndsIt checks that a read of everything that does not name an
+// evacuation ends it, unless the read is older.
+func TestFullReadWithoutEvacuationEndsIt(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{At: 7, Evacuations: evacuate("x", 7)}, start)
 	d.Apply(directory.Changes{At: 6, Whole: true}, start)
@@ -123,5 +126,5 @@
 	applied := d.Apply(directory.Changes{At: 8, Whole: true}, start)
 	assert.DeepEqual(t, applied.Zones, takeBack("x", 8))
 	d.Apply(directory.Changes{At: 8, Evacuations: evacuate("x", 7)}, start)
-	assert.Equal(t, len(d.Snapshot().Evacuated), 0, "told late")
+	assert.Equal(t, len(d.Snapshot().Evacuated), 0, "the evacuation arrived after its end")
 }
--- a/directory/follow.go
+++ b/directory/follow.go
@@ -10,69 +10,69 @@
 	"github.com/lotuswing/lotuswing/internal/pause"
 )
 
-// ErrCompacted says that the store has forgotten the history that a watch asked
+// ErrCompacted says that the store no longer has the history that a watch asked
 // for.
-var ErrCompacted = errors.New("directory: the store's history is gone")
+var ErrCompacted = errors.New("directory: store has compacted its history")
 
 // Source is a store that holds the configuration and the endpoints.
 type Source interface {
-	// ReadAll reads everything that there is: cheaply, and then perhaps seconds
-	// old, or exactly.
+	// ReadAll reads everything, either exactly or cheaply; a cheap read may return data
+	// that is seconds old.
 	ReadAll(ctx context.Context, exact bool) (Changes, error)
-	// ReadRegistrations reads the registrations of balancers alone, cheaply, and
-	// then perhaps seconds old.
+	// ReadRegistrations reads only the registrations of balancers, cheaply; they may be
+	// seconds old.
 	ReadRegistrations(ctx context.Context) (Changes, error)
-	// Watch waits for changes after a revision, at most as long as wait. It
-	// returns ErrCompacted when they are not known any more.
+	// Watch waits at most wait for changes after a revision and returns them. It
+	// returns ErrCompacted if the store no longer has them.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (Changes, error)
-	// Revision reads the store's revision: cheaply, and then perhaps seconds
-	// old, or exactly.
+	// Revision reads the store's revision, either exactly or cheaply; a cheap read may return
+	// one that is seconds old.
 	Revision(ctx context.Context, exact bool) (uint64, error)
 }
 
-// PagedSource is a Source that tells what it has read before it has read everything.
+// PagedSource is a Source that can hand over each page of a read before the read is complete.
 type PagedSource interface {
-	// ReadPages is ReadAll that gives each page to one, in the order of keys, until that
-	// returns false.
+	// ReadPages is ReadAll that also passes each page to one, in the order of keys, until one
+	// returns false. It returns everything it read.
 	ReadPages(ctx context.Context, exact bool, one func(Changes) bool) (Changes, error)
 }
 
-// Follower keeps a directory up to date from a store. It can be told to leave
-// the store alone while something else brings the changes.
+// Follower keeps a directory up to date from a store. In standby it does not follow the
+// store, and another process brings the changes.
 type Follower struct {
-	directory *Directory
-	source    Source
-	opts      Options
-	active    *gate         // whether the store is followed
-	serving   atomic.Bool   // others rely on this follower
-	lost      atomic.Bool   // the store does not answer
-	failures  atomic.Int64  // calls in a row that failed
-	answered  atomic.Int64  // when the store last answered, in ns since began
-	began     time.Time     // of the steady clock
-	calls     atomic.Int64  // made so far
-	giveUp    chan advice   // what to do instead of a watch that is not trusted
-	retry     chan struct{} // ends the pause after a failure
-	watching  atomic.Int64  // since when a watch waits, in ns since began; 0 for none
-	compacted atomic.Bool   // the history went since the monitor last looked
-}
-
-// NewFollower returns a follower of a source.
+	directory     *Directory
+	source        Source
+	opts          Options
+	active        *gate         // whether the store is followed
+	serving       atomic.Bool   // whether other processes rely on this follower
+	lost          atomic.Bool   // the store did not answer the last call
+	failures      atomic.Int64  // consecutive failed calls
+	answeredAt    atomic.Int64  // time of the store's last answer, in ns since startedAt; 0 for none
+	startedAt     time.Time     // with a monotonic clock reading
+	calls         atomic.Int64  // calls made to the store
+	watchAdvice   chan advice   // why to abandon the present watch
+	retry         chan struct{} // ends the pause after a failed call
+	watchingSince atomic.Int64  // start of the present watch, in ns since startedAt; 0 for none
+	compacted     atomic.Bool   // a watch failed with ErrCompacted since the monitor last checked
+}
+
+// NewFollower returns a follower of source that keeps d up to date once Run is called.
 func NewFollower(d *Directory, source Source, opts Options) *Follower {
 	opts = opts.withDefaults()
 	return &Follower{
-		directory: d, source: source, opts: opts, active: newGate(!opts.Standby), began: time.Now(),
-		giveUp: make(chan advice, 1), retry: make(chan struct{}, 1),
+		directory: d, source: source, opts: opts, active: newGate(!opts.Standby), startedAt: time.Now(),
+		watchAdvice: make(chan advice, 1), retry: make(chan struct{}, 1),
 	}
 }
 
-// Lost reports whether the store does not answer at the moment.
+// Lost reports whether the store did not answer the last call.
 func (f *Follower) Lost() bool { return f.lost.Load() }
 
-// Calls returns how many calls were made to the store.
+// Calls returns the number of calls made to the store.
 func (f *Follower) Calls() int64 { return f.calls.Load() }
 
-// SetActive says whether the store is to be followed. A watch that waits when
-// the following ends is left to its end.
+// SetActive says whether to follow the store. When following ends, a watch that is
+// waiting is not cancelled.
 func (f *Follower) SetActive(active bool) {
 	if f.active.set(active) {
 		f.opts.Log.Info("following the store", "active", active, "revision", f.directory.Snapshot().At)
@@ -82,56 +82,57 @@
 // Active reports whether the store is followed.
 func (f *Follower) Active() bool { return f.active.open() }
 
-// SetServing says whether other processes rely on this follower, which then
+// SetServing says whether other processes rely on this follower. If they do, it
 // shortens its pauses.
 func (f *Follower) SetServing(serving bool) { f.serving.Store(serving) }
 
-// Settled reports whether the store is followed and has answered lately, so
-// that what is in force may be handed on as the store's present state.
+// Settled reports whether the store is followed and has answered recently, so
+// that what is in force may be passed on as the store's present state.
 func (f *Follower) Settled(now time.Time) bool {
-	answered := f.answered.Load()
-	age := now.Sub(f.began) - time.Duration(answered)
-	return answered > 0 && f.active.open() && f.failures.Load() < unsettledFailures &&
+	answeredAt := f.answeredAt.Load()
+	age := now.Sub(f.startedAt) - time.Duration(answeredAt)
+	return answeredAt > 0 && f.active.open() && f.failures.Load() < unsettledFailures &&
 		age < f.shortened(f.opts.CheckEvery)+f.opts.CheckWait+settledSlack
 }
 
-// Answered returns when the store last answered; zero for never.
+// Answered returns when the store last answered; the zero time if it never has.
 func (f *Follower) Answered() time.Time {
-	answered := f.answered.Load()
-	if answered == 0 {
+	answeredAt := f.answeredAt.Load()
+	if answeredAt == 0 {
 		return time.Time{}
 	}
-	return f.began.Add(time.Duration(answered))
+	return f.startedAt.Add(time.Duration(answeredAt))
 }
 
-// Resume notes that the VM was suspended for a while: what was in force is so much older,
-// and a watch that waited may have been lost with its connection.
-func (f *Follower) Resume(slept time.Duration) {
-	if answered := f.answered.Load(); answered > 0 {
-		f.answered.Store(answered - int64(slept))
+// Resume accounts for a suspension of the VM of the given length: what is in force is that much
+// older, and the connection of a waiting watch may have been lost.
+func (f *Follower) Resume(suspended time.Duration) {
+	if answeredAt := f.answeredAt.Load(); answeredAt > 0 {
+		f.answeredAt.Store(answeredAt - int64(suspended))
 	}
-	if f.watching.Load() != 0 {
-		f.giveUpWatch(watchAgain)
+	if f.watchingSince.Load() != 0 {
+		f.abandonWatch(watchAgain)
 	}
 }
 
-// Watching returns for how long the present watch has waited at the store, 0
-// where there is none. A watch that has waited for some milliseconds has brought
+// Watching returns for how long the present watch has waited, or 0
+// if there is none. A watch that has waited for some milliseconds has brought
 // whatever the store knew when it began.
 func (f *Follower) Watching(now time.Time) time.Duration {
-	since := f.watching.Load()
+	since := f.watchingSince.Load()
 	if since == 0 {
 		return 0
 	}
-	return now.Sub(f.began) - time.Duration(since)
+	return now.Sub(f.startedAt) - time.Duration(since)
 }
 
 const (
-	unsettledFailures = 2                      // in a row
-	settledSlack      = 150 * time.Millisecond // beyond the time of a check and its answer
+	unsettledFailures = 2                      // consecutive failed calls from which a follower is not settled
+	settledSlack      = 150 * time.Millisecond // how much older than a check period and its timeout the last answer may be
 )
 
-// shortened shortens a pause where others rely on this follower.
+// shortened returns a pause, shortened to servingShare of it if other processes rely on this
+// follower.
 func (f *Follower) shortened(d time.Duration) time.Duration {
 	if f.serving.Load() {
 		return time.Duration(servingShare * float64(d))
@@ -139,67 +140,68 @@
 	return d
 }
 
-// Run follows until ctx ends.
+// Run reads everything, then follows the store until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	go f.monitor(ctx)
 	if f.opts.Begin != nil {
 		f.opts.Begin(ctx)
 	} else {
-		f.begin(ctx)
+		f.readInitial(ctx)
 	}
 	for ctx.Err() == nil {
 		f.follow(ctx)
 		if f.active.wait(ctx) {
-			f.readAgain(ctx)
+			f.readExactly(ctx)
 		}
 	}
 }
 
-// follow watches until the history is gone.
+// follow watches for changes and applies them, until everything has to be read again or ctx
+// ends.
 func (f *Follower) follow(ctx context.Context) {
 	for f.active.wait(ctx) {
 		changes, err := f.watch(ctx)
 		switch {
 		case errors.Is(err, ErrCompacted):
 			f.compacted.Store(true)
-			f.opts.Log.Info("store history gone", "revision", f.directory.Snapshot().At)
+			f.opts.Log.Info("store has compacted its history; reading everything again", "revision", f.directory.Snapshot().At)
 			return
-		case errors.Is(err, errReadAgain):
-			f.opts.Log.Info("watch not trusted; reading all again", "revision", f.directory.Snapshot().At)
+		case errors.Is(err, errMissesChanges):
+			f.opts.Log.Info("watch misses changes; reading everything again", "revision", f.directory.Snapshot().At)
 			return
-		case errors.Is(err, errWatchAgain):
-			f.opts.Log.Info("watching anew", "revision", f.directory.Snapshot().At)
+		case errors.Is(err, errMayBeLost):
+			f.opts.Log.Info("watch may be lost; starting a new one", "revision", f.directory.Snapshot().At)
 		case err != nil:
-			f.failed(ctx, "watch", err)
+			f.pauseAfterFailure(ctx, "watch", err)
 		default:
-			f.noteAnswer()
+			f.recordAnswer()
 			f.Apply(changes)
-			f.gather(ctx, changes)
+			f.pauseForBatch(ctx, changes)
 		}
 	}
 }
 
-// gather pauses after changes, so that more of them come with the next answer. A
-// relay passes registrations on at once: a balancer that does not know of one
-// would register, too.
-func (f *Follower) gather(ctx context.Context, changes Changes) {
+// pauseForBatch pauses after changes, so that the next answer brings several at once. A
+// relay does not delay registrations: a balancer that does not know of one
+// would register too.
+func (f *Follower) pauseForBatch(ctx context.Context, changes Changes) {
 	n := changes.count()
 	if f.serving.Load() {
 		n -= len(changes.Registrations)
 	}
-	if n > 0 && n < backlog {
+	if n > 0 && n < backlogThreshold {
 		pause.For(ctx, f.shortened(f.opts.Gather))
 	}
 }
 
-// backlog is the number of changes in one answer from which more of them are thought to wait: a
-// store bounds its answers, and a configuration may stand behind thousands of entries, so nothing
-// is left to gather then.
-const backlog = 100
+// backlogThreshold is the number of changes in one answer from which more are assumed to be
+// waiting. A store bounds its answers, and a configuration may come after thousands of entries, so
+// there is no pause then.
+const backlogThreshold = 100
 
-// noteAnswer notes that the store has answered.
-func (f *Follower) noteAnswer() {
-	f.answered.Store(int64(time.Since(f.began)))
+// recordAnswer records that the store has answered, and ends the pause after a failure.
+func (f *Follower) recordAnswer() {
+	f.answeredAt.Store(int64(time.Since(f.startedAt)))
 	f.failures.Store(0)
 	if f.lost.Swap(false) {
 		f.opts.Log.Info("store regained")
@@ -208,8 +210,8 @@
 	f.opts.OnAnswer()
 }
 
-// Retry ends the pause after a failed call. It is for those whose own calls the store has just
-// answered: until the pause ends this follower would not notice that it does.
+// Retry ends the pause after a failed call. Callers use it when the store has just answered a call
+// of their own, which the follower would otherwise notice only after its pause.
 func (f *Follower) Retry() {
 	select {
 	case f.retry <- struct{}{}:
@@ -217,14 +219,14 @@
 	}
 }
 
-// failed notes that the store has not answered, and pauses: longer with each
-// failure in a row, since refused calls are paid for too.
-func (f *Follower) failed(ctx context.Context, call string, err error) {
+// pauseAfterFailure records that the store has not answered, and pauses. The pause grows with each
+// consecutive failure, because failed calls are paid for too.
+func (f *Follower) pauseAfterFailure(ctx context.Context, call string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	select {
-	case <-f.retry: // the store answered before this failure
+	case <-f.retry: // discards an answer from before this failure
 	default:
 	}
 	failures := f.failures.Add(1)
@@ -232,6 +234,6 @@
 		f.opts.Log.Warn("store lost", "call", call, "error", err)
 	}
 	f.opts.OnFailure()
-	most := f.shortened(f.opts.retryPause(failures))
-	pause.Until(ctx, f.retry, most/2+rand.N(most/2+1))
+	longest := f.shortened(f.opts.retryPause(failures))
+	pause.Until(ctx, f.retry, longest/2+rand.N(longest/2+1))
 }
--- a/directory/follow_test.go
+++ b/directory/follow_test.go
@@ -15,15 +15,15 @@
 	"gotest.tools/v3/poll"
 )
 
-// fakeSource is a store in memory with one configuration, whose faults can be
+// fakeSource is an in-memory store with one configuration, whose faults can be
 // switched on.
 type fakeSource struct {
 	mu       sync.Mutex
 	revision uint64
 	version  uint64
-	lost     uint64 // history up to this revision is gone
+	lost     uint64 // history up to this revision was compacted
 	down     bool
-	mute     bool // watches hear nothing
+	mute     bool // watches bring no changes
 	changed  chan struct{}
 }
 
@@ -124,7 +124,7 @@
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-// TestChangesComeIntoForce one after the other.
+// TestChangesComeIntoForce checks that successive configurations come into force.
 func TestChangesComeIntoForce(t *testing.T) {
 	s := newFakeSource()
 	d, _ := follow(t, s)
@@ -134,8 +134,9 @@
 	}
 }
 
-// TestStoreThatComesBackIsRead, and the follower says meanwhile that it is lost.
-func TestStoreThatComesBackIsRead(t *testing.T) {
+// TestRecoveredStoreIsRead checks that Lost is true while the store is down, and that its changes
+// come into force afterwards.
+func TestRecoveredStoreIsRead(t *testing.T) {
 	s := newFakeSource()
 	s.set(func(s *fakeSource) { s.down = true })
 	d, f := follow(t, s)
@@ -151,8 +152,8 @@
 	assert.Assert(t, !f.Lost())
 }
 
-// TestAnswerToAnotherCallEndsThePause: a follower that pauses after failures watches again as soon as
-// the store answers anything else.
+// TestAnswerToAnotherCallEndsThePause checks that a follower that pauses after failures watches
+// again as soon as the store answers any other call.
 func TestAnswerToAnotherCallEndsThePause(t *testing.T) {
 	for name, answered := range map[string]func(context.Context, *directory.Follower) error{
 		"registrations are read": func(ctx context.Context, f *directory.Follower) error { return f.ReadRegistrations(ctx) },
@@ -191,8 +192,9 @@
 	}
 }
 
-// TestForgottenHistoryIsReadAgain.
-func TestForgottenHistoryIsReadAgain(t *testing.T) {
+// TestCompactedHistoryIsReadAgain checks that everything is read again when the store has compacted
+// the history that a watch needs.
+func TestCompactedHistoryIsReadAgain(t *testing.T) {
 	s := newFakeSource()
 	s.publish(1)
 	d, _ := follow(t, s)
@@ -201,9 +203,9 @@
 	waitVersion(t, d, 5)
 }
 
-// TestMuteWatchIsNotTrusted: changes that a waiting watch does not bring come
-// into force all the same.
-func TestMuteWatchIsNotTrusted(t *testing.T) {
+// TestSilentWatchIsNotTrusted checks that changes that a waiting watch does not bring come
+// into force nevertheless.
+func TestSilentWatchIsNotTrusted(t *testing.T) {
 	s := newFakeSource()
 	s.publish(1)
 	d, _ := follow(t, s)
@@ -213,7 +215,7 @@
 	waitVersion(t, d, 4)
 }
 
-// TestOptionsFitTheBound: the pause after changes, and the way of a change that
+// TestOptionsFitTheBound checks that the pause after changes, and the time to detect a change that
 // the watch misses, leave a part of the bound for the store's answers.
 func TestOptionsFitTheBound(t *testing.T) {
 	for _, bound := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 2500 * time.Millisecond, time.Minute} {
@@ -224,11 +226,11 @@
 	}
 }
 
-// boundedSource is a store with a backlog of entries and a configuration behind
-// them, whose answers to watches are bounded.
+// boundedSource is a store with a backlog of entries followed by a configuration,
+// whose answers to watches are bounded.
 type boundedSource struct {
-	entries int // that were written before the configuration
-	most    int // in one answer
+	entries int // number of entries written before the configuration
+	most    int // maximum number of entries in one answer
 }
 
 func (s *boundedSource) ReadAll(context.Context, bool) (directory.Changes, error) {
@@ -259,8 +261,8 @@
 	return uint64(s.entries) + 1, nil
 }
 
-// TestConfigurationBehindABacklog is not held up by the pause in which changes
-// gather, which here would last for ever.
+// TestConfigurationBehindABacklog checks that a configuration after many entries is not delayed by
+// the pause in which changes are batched, which never ends in this test.
 func TestConfigurationBehindABacklog(t *testing.T) {
 	d := directory.New()
 	f := directory.NewFollower(d, &boundedSource{entries: 3000, most: 500}, directory.Options{Gather: 1000 * time.Hour, CheckEvery: 1000 * time.Hour})
@@ -270,7 +272,7 @@
 	waitVersion(t, d, 7)
 }
 
-// countingSource counts the calls to a store, and which readings are cheap.
+// countingSource counts the calls to a store by kind.
 type countingSource struct {
 	*fakeSource
 	cheap, exact, watches, questions atomic.Int64
@@ -295,9 +297,9 @@
 	return s.fakeSource.Revision(ctx, exact)
 }
 
-// TestStandbyLeavesTheStoreAlone but for a first, cheap reading, and follows it
-// when it is told to.
-func TestStandbyLeavesTheStoreAlone(t *testing.T) {
+// TestStandbyDoesNotCallStore checks that a follower in standby makes no calls to the store except a
+// first, cheap read, and follows the store once it is active.
+func TestStandbyDoesNotCallStore(t *testing.T) {
 	s := &countingSource{fakeSource: newFakeSource()}
 	s.publish(1)
 	d := directory.New()
--- a/directory/gate.go
+++ b/directory/gate.go
@@ -5,20 +5,21 @@
 	"sync"
 )
 
-// gate lets goroutines pass while it is open.
+// gate blocks goroutines in wait until it is open.
 type gate struct {
 	mu     sync.Mutex
 	opened chan struct{} // closed while the gate is open
 	isOpen bool
 }
 
+// newGate returns a gate that is open or closed.
 func newGate(open bool) *gate {
 	g := &gate{opened: make(chan struct{})}
 	g.set(open)
 	return g
 }
 
-// set opens or closes the gate and reports whether that changed it.
+// set opens or closes the gate and reports whether its state changed.
 func (g *gate) set(open bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -34,13 +35,14 @@
 	return true
 }
 
+// open reports whether the gate is open.
 func (g *gate) open() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.isOpen
 }
 
-// wait waits until the gate is open, and returns false if ctx ends before.
+// wait waits until the gate is open, and returns false if ctx ends first.
 func (g *gate) wait(ctx context.Context) bool {
 	g.mu.Lock()
 	opened := g.opened
--- a/directory/monitor.go
+++ b/directory/monitor.go
@@ -7,37 +7,37 @@
 	"github.com/lotuswing/lotuswing/internal/pause"
 )
 
-// monitor checks the store's revision from time to time and has a watch given up
-// that seems to miss changes. The rule is the watchdog's.
+// monitor periodically checks the store's revision and has the watch abandoned when the watchdog
+// finds that it misses changes or may be lost.
 func (f *Follower) monitor(ctx context.Context) {
 	var w watchdog
 	checked := time.Now()
 	for ctx.Err() == nil {
 		if !f.active.open() {
 			f.active.wait(ctx)
-			checked, w = time.Time{}, watchdog{} // checks at once
+			checked, w = time.Time{}, watchdog{} // so that the first check comes at once
 		}
 		w.stuckAfter, w.exactEvery, w.checkEvery = f.shortened(f.opts.StuckAfter), f.opts.ExactCheckEvery, f.shortened(f.opts.CheckEvery)
-		// The period counts from check to check, however long an answer takes: while
-		// a store drops its history, cheap reads tell of a change for little more
-		// than a second.
-		pause.For(ctx, time.Until(checked.Add(w.next())))
+		// The period counts from the start of a check to that of the next, however long an
+		// answer takes: while a store compacts its history, cheap reads show a change for
+		// little more than a second.
+		pause.For(ctx, time.Until(checked.Add(w.untilNextCheck())))
 		if !f.active.open() {
 			continue
 		}
 		checked = time.Now()
-		if f.failures.Load() > 0 && f.watching.Load() == 0 {
-			w.failed = false // the tries to watch tell what a check would
+		if f.failures.Load() > 0 && f.watchingSince.Load() == 0 {
+			w.lastFailed = false // the retries of the watch show what a check would
 			continue
 		}
 		if do := f.check(ctx, &w); do != trustWatch {
-			f.giveUpWatch(do)
+			f.abandonWatch(do)
 		}
 	}
 }
 
-// check reads the store's revision cheaply, and exactly where the watchdog asks for
-// that.
+// check reads the store's revision cheaply, and exactly if the watchdog asks for
+// that, and returns the watchdog's advice.
 func (f *Follower) check(ctx context.Context, w *watchdog) advice {
 	revision, err := f.revision(ctx, false)
 	if ctx.Err() != nil {
@@ -49,16 +49,17 @@
 	if f.compacted.Swap(false) {
 		w.observeCompaction()
 	}
-	do := w.observe(time.Now(), revision, f.directory.Snapshot().At, f.watching.Load() != 0, err)
+	do := w.observe(time.Now(), revision, f.directory.Snapshot().At, f.watchingSince.Load() != 0, err)
 	if do != checkExactly {
 		return do
 	}
 	if revision, err = f.revision(ctx, true); err != nil {
-		return trustWatch // the next cheap check sees whether the store answers
+		return trustWatch // the next cheap check shows whether the store answers
 	}
 	return w.observeExact(revision, f.directory.Snapshot().At)
 }
 
+// revision reads the store's revision within CheckWait.
 func (f *Follower) revision(ctx context.Context, exact bool) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.opts.CheckWait)
 	defer cancel()
@@ -66,25 +67,25 @@
 	return f.source.Revision(ctx, exact)
 }
 
-// giveUpWatch has the present watch given up. Advice that was not followed yet is
-// as good.
-func (f *Follower) giveUpWatch(why advice) {
+// abandonWatch has the present watch abandoned. Earlier advice that is still pending is
+// kept instead, since it abandons the watch too.
+func (f *Follower) abandonWatch(why advice) {
 	select {
-	case f.giveUp <- why:
+	case f.watchAdvice <- why:
 	default:
 	}
 }
 
-// watchAccepted is how long a watch must have waited to be thought accepted by the store.
+// watchAccepted is how long a watch must have waited to be assumed accepted by the store.
 const watchAccepted = 200 * time.Millisecond
 
-// checkAnswered notes the answer to a cheap check. It shows that the store is
-// reached; that it also takes watches shows one that waits.
+// checkAnswered records the answer to a cheap check. The answer shows that the store can be
+// reached; only a waiting watch shows that it also accepts watches.
 func (f *Follower) checkAnswered(now time.Time) {
 	if f.Watching(now) > watchAccepted {
-		f.noteAnswer()
+		f.recordAnswer()
 		return
 	}
-	f.answered.Store(int64(now.Sub(f.began)))
+	f.answeredAt.Store(int64(now.Sub(f.startedAt)))
 	f.opts.OnAnswer()
 }
--- a/directory/read.go
+++ b/directory/read.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Read reads everything cheaply and brings it into force. It may tell things that
-// are seconds old; following tells what it lacks. What a balancer needs to serve is in
-// force after the first pages.
+// Read reads everything cheaply and brings it into force. What it reads may be seconds
+// old; following the store brings the rest. The first read of a PagedSource brings its pages into
+// force as they arrive, up to PartEntries endpoints, so that a balancer can serve early.
 func (f *Follower) Read(ctx context.Context) error {
 	paged, ok := f.source.(PagedSource)
 	if !ok || f.directory.Snapshot().At > 0 {
@@ -24,39 +24,40 @@
 	})
 }
 
-// PartEntries is how many endpoints a balancer has to know, at the least, to serve before it
-// has a copy of everything, which takes long where there are thousands. Deployments with fewer
+// PartEntries is the least number of endpoints that a balancer must know to serve before it
+// has a copy of everything, which takes long with thousands of endpoints. Deployments with fewer
 // endpoints get the whole copy at once.
 const PartEntries = 1024
 
-// ReadRegistrations reads the registrations of balancers alone, cheaply, and brings
+// ReadRegistrations reads only the registrations of balancers, cheaply, and brings
 // them into force.
 func (f *Follower) ReadRegistrations(ctx context.Context) error {
 	return f.read(ctx, f.opts.CheckWait, f.source.ReadRegistrations)
 }
 
-// begin reads everything for the first time. A balancer that knows nothing refuses
-// everything: it tries without growing pauses.
-func (f *Follower) begin(ctx context.Context) {
+// readInitial reads everything for the first time and retries until it succeeds. A balancer that
+// knows nothing refuses every request, so the pauses between the attempts don't grow.
+func (f *Follower) readInitial(ctx context.Context) {
 	for err := f.Read(ctx); err != nil && ctx.Err() == nil; err = f.Read(ctx) {
 		f.failures.Store(0)
-		f.failed(ctx, "read", err)
+		f.pauseAfterFailure(ctx, "read", err)
 	}
 }
 
-// readAgain reads everything exactly, after the history went or a watch missed
-// changes.
-func (f *Follower) readAgain(ctx context.Context) {
+// readExactly reads everything exactly, after the store compacted its history or a watch missed
+// changes, and retries until it succeeds.
+func (f *Follower) readExactly(ctx context.Context) {
 	for err := f.readAll(ctx, true); err != nil && ctx.Err() == nil; err = f.readAll(ctx, true) {
-		f.failed(ctx, "read", err)
+		f.pauseAfterFailure(ctx, "read", err)
 	}
 }
 
+// readAll reads everything, exactly or cheaply, and brings it into force.
 func (f *Follower) readAll(ctx context.Context, exact bool) error {
 	return f.read(ctx, readWait, func(ctx context.Context) (Changes, error) { return f.source.ReadAll(ctx, exact) })
 }
 
-// read makes a call that reads, for at most within, and brings what it tells into force.
+// read makes a reading call with the given timeout and brings its result into force.
 func (f *Follower) read(ctx context.Context, within time.Duration, call func(context.Context) (Changes, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
@@ -65,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	f.noteAnswer()
+	f.recordAnswer()
 	f.Apply(changes)
 	return nil
 }
--- a/directory/rollout.go
+++ b/directory/rollout.go
@@ -14,50 +14,50 @@
 	"github.com/lotuswing/lotuswing/coord/rollout"
 )
 
-// rolloutRecords begins the names of the balancers' records of roll-outs; the service
-// follows.
-const rolloutRecords = "rollouts/"
+// rolloutRecordPrefix is the prefix of the names of the rollout records that balancers write; the
+// service follows.
+const rolloutRecordPrefix = "rollouts/"
 
-// RolloutRecord is what the balancer that leads a roll-out tells all others, as JSON in the
-// store.
+// RolloutRecord is the state of a rollout that the balancer leading it writes to the store for
+// all others, as JSON.
 type RolloutRecord struct {
 	Order   uint64        `json:"order"` // revision of the operator's order
 	Version string        `json:"version"`
 	State   rollout.State `json:"state"`
 	Stage   int           `json:"stage"`
-	By      string        `json:"by"`            // the balancer that wrote it
-	Out     []string      `json:"out,omitempty"` // versions of earlier orders that never came in
+	By      string        `json:"by"`            // balancer that wrote the record
+	Out     []string      `json:"out,omitempty"` // versions of earlier orders that were not completed
 }
 
-// mostOut bounds how many versions are kept out: the oldest are forgotten.
-const mostOut = 8
+// maxHeldVersions bounds how many versions are held back: the oldest are dropped.
+const maxHeldVersions = 8
 
-// Out returns the versions that are kept out beside the one that the roll-out is about: those
-// of earlier orders that were rolled back, taken back or replaced before they were completed.
+// Out returns the versions that are held back besides the one that is rolled out: those
+// of earlier orders that were rolled back, withdrawn or replaced before they were completed.
 func (r Rollout) Out() []string {
 	out := slices.Clone(r.Record.Out)
 	if r.Revision > 0 && r.Record.State != rollout.Completed {
 		out = append(out, r.Record.Version)
 	}
 	out = slices.DeleteFunc(out, func(version string) bool { return version == r.version() })
-	return out[max(0, len(out)-mostOut):]
+	return out[max(0, len(out)-maxHeldVersions):]
 }
 
-// RecordName returns the name of the record of a service's roll-out.
-func RecordName(service string) string { return rolloutRecords + service }
+// RecordName returns the name of the record of a service's rollout.
+func RecordName(service string) string { return rolloutRecordPrefix + service }
 
-// Rollout is what is known of a version of a service that comes in, or has.
+// Rollout is the state of a service's latest rollout.
 type Rollout struct {
 	Order  RolloutOrder
 	Record RolloutRecord
-	// Revision of the record; 0 where there is none.
+	// Revision is the revision of the record; 0 if there is none.
 	Revision uint64
-	// Bad: a balancer has found the version bad; the record says so later.
+	// Bad says that a balancer has found the version bad; the record follows later.
 	Bad bool
 }
 
-// Status returns how far the roll-out has come. A version that was found bad comes in no more,
-// whatever the record says so far.
+// Status returns how far the rollout has come. A version that was found bad is rolled back,
+// even while the record does not say so yet.
 func (r Rollout) Status() rollout.Status {
 	recorded := r.Recorded()
 	if r.Bad && !r.Order.Over && recorded.State == rollout.Running {
@@ -66,8 +66,9 @@
 	return recorded
 }
 
-// Recorded returns how far it has come by the record. An order that nobody has begun to carry out
-// has come nowhere, and of one that was taken back only the end counts.
+// Recorded returns how far the rollout has come according to the record. An order that no balancer
+// has begun to carry out is running at stage 0, and its Share is 0 until it has begun. A withdrawn
+// order that was not completed counts as rolled back.
 func (r Rollout) Recorded() rollout.Status {
 	begun := r.Revision > 0 && (r.Record.Order == r.Order.Revision || r.Order.Over)
 	switch {
@@ -79,12 +80,13 @@
 	return rollout.Status{State: r.Record.State, Stage: r.Record.Stage}
 }
 
-// Begun reports whether the order that is in force has been begun to be carried out.
+// Begun reports whether a balancer has begun to carry out the order in force.
 func (r Rollout) Begun() bool {
 	return r.Revision > 0 && !r.Order.Over && r.Record.Order == r.Order.Revision
 }
 
-// Share returns the part of the service's requests that goes to the version that comes in.
+// Share returns the share of the service's requests that goes to the version being rolled out,
+// from 0 to 1.
 func (r Rollout) Share() float64 {
 	if !r.Order.Over && !r.Begun() {
 		return 0
@@ -92,7 +94,7 @@
 	return r.Status().Share()
 }
 
-// version returns the version that the roll-out is about.
+// version returns the version that the rollout is about.
 func (r Rollout) version() string {
 	if r.Order.Over || r.Order.Version == "" {
 		return r.Record.Version
@@ -100,11 +102,12 @@
 	return r.Order.Version
 }
 
-// rollouts are those of all services, by service.
+// rollouts holds the latest rollout of each service, by service.
 type rollouts map[string]Rollout
 
-// noteOrder keeps an order unless a newer one is known, and reports whether it was news.
-func (all rollouts) noteOrder(o RolloutOrder) bool {
+// applyOrder stores an order unless it or a newer one is known, and reports whether it did. The end
+// of an order for an unknown service is ignored.
+func (all rollouts) applyOrder(o RolloutOrder) bool {
 	r, known := all[o.Service]
 	if known && o.Revision <= r.Order.Revision {
 		return false
@@ -120,10 +123,10 @@
 	return true
 }
 
-// noteRecord keeps a balancers' record unless a newer one is known, and reports whether it
-// was news. A record that went says nothing new.
-func (all rollouts) noteRecord(record Record) (news bool, err error) {
-	service, ok := strings.CutPrefix(record.Key, rolloutRecords)
+// applyRecord stores a balancer's record unless it or a newer one is known, and reports whether it
+// did. It ignores the deletion of a record, and returns an error for an invalid one.
+func (all rollouts) applyRecord(record Record) (changed bool, err error) {
+	service, ok := strings.CutPrefix(record.Key, rolloutRecordPrefix)
 	if !ok || record.Gone {
 		return false, nil
 	}
@@ -131,36 +134,36 @@
 	if record.Revision <= r.Revision {
 		return false, nil
 	}
-	var said RolloutRecord
-	if err := json.Unmarshal(record.Value, &said); err != nil {
-		return false, fmt.Errorf("directory: roll-out of %s: %w", service, err)
+	var decoded RolloutRecord
+	if err := json.Unmarshal(record.Value, &decoded); err != nil {
+		return false, fmt.Errorf("directory: rollout record of %s: %w", service, err)
 	}
-	if err := said.check(); err != nil {
-		return false, fmt.Errorf("directory: roll-out of %s: %w", service, err)
+	if err := decoded.check(); err != nil {
+		return false, fmt.Errorf("directory: rollout record of %s: %w", service, err)
 	}
 	if r.Order.Service == "" {
-		r.Order = RolloutOrder{Service: service, Over: true} // the order is told later, or was taken back
+		r.Order = RolloutOrder{Service: service, Over: true} // the order arrives later, or was withdrawn
 	}
-	r.Record, r.Revision = said, record.Revision
+	r.Record, r.Revision = decoded, record.Revision
 	all[service] = r
 	return true, nil
 }
 
-// check returns what is wrong with a record.
+// check returns an error if the state or the stage of a record is invalid.
 func (r RolloutRecord) check() error {
 	switch r.State {
 	case rollout.Running, rollout.Completed, rollout.RolledBack:
 	default:
-		return fmt.Errorf("state %q", r.State)
+		return fmt.Errorf("unknown state %q", r.State)
 	}
 	if r.Stage < 0 || r.Stage >= len(rollout.Stages) {
-		return fmt.Errorf("stage %d", r.Stage)
+		return fmt.Errorf("stage %d out of range", r.Stage)
 	}
 	return nil
 }
 
-// all returns them in the order of the services.
-func (all rollouts) all() []Rollout {
+// sorted returns the rollouts in order of their services.
+func (all rollouts) sorted() []Rollout {
 	if len(all) == 0 {
 		return nil
 	}
@@ -171,9 +174,9 @@
 	return list
 }
 
-// absentOrders returns the ends of the orders that a reading of everything up to a revision
+// endsOfAbsent returns the ends of the orders that a read of everything, at the given revision,
 // does not name.
-func (all rollouts) absentOrders(named []RolloutOrder, at uint64) []RolloutOrder {
+func (all rollouts) endsOfAbsent(named []RolloutOrder, at uint64) []RolloutOrder {
 	var over []RolloutOrder
 	for service, r := range all {
 		isNamed := slices.ContainsFunc(named, func(o RolloutOrder) bool { return o.Service == service })
@@ -184,10 +187,10 @@
 	return over
 }
 
-// divide says of each endpoint of a service which version it runs, as far as that matters,
-// and returns the part of the requests that goes to the new one. As many endpoints of a new
-// version take part as its part of the requests needs, so that each is as busy as any other.
-func (r Rollout) divide(list []Endpoint) (share float64) {
+// assignSides sets the Side of a service's endpoints and returns the share of the requests that
+// goes to the new version. Of the endpoints of the new version, it uses as many as that share
+// needs, so that each is as busy as any other endpoint.
+func (r Rollout) assignSides(list []Endpoint) (share float64) {
 	out := r.Out()
 	var newer, older []int
 	for i := range list {
@@ -210,47 +213,47 @@
 	share = r.Share()
 	setSide(list, older, placement.OldSide)
 	setSide(list, newer, placement.HeldSide)
-	setSide(list, takingPart(list, newer, share), placement.NewSide)
+	setSide(list, selectShare(list, newer, share), placement.NewSide)
 	return share
 }
 
-// setSide sets the side of some endpoints.
+// setSide sets the side of the endpoints at indices.
 func setSide(list []Endpoint, indices []int, side placement.Side) {
 	for _, i := range indices {
 		list[i].Side = side
 	}
 }
 
-// takingPart returns the indices of the endpoints that take part in a share, the same ones at
-// all balancers.
-func takingPart(list []Endpoint, newer []int, share float64) []int {
+// selectShare returns the indices of the given share of the endpoints at newer. All balancers
+// select the same endpoints. It sorts newer.
+func selectShare(list []Endpoint, newer []int, share float64) []int {
 	slices.SortFunc(newer, func(a, b int) int {
 		return cmp.Compare(xxhash.Sum64String(list[a].VM), xxhash.Sum64String(list[b].VM))
 	})
 	return newer[:int(math.Ceil(share*float64(len(newer))))]
 }
 
-// applyRollouts notes orders and records of versions that come in.
+// applyRollouts applies rollout orders and the balancers' rollout records.
 func (d *Directory) applyRollouts(c Changes, applied *Applied) {
 	orders := c.Rollouts
 	if c.Whole {
-		orders = append(slices.Clone(orders), d.rollouts.absentOrders(c.Rollouts, c.At)...)
+		orders = append(slices.Clone(orders), d.rollouts.endsOfAbsent(c.Rollouts, c.At)...)
 	}
 	for _, o := range orders {
-		if d.rollouts.noteOrder(o) {
+		if d.rollouts.applyOrder(o) {
 			d.applyBad(o.Service)
-			d.touchAll(o.Service)
+			d.markAllChanged(o.Service)
 			applied.Rollouts = append(applied.Rollouts, d.rollouts[o.Service])
 		}
 	}
 	for _, r := range c.Registrations {
-		news, err := d.rollouts.noteRecord(r)
+		changed, err := d.rollouts.applyRecord(r)
 		if err != nil {
 			applied.Faults = append(applied.Faults, err)
 		}
-		if news {
-			service := strings.TrimPrefix(r.Key, rolloutRecords)
-			d.touchAll(service)
+		if changed {
+			service := strings.TrimPrefix(r.Key, rolloutRecordPrefix)
+			d.markAllChanged(service)
 			applied.Rollouts = append(applied.Rollouts, d.rollouts[service])
 		}
 	}
--- a/directory/start_test.go
+++ b/directory/start_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// started returns an entry of a start of the endpoint "a".
+// started returns an entry of one start of the endpoint "a".
 func started(start int64, revision uint64) directory.Entry {
 	return directory.Entry{
 		Endpoint: directory.Endpoint{Endpoint: placement.Endpoint{VM: "a", Addr: "a:1", Zone: "z", Slots: 3}, Service: "s", Start: start},
@@ -25,7 +25,7 @@
 	d.Apply(directory.Changes{Entries: entries}, now)
 }
 
-// startInUse returns the identity of the start that gets requests; 0 for none.
+// startInUse returns the Start of the first usable endpoint of service s; 0 for none.
 func startInUse(d *directory.Directory, now time.Time) int64 {
 	for _, e := range d.Snapshot().Endpoints["s"] {
 		if e.Usable(now) {
@@ -35,22 +35,22 @@
 	return 0
 }
 
-// TestAnotherStartIsAnotherServer: what was known of the start before it holds no more,
-// under whatever the identity of that one was left.
+// TestAnotherStartIsAnotherServer checks that nothing known of the earlier start applies to a new start
+// under the same identity, whatever the state of the earlier one was.
 func TestAnotherStartIsAnotherServer(t *testing.T) {
 	leaving := started(1, 2)
 	leaving.Leaving = true
 	for name, before := range map[string]func(*directory.Directory){
-		"in use":                         func(*directory.Directory) {},
-		"said that it leaves":            func(d *directory.Directory) { apply(d, start, leaving) },
-		"another instance had its place": func(d *directory.Directory) { d.MarkLeaving("a", 1, start) },
-		"its entry went": func(d *directory.Directory) {
+		"in use":                   func(*directory.Directory) {},
+		"announced that it leaves": func(d *directory.Directory) { apply(d, start, leaving) },
+		"another incarnation answered at its address": func(d *directory.Directory) { d.MarkLeaving("a", 1, start) },
+		"its entry was deleted": func(d *directory.Directory) {
 			d.Apply(directory.Changes{Gone: []directory.Gone{{ID: "a", Revision: 2}}}, start)
 		},
-		"its entry went long ago": func(d *directory.Directory) {
+		"its entry was deleted long ago": func(d *directory.Directory) {
 			d.Apply(directory.Changes{Gone: []directory.Gone{{ID: "a", Revision: 2}}}, start.Add(-time.Hour))
 		},
-		"its entry was spoiled meanwhile": func(d *directory.Directory) {
+		"its entry could not be read meanwhile": func(d *directory.Directory) {
 			d.Apply(directory.Changes{Gone: []directory.Gone{{ID: "a", Revision: 2, Spoiled: true}}}, start)
 		},
 	} {
@@ -62,18 +62,18 @@
 			before(d)
 			apply(d, start, started(2, 3))
 			assert.Equal(t, startInUse(d, start), int64(2))
-			assert.Assert(t, !d.Snapshot().Endpoints["s"][0].WarmAt.After(start), "not the warm-up of the one before")
+			assert.Assert(t, !d.Snapshot().Endpoints["s"][0].WarmAt.After(start), "the warm-up of the earlier start does not apply")
 			apply(d, start, started(1, 1))
-			assert.Equal(t, startInUse(d, start), int64(2), "an entry read late")
-			assert.Assert(t, !d.MarkLeaving("a", 1, start), "a word of the one before, heard late")
+			assert.Equal(t, startInUse(d, start), int64(2), "an older entry was read late")
+			assert.Assert(t, !d.MarkLeaving("a", 1, start), "a late notice about the earlier start")
 			assert.Equal(t, startInUse(d, start), int64(2))
 		})
 	}
 }
 
-// TestTheSameStartStaysWhatItWas: leaving is never taken back within one start, and an entry
-// that does not tell its start is of the one that is known.
-func TestTheSameStartStaysWhatItWas(t *testing.T) {
+// TestSameStartStaysLeaving checks that a leaving endpoint stays leaving within one start, and that
+// an entry without a start is taken to be of the known one.
+func TestSameStartStaysLeaving(t *testing.T) {
 	for _, again := range []int64{1, 0} {
 		d := directory.New()
 		leaving := started(1, 2)
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestSpoiledEntryNamesNoServer: not even as a last resort, and until its server writes it
-// again.
-func TestSpoiledEntryNamesNoServer(t *testing.T) {
+// TestUnreadableEntryIsNotUsed checks that an endpoint whose entry cannot be read is not used, not
+// even as a last resort, until its server writes the entry again.
+func TestUnreadableEntryIsNotUsed(t *testing.T) {
 	d := directory.New()
 	apply(d, start, started(1, 1))
 	d.Apply(directory.Changes{Gone: []directory.Gone{{ID: "a", Revision: 2, Spoiled: true}}}, start)
@@ -94,9 +94,9 @@
 	assert.Equal(t, startInUse(d, start), int64(1))
 }
 
-// TestForeignServiceMakesNobodyReady: endpoints of services that nobody routes to are no
-// endpoints to serve with.
-func TestForeignServiceMakesNobodyReady(t *testing.T) {
+// TestUnconfiguredServiceIsNotCounted checks that Known does not count endpoints of services that
+// are not configured.
+func TestUnconfiguredServiceIsNotCounted(t *testing.T) {
 	d := directory.New()
 	apply(d, start, started(1, 1))
 	d.Apply(directory.Changes{Config: &directory.Config{Version: 1, Services: map[string]tenant.Service{"other": {}}}}, start)
@@ -105,7 +105,7 @@
 	assert.Equal(t, d.Snapshot().Known, 1)
 }
 
-// pagedSource is a store whose reading tells its pages.
+// pagedSource is a store whose read of everything hands over its pages.
 type pagedSource struct {
 	*fakeSource
 	pages []directory.Changes
@@ -126,9 +126,9 @@
 	return all, nil
 }
 
-// TestServesBeforeEverythingIsRead: with the configuration and enough endpoints in force the
-// rest of the reading is not waited for; in the end everything is in force.
-func TestServesBeforeEverythingIsRead(t *testing.T) {
+// TestFirstPagesAreAppliedDuringRead checks that the first pages come into force while the read goes
+// on, until enough endpoints to serve with are known, and everything does when it ends.
+func TestFirstPagesAreAppliedDuringRead(t *testing.T) {
 	d := directory.New()
 	source := &pagedSource{fakeSource: newFakeSource()}
 	source.pages = append(source.pages, directory.Changes{Config: &directory.Config{Version: 3, Services: map[string]tenant.Service{"s": {}}}})
--- a/directory/watch.go
+++ b/directory/watch.go
@@ -8,20 +8,21 @@
 )
 
 var (
-	// errReadAgain: a watch was given up because it seems to miss changes.
-	errReadAgain = errors.New("directory: watch misses changes")
-	// errWatchAgain: a watch was given up because the store did not answer
-	// meanwhile, so that the watch may have been lost with it.
-	errWatchAgain = errors.New("directory: watch may be lost")
+	// errMissesChanges is returned for a watch that was abandoned because it seems to miss
+	// changes.
+	errMissesChanges = errors.New("directory: watch misses changes")
+	// errMayBeLost is returned for a watch that was abandoned because the store did not answer
+	// for a time, so that the watch may have been lost.
+	errMayBeLost = errors.New("directory: watch may be lost")
 )
 
-// watch waits for changes until they come, its time has passed or the monitor has
-// it given up, which errReadAgain and errWatchAgain tell.
+// watch waits for changes until they come, the wait is over or the monitor abandons
+// the watch. In the last case it returns errMissesChanges or errMayBeLost.
 func (f *Follower) watch(ctx context.Context) (Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchWait+readWait)
 	defer cancel()
 	select {
-	case <-f.giveUp: // of an earlier watch
+	case <-f.watchAdvice: // discards advice about an earlier watch
 	default:
 	}
 	ended := make(chan struct{})
@@ -29,22 +30,22 @@
 	var reason atomic.Uint32 // an advice
 	go func() {
 		select {
-		case why := <-f.giveUp:
+		case why := <-f.watchAdvice:
 			reason.Store(uint32(why))
 			cancel()
 		case <-ended:
 		}
 	}()
 	f.calls.Add(1)
-	f.watching.Store(int64(time.Since(f.began)))
-	defer f.watching.Store(0)
+	f.watchingSince.Store(int64(time.Since(f.startedAt)))
+	defer f.watchingSince.Store(0)
 	changes, err := f.source.Watch(ctx, f.directory.Snapshot().At, watchWait)
 	switch {
 	case err == nil:
 	case advice(reason.Load()) == readAgain:
-		err = errReadAgain
+		err = errMissesChanges
 	case advice(reason.Load()) == watchAgain:
-		err = errWatchAgain
+		err = errMayBeLost
 	}
 	return changes, err
 }
--- a/directory/watchdog.go
+++ b/directory/watchdog.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// advice is what a watchdog wants done about a watch.
+// advice is what a watchdog recommends to do about a watch.
 type advice uint8
 
 const (
-	// trustWatch: nothing speaks against the watch.
+	// trustWatch means that nothing indicates a fault of the watch.
 	trustWatch advice = iota
-	// checkExactly: the store's revision should be read in a way that cannot be
-	// stale.
+	// checkExactly means that the store's revision should be read exactly, because cheap reads
+	// lag.
 	checkExactly
-	// watchAgain: the store did not answer for a time, so the watch may be lost;
-	// one that begins now tells what it has missed.
+	// watchAgain means that the store did not answer for a time, so the watch may be lost;
+	// a new watch brings what it has missed.
 	watchAgain
-	// readAgain: the watch misses changes, so everything is read again.
+	// readAgain means that the watch misses changes, so everything must be read again.
 	readAgain
 )
 
-// watchdog judges, from the revisions that cheap reads of the store name, whether a
-// waiting watch can be trusted. Such a read may be seconds behind; it is never
-// ahead. The zero value has seen nothing. It is not safe for concurrent use.
+// watchdog judges, from the revisions that cheap reads of the store return, whether a
+// waiting watch can be trusted. The revision of such a read may be seconds old; it is never
+// ahead of the store. The zero value has seen nothing. It is not safe for concurrent use.
 type watchdog struct {
-	stuckAfter time.Duration // a revision known for so long must have come
-	exactEvery time.Duration // between exact checks while reads lag
-	checkEvery time.Duration // between cheap checks while all is well
+	stuckAfter time.Duration // within which the watch must bring a revision that a check has seen
+	exactEvery time.Duration // least time between exact checks while cheap reads lag
+	checkEvery time.Duration // time between cheap checks while the watch can be trusted
 
-	failed     bool      // the last check was not answered
-	highest    uint64    // revision seen
-	aheadSince time.Time // when a revision was first known that the watch had not brought
-	checked    time.Time // last exact check
-	compacted  bool      // the history went while reads lag: the watch is a new one
+	lastFailed     bool      // the last cheap check was not answered
+	highest        uint64    // highest revision seen
+	aheadSince     time.Time // when a check first saw a revision that the watch had not brought; zero for none
+	exactCheckedAt time.Time // time of the last exact check
+	compacted      bool      // the store compacted its history, so the watch is new; until cheap reads no longer lag
 }
 
-// observe judges the watch after a cheap check. at is the revision up to which the
-// directory knows all changes; watching is false while no watch waits because
-// changes are left to gather.
+// observe judges the watch after a cheap check that returned revision or err. at is the
+// revision up to which the directory knows all changes; watching is false while no watch waits,
+// as in the pause in which changes are batched.
 func (w *watchdog) observe(now time.Time, revision, at uint64, watching bool, err error) advice {
 	if err != nil {
-		w.failed = true
+		w.lastFailed = true
 		return trustWatch
 	}
-	if w.failed {
-		w.failed = false
+	if w.lastFailed {
+		w.lastFailed = false
 		w.highest = max(w.highest, revision)
 		return watchAgain
 	}
@@ -52,18 +52,18 @@
 		w.compacted = false
 	}
 	if w.highest > at && watching {
-		return w.ahead(now)
+		return w.checkStuck(now)
 	}
 	w.aheadSince = time.Time{}
-	if lagging && !w.compacted && now.Sub(w.checked) >= w.exactEvery {
-		w.checked = now
+	if lagging && !w.compacted && now.Sub(w.exactCheckedAt) >= w.exactEvery {
+		w.exactCheckedAt = now
 		return checkExactly
 	}
 	return trustWatch
 }
 
-// ahead judges a watch that has not brought a revision that is known.
-func (w *watchdog) ahead(now time.Time) advice {
+// checkStuck judges a watch that has not brought a revision that a check has seen.
+func (w *watchdog) checkStuck(now time.Time) advice {
 	if w.aheadSince.IsZero() {
 		w.aheadSince = now
 		return trustWatch
@@ -75,16 +75,16 @@
 	return readAgain
 }
 
-// next returns how long to wait for the next cheap check: less while a revision is
-// known that the watch has not brought.
-func (w *watchdog) next() time.Duration {
+// untilNextCheck returns the time between the last cheap check and the next: less than usual while
+// the watch has not brought a revision that a check has seen.
+func (w *watchdog) untilNextCheck() time.Duration {
 	if !w.aheadSince.IsZero() {
 		return w.stuckAfter
 	}
 	return w.checkEvery
 }
 
-// observeExact judges the watch after an exact check.
+// observeExact judges the watch after an exact check that returned revision.
 func (w *watchdog) observeExact(revision, at uint64) advice {
 	w.highest = max(w.highest, revision)
 	if revision > at {
@@ -93,5 +93,5 @@
 	return trustWatch
 }
 
-// observeCompaction notes that the store has dropped its history.
+// observeCompaction records that the store has compacted its history.
 func (w *watchdog) observeCompaction() { w.compacted = true }
--- a/directory/watchdog_test.go
+++ b/directory/watchdog_test.go
@@ -8,33 +8,33 @@
 	"gotest.tools/v3/assert"
 )
 
-// step is one cheap check and what is to follow from its answer.
+// step is one cheap check and the advice expected after it.
 type step struct {
 	after    time.Duration
 	revision uint64
 	at       uint64
-	gather   bool // no watch waits
+	gather   bool // no watch waits, because changes are being batched
 	err      error
 	want     advice
 }
 
 var errSilent = errors.New("no answer")
 
-// TestWatchdog: each sign that a watch misses changes, and what is none.
+// TestWatchdog checks which observations count as signs that a watch misses changes.
 func TestWatchdog(t *testing.T) {
 	const ms = time.Millisecond
 	cases := []struct {
 		name  string
 		steps []step
 	}{
-		{"all is well", []step{{0, 5, 5, false, nil, trustWatch}, {800 * ms, 5, 5, false, nil, trustWatch}}},
+		{"no change", []step{{0, 5, 5, false, nil, trustWatch}, {800 * ms, 5, 5, false, nil, trustWatch}}},
 		{"a change that the watch brings in time", []step{{0, 6, 5, false, nil, trustWatch}, {800 * ms, 6, 6, false, nil, trustWatch}}},
 		{"a change that the watch does not bring", []step{{0, 6, 5, false, nil, trustWatch}, {800 * ms, 6, 5, false, nil, readAgain}}},
-		{"the same, seen once by a read that then lags", []step{{0, 6, 5, false, nil, trustWatch}, {800 * ms, 5, 5, false, nil, readAgain}}},
-		{"changes are left to gather", []step{{0, 6, 5, true, nil, trustWatch}, {800 * ms, 6, 5, true, nil, trustWatch}}},
+		{"the same, seen once before the reads lag", []step{{0, 6, 5, false, nil, trustWatch}, {800 * ms, 5, 5, false, nil, readAgain}}},
+		{"no watch waits while changes are batched", []step{{0, 6, 5, true, nil, trustWatch}, {800 * ms, 6, 5, true, nil, trustWatch}}},
 		{"the store answers again", []step{{0, 0, 5, false, errSilent, trustWatch}, {800 * ms, 5, 5, false, nil, watchAgain}, {800 * ms, 5, 5, false, nil, trustWatch}}},
-		{"reads go back", []step{{0, 5, 5, false, nil, trustWatch}, {800 * ms, 4, 5, false, nil, checkExactly}}},
-		{"reads stay behind", []step{
+		{"reads return an older revision", []step{{0, 5, 5, false, nil, trustWatch}, {800 * ms, 4, 5, false, nil, checkExactly}}},
+		{"reads keep lagging", []step{
 			{0, 5, 5, false, nil, trustWatch},
 			{800 * ms, 4, 5, false, nil, checkExactly},
 			{800 * ms, 4, 5, false, nil, trustWatch},
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestNewWatchIsTrusted: once the history has gone, reads that lag say nothing
-// of the watch that began after it.
+// TestNewWatchIsTrusted checks that after a compaction, reads that lag are no sign against
+// the watch that began after it.
 func TestNewWatchIsTrusted(t *testing.T) {
 	w := watchdog{stuckAfter: time.Second, exactEvery: time.Second}
 	now := time.Unix(1000, 0)
@@ -63,21 +63,22 @@
 	assert.Equal(t, w.observe(now.Add(6*time.Second), 4, 9, true, nil), checkExactly, "the next time they lag")
 }
 
-// TestExactAnswerDecides.
-func TestExactAnswerDecides(t *testing.T) {
+// TestExactRevisionDecides checks that an exact revision above the known one has everything read
+// again.
+func TestExactRevisionDecides(t *testing.T) {
 	var w watchdog
 	assert.Equal(t, w.observeExact(7, 7), trustWatch)
 	assert.Equal(t, w.observeExact(8, 7), readAgain)
 }
 
-// TestDoubtAsksSooner: a revision that the watch has not brought is looked into
-// before the next ordinary check.
-func TestDoubtAsksSooner(t *testing.T) {
+// TestStuckWatchIsCheckedSooner checks that after a revision that the watch has not brought, the
+// next check comes earlier than usual.
+func TestStuckWatchIsCheckedSooner(t *testing.T) {
 	w := watchdog{stuckAfter: 5, exactEvery: 50, checkEvery: 100}
 	now := time.Unix(1000, 0)
-	assert.Equal(t, w.next(), time.Duration(100))
+	assert.Equal(t, w.untilNextCheck(), time.Duration(100))
 	w.observe(now, 6, 5, true, nil)
-	assert.Equal(t, w.next(), time.Duration(5))
+	assert.Equal(t, w.untilNextCheck(), time.Duration(5))
 	w.observe(now, 6, 6, true, nil)
-	assert.Equal(t, w.next(), time.Duration(100))
+	assert.Equal(t, w.untilNextCheck(), time.Duration(100))
 }
