--- a/coord/health/health.go
+++ b/coord/health/health.go
@@ -38,6 +38,7 @@
 	maxDoublings = 10  // keeps the doubled ejection from overflowing before EjectMost limits it
 )
 
+// withDefaults returns the options with defaults in place of zero fields.
 func (o Options) withDefaults() Options {
 	o.EjectAfter = cmp.Or(o.EjectAfter, 3)
 	o.EjectFor = cmp.Or(o.EjectFor, 500*time.Millisecond)
--- a/directory/changes.go
+++ b/directory/changes.go
@@ -15,9 +15,9 @@
 	Teams    *access.Table // nil where callers need no keys
 }
 
-// withStateOf returns the configuration with the state that it takes over from the one in force
-// before it.
-func (c *Config) withStateOf(before *Config) *Config {
+// withWithdrawnKeys returns the configuration whose Teams also remember which keys of the
+// configuration before it belong to no team any more.
+func (c *Config) withWithdrawnKeys(before *Config) *Config {
 	if before == nil {
 		return c
 	}
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -12,11 +12,13 @@
 //
 // Two rules hold whatever the store says. The version of the configuration never
 // decreases within the life of a process. An endpoint that announced that it is
-// leaving, or whose entry was deleted, never gets requests again under the same identity as
-// draining. There is one exception: when more than three quarters of a
-// service's entries were deleted within some seconds, the store has lost them, and their
-// endpoints stay usable as a last resort for some seconds. A new start under the same identity is
-// a different server. These rules are in endpoint.go.
+// leaving gets no more requests, whatever entries of the same start are read later; a new start
+// under the same identity is a different server.
+//
+// An endpoint whose entry was deleted gets no requests until a newer entry is read. There is one
+// exception: when more than three quarters of a service's entries were deleted within some
+// seconds, the store has lost them, and their endpoints stay usable as a last resort for some
+// seconds. The rules for endpoints are in endpoint.go.
 //
 // # Usage
 //
@@ -47,7 +49,7 @@
 	rollouts  rollouts
 	badOrders map[string]uint64 // revision of the latest rollout order whose version was found bad, by service
 	notices   leavingNotices    // about endpoints whose entries are not known yet
-	revision  uint64
+	revision  uint64            // up to which all changes are in force
 }
 
 // New returns an empty directory.
@@ -111,7 +113,7 @@
 	switch {
 	case c == nil:
 	case d.config == nil || c.Version > d.config.Version:
-		d.config = c.withStateOf(d.config)
+		d.config = c.withWithdrawnKeys(d.config)
 		applied.Version = c.Version
 	case c.Version < d.config.Version:
 		applied.Ignored = c.Version
--- a/directory/evacuation.go
+++ b/directory/evacuation.go
@@ -37,8 +37,8 @@
 	return known && !e.Over
 }
 
-// inForceZones returns the names of the evacuated zones, sorted.
-func (z evacuations) inForceZones() []string {
+// evacuatedZones returns the names of the evacuated zones, sorted.
+func (z evacuations) evacuatedZones() []string {
 	var names []string
 	for zone := range z {
 		if z.isEvacuated(zone) {
--- a/directory/follow.go
+++ b/directory/follow.go
@@ -45,8 +45,8 @@
 	opts          Options
 	active        *gate         // whether the store is followed
 	serving       atomic.Bool   // whether other processes rely on this follower
-	lost          atomic.Bool   // the store did not answer the last call
-	failures      atomic.Int64  // consecutive failed calls
+	lost          atomic.Bool   // a read or watch failed, and none has succeeded since
+	failures      atomic.Int64  // consecutive failed reads and watches
 	answeredAt    atomic.Int64  // time of the store's last answer, in ns since startedAt; 0 for none
 	startedAt     time.Time     // with a monotonic clock reading
 	calls         atomic.Int64  // calls made to the store
@@ -65,7 +65,8 @@
 	}
 }
 
-// Lost reports whether the store did not answer the last call.
+// Lost reports whether a read or watch failed and the store has not answered one since. A watch
+// that the store has accepted counts as an answer.
 func (f *Follower) Lost() bool { return f.lost.Load() }
 
 // Calls returns the number of calls made to the store.
@@ -127,7 +128,7 @@
 }
 
 const (
-	unsettledFailures = 2                      // consecutive failed calls from which a follower is not settled
+	unsettledFailures = 2                      // consecutive failed reads and watches from which a follower is not settled
 	settledSlack      = 150 * time.Millisecond // how much older than a check period and its timeout the last answer may be
 )
 
--- a/directory/gate.go
+++ b/directory/gate.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// gate blocks goroutines in wait until it is open.
+// gate makes wait block until the gate is open.
 type gate struct {
 	mu     sync.Mutex
 	opened chan struct{} // closed while the gate is open
--- a/directory/lists.go
+++ b/directory/lists.go
@@ -34,7 +34,7 @@
 	before := d.snapshot.Load()
 	s := &Snapshot{
 		Config: d.config, Endpoints: make(map[string][]Endpoint, len(d.services)), At: d.revision,
-		Evacuated: d.zones.inForceZones(), Rollouts: d.rollouts.sorted(), Shares: map[string]float64{},
+		Evacuated: d.zones.evacuatedZones(), Rollouts: d.rollouts.sorted(), Shares: map[string]float64{},
 	}
 	for id := range d.unlisted {
 		if e := d.endpoints[id]; e.State == Missing {
@@ -47,7 +47,7 @@
 			s.setShare(service, before.Shares[service])
 		} else if list := d.updatedList(t, before.Endpoints[service], ids, now); len(list) > 0 {
 			s.Endpoints[service] = list
-			s.setShare(service, d.setZoneAndSide(service, list))
+			s.setShare(service, d.setEvacuatedAndSide(service, list))
 		}
 		if d.isConfigured(service) {
 			s.Known += countListed(s.Endpoints[service])
@@ -64,9 +64,9 @@
 	}
 }
 
-// setZoneAndSide sets Evacuated and Side of a service's endpoints, and returns the share of
+// setEvacuatedAndSide sets Evacuated and Side of a service's endpoints, and returns the share of
 // requests for the version being rolled out; d.mu is held.
-func (d *Directory) setZoneAndSide(service string, list []Endpoint) (share float64) {
+func (d *Directory) setEvacuatedAndSide(service string, list []Endpoint) (share float64) {
 	for i := range list {
 		list[i].Evacuated, list[i].Side = d.zones.isEvacuated(list[i].Zone), placement.AnySide
 	}
--- a/directory/options.go
+++ b/directory/options.go
@@ -19,8 +19,8 @@
 	// default 850 ms. CheckWait is the timeout of one; default 600 ms.
 	CheckEvery time.Duration
 	CheckWait  time.Duration
-	// StuckAfter is for how long a revision may be known that the watch has not
-	// brought, before everything is read again; default 550 ms.
+	// StuckAfter is how long the watch may lack a revision that a check has seen, before
+	// everything is read again; default 550 ms.
 	StuckAfter time.Duration
 	// ExactCheckEvery is the least time between exact revision checks while cheap reads
 	// lag; default 1 s.
@@ -34,8 +34,8 @@
 	// when ctx has ended. If it is nil, the follower reads the copy from the store; when a
 	// whole fleet starts at once, all its processes would do so at the same time.
 	Begin func(ctx context.Context)
-	// OnAnswer is called after each answer of the store, and OnFailure after each call that it
-	// did not answer; they may be nil.
+	// OnAnswer is called when the store answers a read, a watch or a cheap revision check, and
+	// OnFailure when a watch fails, or a read that the follower retries; they may be nil.
 	OnAnswer  func()
 	OnFailure func()
 	// Standby makes a follower that makes no calls to the store but its first
@@ -49,7 +49,7 @@
 	watchWait = 25 * time.Second
 	// readWait is the timeout of a read of everything.
 	readWait = 3 * time.Second
-	// exactCheckEvery: exact reads cost ten times as much as cheap ones.
+	// exactCheckEvery limits exact reads, which cost ten times as much as cheap ones.
 	exactCheckEvery = time.Second
 	// retryPause and maxRetryPause limit the retries while the store does not answer, because each
 	// call is paid for.
@@ -74,7 +74,8 @@
 
 // Shares of the bound, and limits of the durations.
 const (
-	// gatherShare is high because each call to the store is paid for.
+	// gatherShare is high because each call to the store is paid for: a longer pause means
+	// fewer calls.
 	gatherShare = 0.7
 	// checkShare and stuckShare are 850 ms and 550 ms of 2 s. Together they stay below
 	// the bound.
@@ -90,6 +91,7 @@
 	servingShare = 0.5
 )
 
+// withDefaults returns the options with defaults in place of zero fields.
 func (o Options) withDefaults() Options {
 	defaults := OptionsWithin(defaultBound)
 	o.Gather = cmp.Or(o.Gather, defaults.Gather)
--- a/directory/rollout.go
+++ b/directory/rollout.go
@@ -213,7 +213,7 @@
 	share = r.Share()
 	setSide(list, older, placement.OldSide)
 	setSide(list, newer, placement.HeldSide)
-	setSide(list, selectShare(list, newer, share), placement.NewSide)
+	setSide(list, selectByShare(list, newer, share), placement.NewSide)
 	return share
 }
 
@@ -224,9 +224,9 @@
 	}
 }
 
-// selectShare returns the indices of the given share of the endpoints at newer. All balancers
+// selectByShare returns the indices of the given share of the endpoints at newer. All balancers
 // select the same endpoints. It sorts newer.
-func selectShare(list []Endpoint, newer []int, share float64) []int {
+func selectByShare(list []Endpoint, newer []int, share float64) []int {
 	slices.SortFunc(newer, func(a, b int) int {
 		return cmp.Compare(xxhash.Sum64String(list[a].VM), xxhash.Sum64String(list[b].VM))
 	})
