--- a/coord/placement/placement.go
+++ b/coord/placement/placement.go
@@ -21,7 +21,7 @@
 	"github.com/lotuswing/lotuswing/coord/reason"
 )
 
-// Endpoint is one incarnation of a server of a service.
+// Endpoint is a server of a service.
 type Endpoint struct {
 	VM    string // identity of the VM; it does not change when the server restarts
 	Addr  string
@@ -29,7 +29,7 @@
 	Slots int // number of requests that it works on at once
 }
 
-// Class is how long a request may wait for an endpoint.
+// Class is the priority class of a request that waits for a slot.
 type Class uint8
 
 // The classes.
@@ -69,7 +69,7 @@
 	// Used if the balancer itself decides.
 	Kind     string        // request kind; usual service times are learned by kind
 	Accepted time.Time     // when the balancer accepted the request
-	Target   time.Duration // latency objective, counted from Accepted; 0 for none
+	Target   time.Duration // latency target, counted from Accepted; 0 for none
 	Priority int           // 0 is the most urgent
 	Alone    bool          // an endpoint that holds no other request is preferred
 	Ended    []Incarnation // endpoints that terminated while they ran the request; they do not get it again, even if listed
@@ -109,10 +109,10 @@
 	HeldSide             // gets no requests: it runs a version that was rolled back or replaced, or does not take part yet
 )
 
-// Choice is what was known of an endpoint when the balancer chose it. It is
-// logged, and the learning from the request's completion depends on it.
+// Choice is what was known of an endpoint when the balancer chose it. It is logged, and used to
+// learn the usual service time from the request's completion.
 type Choice struct {
-	Start    int64         // start of the endpoint, as listed; 0 if unknown
+	Start    int64         // Start of the endpoint's Incarnation; 0 if unknown
 	Pace     float64       // slowdown factor that the endpoint reported, 1 at its usual speed; 0 without a report
 	Busy     int           // estimated number of requests that it holds, including this one
 	Side     Side          // version that the endpoint runs during a rollout
@@ -124,7 +124,8 @@
 	Probes   int           // load reports requested before this choice
 }
 
-// Search is the counts of a service's endpoints by state when none was chosen.
+// Search is the result of a search in which no endpoint was chosen: the counts of the service's
+// endpoints by state.
 type Search struct {
 	Known, Ejected, Full int           // numbers of endpoints
 	Limited              int           // number of the Known endpoints at their limit on requests per second
@@ -136,8 +137,8 @@
 // Refusal is the reason why there is no grant. The request was not sent.
 type Refusal struct {
 	Reason     reason.Code
-	RetryAfter time.Duration
-	Search     Search // set if the balancer itself decided
+	RetryAfter time.Duration // time after which the caller may retry
+	Search     Search        // set if the balancer itself decided
 }
 
 // Outcome is what the end of a granted request shows about its endpoint.
@@ -161,7 +162,7 @@
 	Outcome  Outcome
 	Took     time.Duration // from sending to the end of the response
 	Load     LoadReport    // of the response
-	Backoff  time.Duration // time for which the endpoint asked for no requests; 0 if it did not
+	Backoff  time.Duration // time for which the endpoint asked to be sent nothing; 0 if it did not ask
 	Replaced bool          // another incarnation responds at the endpoint's address
 }
 
--- a/coord/selection/candidate.go
+++ b/coord/selection/candidate.go
@@ -19,7 +19,7 @@
 	// open, for setting up a new one. It comes on top of crossZonePenalty.
 	newConnectionPenalty = 18 * time.Millisecond
 	// assumedConnectionLife is how long after the last response of an endpoint its connection is
-	// assumed to be open. Idle connections are kept one second longer than that.
+	// assumed to be open. The HTTP client closes idle connections one second later than that.
 	assumedConnectionLife = 7 * time.Second
 	// unansweredProbePenalty is added to the estimate for each consecutive probe without a response.
 	unansweredProbePenalty = 150 * time.Millisecond
@@ -28,10 +28,10 @@
 	sharedEndpointPenalty = time.Hour
 	// deferredPenalty is added to the cost of an endpoint that is likely to refuse the request.
 	deferredPenalty = 150 * time.Millisecond
-	// slownessTolerance is the factor over the usual service time that completions may take
-	// before the estimate grows with them.
+	// slownessTolerance is how many times the usual service time an endpoint's completions may take
+	// without an effect on the estimate.
 	slownessTolerance = 2
-	// maxGoodPace is the highest pace at which an endpoint is taken without a further search.
+	// maxGoodPace is the highest pace at which a candidate is Good.
 	maxGoodPace = 1.6
 )
 
@@ -79,9 +79,9 @@
 	Age         time.Duration // of its last report; math.MaxInt64 if there is none
 	Busy        int           // estimated number of requests that it holds
 	Slots       int           // number of requests that it works on at once
-	Full        bool          // it should get no further request now
+	Full        bool          // it is blocked, paused after a refusal, or at its concurrency limit
 	Good        bool          // it can be taken without searching for a better one
-	Ejected     bool          // because of failures
+	Ejected     bool          // it is ejected because of failures
 	Cold        bool          // it is warming up
 	ColdBlocked bool          // it is warming up and must not get the request now
 	Admission   admission.Decision
@@ -128,21 +128,22 @@
 	}
 	c.cost += c.Estimate
 	c.ColdBlocked = isWarmingUp && e.blockedInWarmup(usual, index, c.Estimate, now)
-	c.Full = c.ColdBlocked || c.blocked() || c.Busy >= usual.concurrencyLimit(c.Slots) || now.Before(e.pausedUntil)
+	c.Full = c.ColdBlocked || c.blockedByAdmission() || c.Busy >= usual.concurrencyLimit(c.Slots) || now.Before(e.pausedUntil)
 	c.Good = !c.Full && c.Admission.Admits() && e.unansweredProbes == 0 && e.load.Pace(now) <= maxGoodPace
 	return c
 }
 
-// blocked reports whether the admission decision forbids sending the request there now.
-func (c *Candidate) blocked() bool { return c.Admission.Access == admission.Shut }
+// blockedByAdmission reports whether the admission decision forbids sending the request to the
+// endpoint now.
+func (c *Candidate) blockedByAdmission() bool { return c.Admission.Access == admission.Shut }
 
-// compare orders candidates: first those that are not blocked, then those that are not full, then
-// by cost.
+// compare orders candidates: those blocked by admission rank last, those that are full before them,
+// and the others first. Within each group the lowest cost ranks first.
 func (c *Candidate) compare(o *Candidate) int {
 	switch {
-	case c.blocked() != o.blocked() && c.blocked():
+	case c.blockedByAdmission() != o.blockedByAdmission() && c.blockedByAdmission():
 		return 1
-	case c.blocked() != o.blocked():
+	case c.blockedByAdmission() != o.blockedByAdmission():
 		return -1
 	case c.Full != o.Full && c.Full:
 		return 1
@@ -192,8 +193,8 @@
 	return nil, false
 }
 
-// Shut reports whether there are candidates and all of them are blocked. If so, earliest is the
-// admission decision of the candidate that opens earliest.
+// Shut reports whether there are candidates and all of them are blocked by admission. If so,
+// earliest is the admission decision of the candidate that opens earliest.
 func (r *Ranking) Shut() (earliest admission.Decision, all bool) {
 	for i := range r.list {
 		d := r.list[i].Admission
--- a/coord/selection/crowding.go
+++ b/coord/selection/crowding.go
@@ -1,11 +1,11 @@
 package selection
 
 const (
-	// occupancyLevels is the number of occupancy levels that are distinguished.
+	// occupancyLevels is the number of levels by which the share of occupied slots is measured.
 	occupancyLevels = 16
 	// uncontendedLevel is the highest level at which requests are assumed not to slow each other.
 	uncontendedLevel = occupancyLevels / 2
-	// minFullFactor is the lowest factor assumed for an endpoint's last slot before it was observed.
+	// minFullFactor is the lowest factor assumed for the highest level while it has no samples.
 	// priorSamples is the weight, in samples, of the initial value of a factor.
 	minFullFactor = 1.2
 	priorSamples  = 3
@@ -26,16 +26,17 @@
 	return min(occupancyLevels, (max(1, busy)*occupancyLevels+slots-1)/slots)
 }
 
-// SlowdownFactor returns the service time of a request relative to an idle endpoint, if the request is
-// the last of busy requests to start there. A level without samples has the factor of the level
-// below; the highest level has at least minFullFactor then.
-func (c *Crowding) SlowdownFactor(busy, slots int) float64 {
+// CrowdingFactor returns the service time of a request that starts at an endpoint, relative to the
+// service time at an idle endpoint. busy is the number of requests there, including this one. A
+// level without samples has the factor of the level below. The highest level without samples has
+// at least minFullFactor.
+func (c *Crowding) CrowdingFactor(busy, slots int) float64 {
 	return c.levelFactor(occupancyLevel(busy, slots))
 }
 
 // levelFactor returns the factor of an occupancy level.
-func (c *Crowding) levelFactor(at int) float64 {
-	for l := at; l > uncontendedLevel; l-- {
+func (c *Crowding) levelFactor(level int) float64 {
+	for l := level; l > uncontendedLevel; l-- {
 		switch {
 		case c.samples[l] > 0:
 			return max(1, c.factors[l])
@@ -46,21 +47,22 @@
 	return 1
 }
 
-// ConcurrencyLimit returns the concurrency limit of an endpoint with the given number of slots: the number
-// of requests with the highest throughput. Beyond it, the slowdown by a further request costs more
-// throughput than the request adds.
+// ConcurrencyLimit returns the concurrency limit of an endpoint with the given number of slots: the
+// number of requests with the highest throughput. Beyond it, the slowdown by a further request costs
+// more throughput than the request adds.
 func (c *Crowding) ConcurrencyLimit(slots int) int {
 	best, bestThroughput := 1, 0.0
 	for n := max(1, slots/2); n <= slots; n++ {
-		if throughput := float64(n) / c.SlowdownFactor(n, slots); throughput > bestThroughput {
+		if throughput := float64(n) / c.CrowdingFactor(n, slots); throughput > bestThroughput {
 			best, bestThroughput = n, throughput
 		}
 	}
 	return best
 }
 
-// withSample returns the crowding after a completion. ratio is its service time relative to the usual
-// one, and busy the number of requests at the endpoint when it started, including itself.
+// withSample returns the crowding after a completion. ratio is the request's service time relative
+// to the usual service time, and busy the number of requests at the endpoint when the request
+// started, including itself.
 func (c Crowding) withSample(busy, slots int, ratio float64) Crowding {
 	l := occupancyLevel(busy, slots)
 	if l <= uncontendedLevel {
--- a/coord/selection/decide.go
+++ b/coord/selection/decide.go
@@ -9,14 +9,16 @@
 	"github.com/lotuswing/lotuswing/coord/reason"
 )
 
-// untargetedSearchTime is how long the search for an endpoint lasts for requests without a latency target.
-const untargetedSearchTime = 200 * time.Millisecond
+// searchTimeWithoutTarget is how long the search for an endpoint lasts for a request without a
+// latency target.
+const searchTimeWithoutTarget = 200 * time.Millisecond
 
 // GiveUpAt returns when the search for a good endpoint ends. The request then takes the best
-// acceptable endpoint, or is refused. began is when the search started.
+// acceptable endpoint, or is refused. began is when the search started; it is used only if the
+// request has no latency target.
 func (o Options) GiveUpAt(r placement.Request, began time.Time) time.Time {
 	if r.Target <= 0 {
-		return began.Add(untargetedSearchTime)
+		return began.Add(searchTimeWithoutTarget)
 	}
 	return r.Accepted.Add(time.Duration(o.RefuseShare * float64(r.Target)))
 }
@@ -27,7 +29,7 @@
 	Blind      bool      // no endpoint could be probed, so waiting yields no new information
 	CallerLeft bool      // the caller no longer waits for the response
 	Evacuated  bool      // operators are evacuating the zones of all endpoints
-	// OutOfRegion: no region in which the request may be served has endpoints.
+	// OutOfRegion: all endpoints are in regions in which the request may not be served.
 	OutOfRegion bool
 }
 
@@ -46,7 +48,7 @@
 	Do     Action
 	Reason reason.Code   // of Refuse
 	Pause  time.Duration // of Wait: until the next evaluation
-	After  time.Duration // of Refuse: time until an endpoint may accept requests; 0 if unknown
+	After  time.Duration // of Refuse: time from now until an endpoint may accept requests; 0 if unknown
 }
 
 // Decide returns what to do with a request, given its candidates. It takes a good candidate at
@@ -78,8 +80,8 @@
 	return Decision{Do: Wait, Pause: min(o.LookAgain, s.GiveUp.Sub(now))}
 }
 
-// blockedReason returns the reason code for refusing a request because all candidates are blocked. c is
-// the cause at the candidate that opens earliest.
+// blockedReason returns the reason code for refusing a request because all candidates are blocked by
+// admission. c is the cause at the candidate that opens earliest.
 func blockedReason(c admission.Cause) reason.Code {
 	if c == admission.Limited {
 		return reason.EndpointsLimited
@@ -98,8 +100,8 @@
 	return r.Target <= 0 || !now.Add(c.Estimate).After(r.Accepted.Add(r.Target))
 }
 
-// Search returns the counts of candidates by state, for the log. probes is the number of probes
-// that the request has sent.
+// Search returns the counts of candidates by state and the lowest estimate, for the log. probes is
+// the number of probes that the request has sent.
 func (r *Ranking) Search(probes int) placement.Search {
 	s := placement.Search{Known: len(r.list), Probes: probes}
 	for i := range r.list {
--- a/coord/selection/endpoint.go
+++ b/coord/selection/endpoint.go
@@ -19,7 +19,7 @@
 	unansweredProbes int       // consecutive probes without a response
 	warmUntil        time.Time // end of its warm-up, as it reported; zero if it has reported none
 	warmupReportedAt time.Time // when it reported warmUntil
-	joined           bool      // it joined a service whose other endpoints were known already
+	joined           bool      // it was listed when other endpoints of its service were known already
 }
 
 // NewEndpoint returns the state of an endpoint of which nothing is known.
@@ -38,8 +38,8 @@
 // InUse reports whether a connection to the endpoint is probably open.
 func (e *Endpoint) InUse(now time.Time) bool { return now.Sub(e.lastResponse) <= assumedConnectionLife }
 
-// untried reports whether the endpoint joined and nothing has been sent to it yet, so that it
-// should get a request or a probe once it is warm. Only balancers of its zone do that.
+// untried reports whether the endpoint joined and this balancer has sent it nothing yet, so that it
+// should get a request or a probe once it is warm. Only balancers in the endpoint's zone treat it so.
 func (e *Endpoint) untried(l Listing) bool {
 	return e.joined && e.lastResponse.IsZero() && e.unansweredProbes == 0 && e.load.inFlight == 0 && l.SameZone
 }
@@ -93,8 +93,8 @@
 }
 
 // WithOutcome returns the endpoint after the outcome of a request. ratio is the time of a
-// completed request relative to the usual one. A refusal (Shed) is no failure: it means that
-// the endpoint is full.
+// completed request relative to the usual service time. A refusal (Shed) is no failure: it means
+// that the endpoint is full.
 func (e Endpoint) WithOutcome(o placement.Outcome, ratio float64, now time.Time) Endpoint {
 	switch o {
 	case placement.Completed:
--- a/coord/selection/estimate.go
+++ b/coord/selection/estimate.go
@@ -10,12 +10,12 @@
 	Slots    int       // as listed; used until the endpoint reports its own
 	Warm     bool      // the endpoint is not warming up
 	Untried  bool      // the endpoint is assumed to have a pace of 1
-	Slowness float64   // time of the endpoint's completions relative to the usual one
+	Slowness float64   // factor for slow completions of the endpoint; 1 if they are not slow
 	Crowding *Crowding // of the service
 }
 
-// Estimate returns the expected time of a request that is sent now. work is its usual
-// service time. The pace and the occupancy when the request starts determine its whole service
+// Estimate returns the expected time until the response to a request that is sent now. work is its
+// usual service time. The pace and the occupancy when the request starts determine its whole service
 // time: see "What decides the time of work" in docs/MEASUREMENTS.md.
 func (l Load) Estimate(c Conditions, work time.Duration, now time.Time) time.Duration {
 	slots := l.Slots(c.Slots)
@@ -27,7 +27,7 @@
 		pace *= warmupPace
 	}
 	busy := l.Busy(now)
-	pace *= c.Crowding.SlowdownFactor(busy+1, slots)
+	pace *= c.Crowding.CrowdingFactor(busy+1, slots)
 	total := float64(work) * pace
 	if waiting := busy - slots + 1; waiting > 0 {
 		total += float64(work) * pace * float64(waiting) / float64(slots)
--- a/coord/selection/learn.go
+++ b/coord/selection/learn.go
@@ -7,14 +7,14 @@
 	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
-// targetWorkShare is the assumed service time of a request kind without completions, as a share of its
-// latency objective: operators set objectives to a multiple of the service time.
-const targetWorkShare = 1.0 / 3
+// serviceTimeShareOfTarget is the assumed service time of a request kind without completions, as a
+// share of its latency target: operators set targets to a multiple of the service time.
+const serviceTimeShareOfTarget = 1.0 / 3
 
 const (
-	defaultWork     = 100 * time.Millisecond // assumed for a kind without a target and without completions
-	minSampleWeight = 0.05                   // lowest weight of a new sample in an average
-	minSamples      = 20                     // number of samples from which an average is relied on
+	defaultServiceTime = 100 * time.Millisecond // assumed for a kind without a target and without completions
+	minSampleWeight    = 0.05                   // lowest weight of a new sample in an average
+	minSamples         = 20                     // number of samples from which an average is relied on
 )
 
 // Workload is the usual service time of a request kind: the moving average over its
@@ -28,15 +28,15 @@
 }
 
 // Usual returns the usual service time of the kind. Without completions it is derived from
-// target, the latency objective of the request; 0 means that there is none.
+// target, the latency target of the request; 0 means that there is none.
 func (w Workload) Usual(target time.Duration) time.Duration {
 	switch {
 	case w.samples > 0:
 		return time.Duration(w.mean)
 	case target > 0:
-		return time.Duration(targetWorkShare * float64(target) * math.Pow(0.5, float64(w.refusals)))
+		return time.Duration(serviceTimeShareOfTarget * float64(target) * math.Pow(0.5, float64(w.refusals)))
 	}
-	return defaultWork
+	return defaultServiceTime
 }
 
 // WithRefusal returns the workload after a request was refused. Until the first completion
@@ -79,5 +79,5 @@
 	if w.samples >= minSamples {
 		c = c.withSample(choice.Busy, slots, sample/w.mean)
 	}
-	return w.withSample(sample / c.SlowdownFactor(choice.Busy, slots)), c
+	return w.withSample(sample / c.CrowdingFactor(choice.Busy, slots)), c
 }
--- a/coord/selection/load.go
+++ b/coord/selection/load.go
@@ -12,8 +12,9 @@
 	paceDecayTime = 150 * time.Millisecond
 	// defaultPace is the expected pace of an endpoint without a recent report.
 	defaultPace = 1.8
-	// maxBusyAge is the age beyond which a report no longer counts for the requests of other
-	// balancers: an endpoint that was full then is rated like one that has never reported.
+	// maxBusyAge is the age beyond which Busy ignores a report, and so the requests of other
+	// balancers: an endpoint that was full when it reported counts again like one that has never
+	// reported.
 	maxBusyAge = 400 * time.Millisecond
 )
 
@@ -27,8 +28,8 @@
 	endedSinceReport int       // this balancer's requests that ended since the report
 }
 
-// WithReport returns the load after a report that was received at a time. A report that
-// is not Known, or is older than the last one, is ignored.
+// WithReport returns the load after a report. A report that is not Known, or was received before
+// the last one, is ignored.
 func (l Load) WithReport(r placement.LoadReport, timestamp time.Time) Load {
 	if !r.Known || timestamp.Before(l.timestamp) {
 		return l
--- a/coord/selection/probe.go
+++ b/coord/selection/probe.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// maxProbeRounds is the maximum number of probes in one search round.
-	maxProbeRounds = 12
-	// minProbeRounds is the lower bound of that maximum, which shrinks as the probes of a request
-	// approach probesForMinRounds.
-	minProbeRounds     = 2
-	probesForMinRounds = 24
+	// maxProbesPerRound is the maximum number of probes in one search round.
+	maxProbesPerRound = 12
+	// A search round sends no more probes than are left of softProbeLimit for the request, but may
+	// always send minProbesPerRound.
+	minProbesPerRound = 2
+	softProbeLimit    = 24
 )
 
 // ProbeRounds returns the maximum number of probes in one search round. before is the number of
 // probes that the request has sent in earlier rounds.
 func ProbeRounds(before int) int {
-	return max(minProbeRounds, min(maxProbeRounds, probesForMinRounds-before))
+	return max(minProbesPerRound, min(maxProbesPerRound, softProbeLimit-before))
 }
 
 // NeedsProbe reports whether an endpoint should be probed before a decision. That is the case if
--- a/coord/selection/prospect.go
+++ b/coord/selection/prospect.go
@@ -6,7 +6,7 @@
 	// prospectSize is the number of latest probes that are kept. It is small enough for a load
 	// burst to show within a second at one request every 100 ms.
 	prospectSize = 16
-	// minProspects is the lowest number of probes from which a gain is computed.
+	// minProspects is the number of probes below which the expected gain is 0.
 	minProspects = 3
 	// furtherProbeCost is the assumed cost of a further probe to a request: the time that the
 	// request may wait for the response.
@@ -34,8 +34,8 @@
 
 // ExpectedGain returns how much sooner a request is expected to end after one more probe: the mean
 // over the latest probes of the time that each would have saved against best, the estimate at
-// the best candidate, or 0 where it would have saved none. A further probe pays while the gain
-// exceeds its cost (optimal stopping with recall).
+// the best candidate, or 0 where it would have saved none. A further probe pays as long as the gain
+// exceeds the cost of the probe (optimal stopping with recall).
 func (p Prospect) ExpectedGain(best, work time.Duration) time.Duration {
 	n := min(p.total, prospectSize)
 	if n < minProspects {
--- a/coord/selection/prospect_test.go
+++ b/coord/selection/prospect_test.go
@@ -24,10 +24,10 @@
 		crowded[i] = 3
 	}
 	for _, c := range []struct {
-		name string
-		of   selection.Prospect
-		best time.Duration
-		want time.Duration
+		name     string
+		prospect selection.Prospect
+		best     time.Duration
+		want     time.Duration
 	}{
 		{"no probes", selection.Prospect{}, 10 * work, 0},
 		{"too few probes", prospectOf(1, 1), 2 * work, 0},
@@ -38,26 +38,27 @@
 		{"old probes are forgotten", prospectOf(append([]float64{1, 1, 1, 1}, crowded...)...), 2 * work, 0},
 		{"service time unknown", selection.Prospect{}.With(work, 0), work, 0},
 	} {
-		assert.Equal(t, c.of.ExpectedGain(c.best, work), c.want, c.name)
+		assert.Equal(t, c.prospect.ExpectedGain(c.best, work), c.want, c.name)
 	}
 	before := prospectOf(1, 1, 1)
 	_ = before.With(5*work, work)
 	assert.Equal(t, before.ExpectedGain(2*work, work), work, "With does not change its receiver")
 }
 
-// TestWorthFurtherProbe checks that a good endpoint with a fresh report is taken without a further probe,
-// unless most others are likely to be better.
+// TestWorthFurtherProbe checks that a good endpoint with a fresh report is taken without a further
+// probe, unless most others are likely to be better. Here the endpoint has only its last slot free,
+// where requests take 1.45 times as long.
 func TestWorthFurtherProbe(t *testing.T) {
-	lastSlot := usual
-	lastSlot.Crowding = *learnedCrowding(3, 1, 1, 1.45)
-	lastSlot.Prospect = prospectOf(1, 1, 1, 1.45)
-	e := probed(2, 1)
+	slowLastSlot := usual
+	slowLastSlot.Crowding = *learnedCrowding(3, 1, 1, 1.45)
+	slowLastSlot.Prospect = prospectOf(1, 1, 1, 1.45)
+	e := probedEndpoint(2, 1)
 	var list selection.Ranking
-	list.Add(selection.NewCandidate(&e, 0, sameZone, &lastSlot, 0, start))
+	list.Add(selection.NewCandidate(&e, 0, sameZone, &slowLastSlot, 0, start))
 	assert.Assert(t, list.Best().Good)
-	assert.Assert(t, options.NeedsProbe(&list, &lastSlot))
-	lastSlot.Prospect = prospectOf(1.45, 1.45, 1.45, 1.7)
-	assert.Assert(t, !options.NeedsProbe(&list, &lastSlot))
-	idle := probed(0, 1)
-	assert.Assert(t, !options.NeedsProbe(ranked(idle), &lastSlot))
+	assert.Assert(t, options.NeedsProbe(&list, &slowLastSlot))
+	slowLastSlot.Prospect = prospectOf(1.45, 1.45, 1.45, 1.7)
+	assert.Assert(t, !options.NeedsProbe(&list, &slowLastSlot))
+	idle := probedEndpoint(0, 1)
+	assert.Assert(t, !options.NeedsProbe(rankingOf(idle), &slowLastSlot))
 }
--- a/coord/selection/selection.go
+++ b/coord/selection/selection.go
@@ -1,6 +1,6 @@
-// Package selection chooses an endpoint for a request in a balancer that decides on its
-// own. The choice is based on load reports, on the results of the balancer's own requests, and
-// on the directory's entries for the endpoints.
+// Package selection chooses an endpoint for a request in a balancer that does so itself, rather
+// than ask the balancer that grants the service's slots. The choice is based on load reports, on
+// the results of the balancer's own requests, and on the directory's entries for the endpoints.
 //
 // A load report says how many requests an endpoint holds and how slow it is. Its pace is the
 // slowdown factor: 1 at the usual speed, 5 if work takes five times as long. Both change
--- a/coord/selection/selection_test.go
+++ b/coord/selection/selection_test.go
@@ -30,8 +30,8 @@
 	return &c
 }
 
-// reported returns the load after a report received at start.
-func reported(running, waiting int, pace float64) selection.Load {
+// reportedLoad returns the load after a report received at start.
+func reportedLoad(running, waiting int, pace float64) selection.Load {
 	return selection.Load{}.WithReport(placement.LoadReport{Known: true, InFlight: running, Waiting: waiting, Slots: 3, Pace: pace}, start)
 }
 
@@ -42,24 +42,24 @@
 	cold.Warm = false
 	slow.Slowness = 3
 	cases := []struct {
-		name     string
-		state    selection.Load
-		endpoint selection.Conditions
-		after    time.Duration
-		want     time.Duration
+		name       string
+		load       selection.Load
+		conditions selection.Conditions
+		after      time.Duration
+		want       time.Duration
 	}{
-		{"idle at a pace of 1", reported(0, 0, 1), warm, 0, work},
-		{"idle at a pace of 5", reported(0, 0, 5), warm, 0, 5 * work},
-		{"an old report counts as the default pace", reported(0, 0, 5), warm, time.Minute, 180 * time.Millisecond},
+		{"idle at a pace of 1", reportedLoad(0, 0, 1), warm, 0, work},
+		{"idle at a pace of 5", reportedLoad(0, 0, 5), warm, 0, 5 * work},
+		{"an old report counts as the default pace", reportedLoad(0, 0, 5), warm, time.Minute, 180 * time.Millisecond},
 		{"no report counts as the default pace", selection.Load{}, warm, 0, 180 * time.Millisecond},
-		{"last slot, without slowdown", reported(2, 0, 1), warm, 0, work},
-		{"last slot, with slowdown", reported(2, 0, 1), lastSlot, 0, 170 * time.Millisecond},
-		{"no free slot", reported(3, 0, 1), warm, 0, 133333333 * time.Nanosecond},
-		{"warming up", reported(0, 0, 1), cold, 0, 2 * work},
-		{"slow by its completions", reported(0, 0, 1), slow, 0, 3 * work},
+		{"last slot, without slowdown", reportedLoad(2, 0, 1), warm, 0, work},
+		{"last slot, with slowdown", reportedLoad(2, 0, 1), lastSlot, 0, 170 * time.Millisecond},
+		{"no free slot", reportedLoad(3, 0, 1), warm, 0, 133333333 * time.Nanosecond},
+		{"warming up", reportedLoad(0, 0, 1), cold, 0, 2 * work},
+		{"slow by its completions", reportedLoad(0, 0, 1), slow, 0, 3 * work},
 	}
 	for _, c := range cases {
-		got := c.state.Estimate(c.endpoint, work, start.Add(c.after))
+		got := c.load.Estimate(c.conditions, work, start.Add(c.after))
 		assert.Assert(t, (got-c.want).Abs() < time.Millisecond, "%s: %v, want %v", c.name, got, c.want)
 	}
 }
@@ -89,12 +89,12 @@
 // samples it is that of the occupancy below, and somewhat higher for the last slot.
 func TestCrowdingIsLearned(t *testing.T) {
 	var nothing selection.Crowding
-	assert.Equal(t, nothing.SlowdownFactor(4, 6), 1.0)
-	assert.Equal(t, nothing.SlowdownFactor(5, 6), 1.0)
-	assert.Equal(t, nothing.SlowdownFactor(6, 6), 1.2)
+	assert.Equal(t, nothing.CrowdingFactor(4, 6), 1.0)
+	assert.Equal(t, nothing.CrowdingFactor(5, 6), 1.0)
+	assert.Equal(t, nothing.CrowdingFactor(6, 6), 1.2)
 	c := learnedCrowding(6, 1, 1, 1, 1, 1.65)
 	for busy, want := range []float64{1, 1, 1, 1, 1, 1.65, 1.65} {
-		got := c.SlowdownFactor(busy, 6)
+		got := c.CrowdingFactor(busy, 6)
 		assert.Assert(t, got > want-0.02 && got < want+0.02, "%d of 6: %v", busy, got)
 	}
 }
@@ -103,7 +103,7 @@
 // it, until the next report, which includes them.
 func TestOwnRequestsAreAddedToReport(t *testing.T) {
 	now := start.Add(time.Millisecond)
-	s := reported(1, 0, 1).WithSent().WithSent()
+	s := reportedLoad(1, 0, 1).WithSent().WithSent()
 	assert.Equal(t, s.Busy(now), 3)
 	s = s.WithReport(placement.LoadReport{Known: true, InFlight: 2, Slots: 3, Pace: 1}, start.Add(time.Millisecond))
 	assert.Equal(t, s.Busy(now), 2)
@@ -135,9 +135,9 @@
 }
 
 // TestOldReportIsIgnoredInBusy checks that an endpoint with an old report counts as free, except
-// for this balancer's own requests, even if it was full then.
+// for this balancer's own requests, even if the report said that it was full.
 func TestOldReportIsIgnoredInBusy(t *testing.T) {
-	s := reported(3, 2, 1).WithSent()
+	s := reportedLoad(3, 2, 1).WithSent()
 	soon, later := start.Add(400*time.Millisecond), start.Add(401*time.Millisecond)
 	assert.Equal(t, s.Busy(soon), 6)
 	assert.Equal(t, s.Busy(later), 1)
--- a/coord/selection/warmup.go
+++ b/coord/selection/warmup.go
@@ -15,12 +15,11 @@
 //     none. All balancers see the same reports, so a new request follows the end of the
 //     previous one, whichever balancer sent that.
 //   - If the service time is short, that alone would allow too many requests. Of the requests
-//     that find the endpoint idle, only a random share is sent there, which keeps it busy for
-//     no larger part of the time than it can take.
+//     that find the endpoint idle, only a random share is sent there, so that it is busy for no
+//     larger part of the time than with WarmupRate requests per second.
 //   - After it refuses or fails a request, an endpoint reports no request in flight although it
 //     was just sent one. The balancer therefore sends nothing to any endpoint in warm-up of the
-//     service for a pause: the interval of the requests that one endpoint can take, doubled with
-//     each refusal or failure in a row.
+//     service for a pause of 1/WarmupRate, doubled with each further refusal or failure in a row.
 
 const (
 	// defaultWarmupPause is the first pause if the request rate that an endpoint in warm-up can take is
@@ -31,8 +30,8 @@
 	maxWarmupDoublings = 3
 )
 
-// Warming is the backoff from the endpoints of a service that are warming up, after refusals
-// and failures. It is an immutable value; the zero value is no backoff.
+// Warming is a balancer's backoff from the endpoints of a service that are warming up, after
+// refusals and failures there. It is an immutable value; the zero value is no backoff.
 type Warming struct {
 	pausedUntil time.Time // end of the pause
 	failures    int       // consecutive refusals and failures
@@ -76,9 +75,9 @@
 	return now.Before(l.WarmAt) && !e.warmupReportedAt.After(l.WarmTold)
 }
 
-// blockedInWarmup reports whether a request must not be sent to the endpoint, which is warming up,
-// now. requestTime is the expected time of the request there. The endpoint is also blocked while
-// its report is not fresh; a probe can change that.
+// blockedInWarmup reports whether the endpoint, which is warming up, must not get the request now.
+// requestTime is the expected time of the request there. An endpoint that can be probed is also
+// blocked while its report is not fresh; a probe can change that.
 func (e *Endpoint) blockedInWarmup(usual *Usual, index int, requestTime time.Duration, now time.Time) bool {
 	if usual.Warming.Paused(now) || e.load.Busy(now) > 0 || !usual.mayUseInWarmup(index, requestTime) {
 		return true
@@ -97,7 +96,7 @@
 	if u.WarmupRate <= 0 {
 		return true
 	}
-	const goldenRatioHash = 0x9e3779b9 // multiplicative hash; spreads adjacent indices
-	draw := (u.Lot ^ uint32(index+1)*goldenRatioHash) * goldenRatioHash
+	const hashMultiplier = 0x9e3779b9 // 2^32 divided by the golden ratio; spreads adjacent indices
+	draw := (u.Lot ^ uint32(index+1)*hashMultiplier) * hashMultiplier
 	return float64(draw)/math.MaxUint32 < drawFactor*u.WarmupRate*requestTime.Seconds()
 }
--- a/coord/selection/warmup_test.go
+++ b/coord/selection/warmup_test.go
@@ -34,12 +34,12 @@
 		after   time.Duration
 		cold    bool
 	}{
-		{"listed as cold", probed(0, 1), coldListing, 0, true},
-		{"listed as cold until now", probed(0, 1), coldListing, time.Hour, false},
-		{"listed as cold, later reported as warm", probed(0, 1).WithWarmup(0, start), coldListing, 0, false},
-		{"reported as cold", probed(0, 1).WithWarmup(3*time.Second, start), sameZone, 0, true},
-		{"reported as cold, and warmed up since", probed(0, 1).WithWarmup(3*time.Second, start), sameZone, 3 * time.Second, false},
-		{"reported as cold, later listed as warm", probed(0, 1).WithWarmup(3*time.Second, start), listedWarm, 2 * time.Second, true},
+		{"listed as cold", probedEndpoint(0, 1), coldListing, 0, true},
+		{"listed as cold until now", probedEndpoint(0, 1), coldListing, time.Hour, false},
+		{"listed as cold, later reported as warm", probedEndpoint(0, 1).WithWarmup(0, start), coldListing, 0, false},
+		{"reported as cold", probedEndpoint(0, 1).WithWarmup(3*time.Second, start), sameZone, 0, true},
+		{"reported as cold, and warmed up since", probedEndpoint(0, 1).WithWarmup(3*time.Second, start), sameZone, 3 * time.Second, false},
+		{"reported as cold, later listed as warm", probedEndpoint(0, 1).WithWarmup(3*time.Second, start), listedWarm, 2 * time.Second, true},
 	}
 	for _, c := range cases {
 		u := probeableUsual()
@@ -58,10 +58,10 @@
 		after time.Duration
 		takes bool
 	}{
-		{"idle", probed(0, 1), 0, true},
-		{"working", probed(1, 1), 0, false},
-		{"idle in an old report", probed(0, 1), 10 * time.Millisecond, false},
-		{"was just sent a request", probed(0, 1).WithSent(), 0, false},
+		{"idle", probedEndpoint(0, 1), 0, true},
+		{"working", probedEndpoint(1, 1), 0, false},
+		{"idle in an old report", probedEndpoint(0, 1), 10 * time.Millisecond, false},
+		{"was just sent a request", probedEndpoint(0, 1).WithSent(), 0, false},
 		{"without a report", selection.NewEndpoint(), 0, false},
 	} {
 		u := probeableUsual()
@@ -90,7 +90,7 @@
 
 	u := probeableUsual()
 	u.Warming = w
-	idle := probed(0, 1)
+	idle := probedEndpoint(0, 1)
 	assert.Assert(t, selection.NewCandidate(&idle, 0, coldListing, &u, 0, start).ColdBlocked)
 	assert.Assert(t, !selection.NewCandidate(&idle, 0, sameZone, &u, 0, start).Full, "warm endpoints are not affected")
 }
@@ -122,8 +122,8 @@
 	return n
 }
 
-// mostInASecond returns the highest number of arrivals within one second.
-func (e *coldEndpoint) mostInASecond() int {
+// maxArrivalsPerSecond returns the highest number of arrivals within one second.
+func (e *coldEndpoint) maxArrivalsPerSecond() int {
 	return window.Most(e.arrivals, time.Second)
 }
 
@@ -132,9 +132,9 @@
 	sendLatency  = 500 * time.Microsecond // from the choice to the arrival at the endpoint
 )
 
-// request has a random balancer probe random endpoints, as in one search round, and send a request to
-// the first one that is not full.
-func (f *coldFleet) request(at time.Time) {
+// sendRequest simulates one search round of a random balancer: it probes random endpoints, and sends
+// a request to the first one that is not full.
+func (f *coldFleet) sendRequest(at time.Time) {
 	balancer, lot := f.rng.IntN(len(f.warming)), f.rng.Uint32()
 	for range selection.ProbeRounds(0) {
 		index := f.rng.IntN(len(f.endpoints))
@@ -162,19 +162,19 @@
 func (f *coldFleet) simulate(perEndpoint float64) int {
 	gap := time.Duration(float64(time.Second) / perEndpoint / float64(len(f.endpoints)))
 	for at := start; at.Before(start.Add(3 * time.Second)); at = at.Add(time.Duration(f.rng.ExpFloat64() * float64(gap))) {
-		f.request(at)
+		f.sendRequest(at)
 	}
 	most := 0
 	for i := range f.endpoints {
-		most = max(most, f.endpoints[i].mostInASecond())
+		most = max(most, f.endpoints[i].maxArrivalsPerSecond())
 	}
 	return most
 }
 
-// TestColdEndpointsGetFewRequests checks that an endpoint in warm-up gets at most 2.5 x 1.5 + 8
-// requests within one second from fleets of different sizes, at a load of twenty requests per second
-// and endpoint. Endpoints that refuse requests report none in flight, so the number of balancers
-// matters there: the cases have up to one and a half balancers per endpoint.
+// TestColdEndpointsGetFewRequests checks that an endpoint in warm-up, which can take 2.5 requests per
+// second, gets at most 2.5 x 1.5 + 8 within one second from fleets of different sizes, at a load of
+// twenty requests per second and endpoint. Endpoints that refuse requests report none in flight, so
+// the number of balancers matters there: the cases have up to one and a half balancers per endpoint.
 func TestColdEndpointsGetFewRequests(t *testing.T) {
 	const bound = 2.5*1.5 + 8
 	for _, c := range []struct {
