--- a/coord/rollout/rollout.go
+++ b/coord/rollout/rollout.go
@@ -3,7 +3,7 @@
 //
 // A rollout goes through stages (Plan.Next). First a small share of the requests goes to the
 // new version, and only to a few of its endpoints, so that each of these has as much load as any
-// other endpoint and faults that need load show. All balancers count the results of requests at
+// other endpoint; some faults appear only under load. All balancers count the results of requests at
 // the new and at the old version over the same time, and a sequential test compares them
 // (SequentialTest), so that a fault of both versions does not count against the new one. A version
 // that is still good after two fifths of the planned duration gets a larger share, then all
@@ -16,7 +16,8 @@
 //
 // # Usage
 //
-//	s = s.With(evidence)
+//	test = test.With(newer, older)
+//	facts := rollout.Facts{Bad: test.Bad(), Proved: test.Proved(), ...}
 //	next := rollout.Plan{Duration: 12 * time.Second, Settle: 2 * time.Second}.Next(status, facts)
 package rollout
 
@@ -60,19 +61,22 @@
 var Stages = []float64{0.05, 0.25, 1}
 
 const (
-	firstStageEnd     = 0.4  // end of the first stage, as a share of the duration
-	secondStageLength = 0.1  // length of the second stage, as a share of the duration
-	plannedCompletion = 0.85 // planned completion, as a share of the duration: four changes of status take time to spread
+	firstStageEnd     = 0.4 // end of the first stage, as a share of the duration
+	secondStageLength = 0.1 // length of the second stage, as a share of the duration
+	// plannedCompletion is the planned completion, as a share of the duration. The rest is for the
+	// four statuses of a rollout to reach all balancers.
+	plannedCompletion = 0.85
 	// neededEndpointShare is the number of endpoints that the new version needs to get all
-	// requests, as a share of those of the old one; a stage needs its share of that. It is below 1
-	// because both versions together have about twice the endpoints that the load needs.
+	// requests, as a share of the old version's endpoints. For a share of the requests it needs the
+	// same share of that number. The value is below 1 because both versions together have about
+	// twice the endpoints that the load needs.
 	neededEndpointShare = 0.5
 )
 
 // Facts are the inputs of a decision.
 type Facts struct {
 	Since    time.Duration // time since the operator's order
-	InStage  time.Duration // time since the status was reached
+	InStage  time.Duration // time since the current stage was reached
 	Bad      bool          // the new version was found bad
 	Proved   bool          // enough requests have shown that the new version is good
 	New, Old int           // numbers of usable endpoints of each version
@@ -107,13 +111,13 @@
 // stageOver reports whether a stage has reached its planned length.
 func (p Plan) stageOver(stage int, f Facts) bool {
 	if stage == 0 {
-		return f.Since >= p.ofDuration(firstStageEnd)
+		return f.Since >= p.shareOfDuration(firstStageEnd)
 	}
-	return f.InStage >= p.ofDuration(secondStageLength)
+	return f.InStage >= p.shareOfDuration(secondStageLength)
 }
 
-// mayIncreaseShare reports whether the new version may get a larger share: it must have enough endpoints,
-// and must be proved unless there is no time left to wait for more requests.
+// mayIncreaseShare reports whether the new version may get a larger share: it must have enough
+// endpoints, and must be proved unless there is no time left to wait for more requests.
 func (p Plan) mayIncreaseShare(stage int, f Facts) bool {
 	if !f.Proved && f.Since < p.maxWaitForProof() {
 		return false
@@ -125,11 +129,11 @@
 // maxWaitForProof returns the time since the order after which the rollout goes on even if too few
 // requests have been counted to prove the new version.
 func (p Plan) maxWaitForProof() time.Duration {
-	return p.ofDuration(plannedCompletion) - p.ofDuration(secondStageLength) - p.Settle
+	return p.shareOfDuration(plannedCompletion) - p.shareOfDuration(secondStageLength) - p.Settle
 }
 
-// ofDuration returns a share of the planned duration.
-func (p Plan) ofDuration(share float64) time.Duration {
+// shareOfDuration returns a share of the planned duration.
+func (p Plan) shareOfDuration(share float64) time.Duration {
 	return time.Duration(share * float64(p.Duration))
 }
 
@@ -157,10 +161,9 @@
 	// provedThreshold is the log-likelihood ratio of a good version against a bad one at which a
 	// version is proved: about 70 requests without a failure.
 	provedThreshold = 4.6
-	// normalShare is the share of failed, or of slow, requests that is always normal. A good
-	// version may have that share plus usualFactor times the share at the old version: half more
-	// than usual. A bad version has twice the highest share of a good one, and at least
-	// minExcess above it.
+	// normalShare is the share of failed requests, or of slow ones, that is normal for any version.
+	// A good version may have that share plus usualFactor times the share at the old version. A bad
+	// version has twice the highest share of a good one, and at least minExcess above it.
 	normalShare = 0.02
 	minExcess   = 0.06
 	usualFactor = 1.5
@@ -196,9 +199,9 @@
 // may. Slow requests do not count here.
 func (s SequentialTest) Proved() bool { return s.unboundedFailed <= -provedThreshold }
 
-// logLikelihoodRatio returns the log-likelihood ratio of a bad version against a good one, given
-// that failed of asked requests failed at it. What counts as good depends on the failures at the
-// old version.
+// logLikelihoodRatio returns the log-likelihood ratio of a bad version against a good one. asked and
+// failed are the counts of all and of failed requests at the new version. What counts as good
+// depends on oldAsked and oldFailed, the same counts at the old version.
 func logLikelihoodRatio(asked, failed, oldAsked, oldFailed int64) float64 {
 	usual := (float64(oldFailed) + 1) / (float64(oldAsked) + 1/normalShare)
 	good := min(normalShare+usualFactor*usual, 0.5)
--- a/coord/rollout/rollout_test.go
+++ b/coord/rollout/rollout_test.go
@@ -9,11 +9,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// simulate sends total requests to the new version, a few at a time, and ten times as many to the
-// old one, until the test finds the version bad. failing returns the share of failures at the new
-// version after sent requests. badAfter is the number of requests after which the new version was
-// found bad, or 0.
-func simulate(rng *rand.Rand, total int, oldFails float64, failing func(sent int) float64) (badAfter int, proved bool) {
+// simulateRequests sends total requests to the new version, a few at a time, and ten times as many to
+// the old one, until a SequentialTest finds the version bad. failing returns the share of failures at
+// the new version after sent requests. badAfter is the number of requests after which the new
+// version was found bad, or 0.
+func simulateRequests(rng *rand.Rand, total int, oldFails float64, failing func(sent int) float64) (badAfter int, proved bool) {
 	var s SequentialTest
 	const step = 5
 	for sent := 0; sent < total; sent += step {
@@ -37,7 +37,7 @@
 }
 
 // TestErrorRates checks that hardly any good version is rolled back, and that almost all bad
-// versions are, after few requests. In most cases the normal share of failures is 0.001.
+// versions are, after few requests. In most cases 0.001 of the requests at the old version fail.
 func TestErrorRates(t *testing.T) {
 	always := func(share float64) func(int) float64 { return func(int) float64 { return share } }
 	later := func(share float64) func(int) float64 {
@@ -49,12 +49,12 @@
 		}
 	}
 	cases := []struct {
-		name     string
-		old      float64
-		new      func(int) float64
-		mostBad  float64 // bounds of the share of versions that are rolled back
-		leastBad float64
-		within   int // bound of the median number of requests before the rollback
+		name          string
+		old           float64
+		new           func(int) float64
+		maxRolledBack float64 // bounds of the share of versions that are rolled back
+		minRolledBack float64
+		maxMedian     int // bound of the median number of requests before the rollback
 	}{
 		{"good", 0.001, always(0.001), 0.003, 0, 0},
 		{"good, both fail a fifth", 0.2, always(0.2), 0.003, 0, 0},
@@ -71,7 +71,7 @@
 		var after []int
 		proved := 0
 		for range tries {
-			n, ok := simulate(rng, 400, c.old, c.new)
+			n, ok := simulateRequests(rng, 400, c.old, c.new)
 			if n > 0 {
 				after = append(after, n)
 			}
@@ -80,13 +80,13 @@
 			}
 		}
 		share := float64(len(after)) / tries
-		half := 0
+		medianAfter := 0
 		if len(after) > tries/2 {
-			half = median(after)
+			medianAfter = median(after)
 		}
-		t.Logf("%-45s rolled back %.3f, median after %d requests; proved %.3f", c.name, share, half, float64(proved)/tries)
-		assert.Assert(t, share <= c.mostBad && share >= c.leastBad, c.name)
-		assert.Assert(t, half <= c.within, c.name)
+		t.Logf("%-45s rolled back %.3f, median after %d requests; proved %.3f", c.name, share, medianAfter, float64(proved)/tries)
+		assert.Assert(t, share <= c.maxRolledBack && share >= c.minRolledBack, c.name)
+		assert.Assert(t, medianAfter <= c.maxMedian, c.name)
 	}
 }
 
@@ -110,12 +110,12 @@
 func TestGoodVersionIsCompletedInTime(t *testing.T) {
 	for _, d := range []time.Duration{8 * time.Second, 12 * time.Second, 16 * time.Second, time.Minute} {
 		p := Plan{Duration: d, Settle: 2500 * time.Millisecond}
-		s, stage := Status{State: Running}, time.Duration(0)
+		s, statusAt := Status{State: Running}, time.Duration(0)
 		at := time.Duration(0)
 		for ; s.State == Running; at += 100 * time.Millisecond {
-			next := p.Next(s, Facts{Since: at, InStage: at - stage, Proved: at > 2*time.Second, New: 10, Old: 10})
+			next := p.Next(s, Facts{Since: at, InStage: at - statusAt, Proved: at > 2*time.Second, New: 10, Old: 10})
 			if next != s {
-				stage = at
+				statusAt = at
 			}
 			s = next
 		}
@@ -156,21 +156,21 @@
 // later, is rolled back before it has had more than a tenth of the requests of the planned
 // duration, plus 50. The simulation includes the time until all balancers apply a status.
 func TestBadVersionStaysBelowItsShare(t *testing.T) {
-	const propagationDelay = 1500 * time.Millisecond // until all balancers apply a new status
+	const propagationDelay = 1500 * time.Millisecond // time until all balancers apply a new status
 	for _, rate := range []int{60, 370, 2000} {
 		for _, badFrom := range []time.Duration{0, 3 * time.Second, 6 * time.Second} {
 			t.Run(fmt.Sprintf("%d a second, bad from %v", rate, badFrom), func(t *testing.T) {
 				rng := rand.New(rand.NewPCG(uint64(rate), uint64(badFrom)))
 				p := Plan{Duration: 16 * time.Second, Settle: 2500 * time.Millisecond}
 				var s SequentialTest
-				status, stage := Status{State: Running}, time.Duration(0)
+				status, statusAt := Status{State: Running}, time.Duration(0)
 				var shares []float64 // share by tick
 				const tick = 100 * time.Millisecond
 				sentToNew, pending := 0, 0.0
 				for at := time.Duration(0); at < p.Duration; at += tick {
 					shares = append(shares, status.Share())
-					inForce := shares[max(0, len(shares)-1-int(propagationDelay/tick))]
-					pending += inForce * float64(rate) * tick.Seconds()
+					appliedShare := shares[max(0, len(shares)-1-int(propagationDelay/tick))]
+					pending += appliedShare * float64(rate) * tick.Seconds()
 					n := int64(pending)
 					pending -= float64(n)
 					sentToNew += int(n)
@@ -179,9 +179,9 @@
 						fails = 0.3
 					}
 					s = s.With(drawSample(rng, n, fails), drawSample(rng, int64(float64(rate)*tick.Seconds()), 0.001))
-					next := p.Next(status, Facts{Since: at, InStage: at - stage, Bad: s.Bad(), Proved: s.Proved(), New: 10, Old: 10})
+					next := p.Next(status, Facts{Since: at, InStage: at - statusAt, Bad: s.Bad(), Proved: s.Proved(), New: 10, Old: 10})
 					if next != status {
-						stage = at
+						statusAt = at
 					}
 					status = next
 				}
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -64,8 +64,8 @@
 // versionSamples are the counts of one request kind at both versions.
 type versionSamples struct{ newer, older rollout.Sample }
 
-// samplesByKind returns the samples by request kind. sums are the sums of an order's keys, by the
-// part of the key after the prefix. Malformed keys are skipped.
+// samplesByKind returns the samples by request kind. sums are the summed counters of an order, by
+// the part of the key after keyPrefix. Malformed keys are skipped.
 func samplesByKind(sums map[string]int64) map[string]versionSamples {
 	all := map[string]versionSamples{}
 	for rest, n := range sums {
@@ -112,12 +112,12 @@
 // allKinds is the key of the test over all request kinds together; no kind has an empty name.
 const allKinds = ""
 
-// update updates the test of one kind. s are the total counts so far.
-func (t *rolloutState) update(name string, s versionSamples) {
-	k, ok := t.kinds[name]
+// update updates the test of one request kind. s are the kind's total counts so far.
+func (t *rolloutState) update(kind string, s versionSamples) {
+	k, ok := t.kinds[kind]
 	if !ok {
 		k = &kindEvidence{}
-		t.kinds[name] = k
+		t.kinds[kind] = k
 	}
 	newer, older := s.newer.Minus(k.newer), s.older.Minus(k.older)
 	k.test = k.test.With(newer, older)
--- a/rollout/notes.go
+++ b/rollout/notes.go
@@ -10,8 +10,8 @@
 )
 
 // Topic is the topic of the notes by which the leader of a rollout tells all other balancers that
-// the version is bad. The rollout's record in the store arrives later than a note, and cannot be
-// written while the store is unavailable.
+// the version is bad. The notes are sent in addition to the rollout's record in the store, because
+// the record arrives later and cannot be written while the store is unavailable.
 const Topic = "rollout/bad"
 
 // badNote is the data of a note on a bad version, encoded as JSON.
@@ -24,8 +24,8 @@
 // errIncompleteNote is returned for a note without a service or an order.
 var errIncompleteNote = errors.New("rollout: note has no service or no order")
 
-// takeOutOfService takes a bad version out of service at this balancer, and sends a note to all others. It
-// does so once for each order.
+// takeOutOfService takes a bad version out of service at this balancer, and sends a note to all
+// others. It does so once for each order.
 func (k *Keeper) takeOutOfService(r directory.Rollout) {
 	if !k.cfg.Directory.MarkBad(r.Order.Service, r.Order.Revision, k.cfg.Now()) || k.cfg.Tell == nil {
 		return
--- a/rollout/notes_test.go
+++ b/rollout/notes_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// failsAfter returns a condition that holds from a time on, for the failures of the new version.
-func failsAfter(begin time.Duration) func(time.Duration) bool {
+// failsFrom returns an argument of simulate with which the new version fails from the time begin on.
+func failsFrom(begin time.Duration) func(time.Duration) bool {
 	return func(at time.Duration) bool { return at >= begin }
 }
 
@@ -21,7 +21,7 @@
 // is available again.
 func TestBadVersionTakenOutWithoutStore(t *testing.T) {
 	leader, other := newTestFleet(), newTestFleet()
-	k, heard := leader.keeper("vm-1", "a"), other.keeper("vm-2", "b")
+	k, heard := leader.newKeeper("vm-1", "a"), other.newKeeper("vm-2", "b")
 	var told []relay.Note
 	k.cfg.Tell = func(topic string, data []byte) error {
 		told = append(told, relay.Note{Origin: "vm-1", Topic: topic, Data: data})
@@ -29,19 +29,19 @@
 	}
 	for _, w := range []*testFleet{leader, other} {
 		w.addEndpoints("v2", 10)
-		w.giveOrder("v2")
+		w.orderRollout("v2")
 	}
-	leader.simulate(5*time.Second, never, k) // to a stage before the last one
-	assert.Assert(t, leader.status().Share() > 0 && len(leader.written) > 0)
+	leader.simulate(5*time.Second, neverFails, k) // to a stage before the last one
+	assert.Assert(t, leader.currentRollout().Share() > 0 && len(leader.written) > 0)
 	leader.storeDown = true
-	leader.simulate(20*time.Second, failsAfter(0), k)
-	assert.Equal(t, leader.status().Share(), 0.0)
+	leader.simulate(20*time.Second, failsFrom(0), k)
+	assert.Equal(t, leader.currentRollout().Share(), 0.0)
 	assert.Equal(t, leader.written[len(leader.written)-1], rollout.Running)
 	assert.Equal(t, len(told), 1, "one note is sent")
 
 	assert.NilError(t, heard.Hear(told[0]))
-	assert.Equal(t, other.status().Status().State, rollout.RolledBack)
-	assert.Equal(t, other.status().Recorded().State, rollout.Running)
+	assert.Equal(t, other.currentRollout().Status().State, rollout.RolledBack)
+	assert.Equal(t, other.currentRollout().Recorded().State, rollout.Running)
 
 	leader.storeDown = false
 	leader.now = leader.now.Add(maxWritePause)
@@ -53,12 +53,12 @@
 // predecessor announced as bad, even if its own counts show nothing.
 func TestSuccessorWritesAnnouncedRollback(t *testing.T) {
 	w := newTestFleet()
-	k := w.keeper("vm-2", "a")
+	k := w.newKeeper("vm-2", "a")
 	w.addEndpoints("v2", 10)
-	w.giveOrder("v2")
+	w.orderRollout("v2")
 	k.evaluateAll(context.Background()) // begins the rollout
 	assert.NilError(t, k.Hear(relay.Note{Data: []byte(`{"Service":"s","Order":21,"Version":"v2"}`)}))
-	assert.Equal(t, w.status().Order.Revision, uint64(21))
+	assert.Equal(t, w.currentRollout().Order.Revision, uint64(21))
 	w.now = w.now.Add(time.Second)
 	k.evaluateAll(context.Background())
 	assert.Equal(t, w.written[len(w.written)-1], rollout.RolledBack)
@@ -68,38 +68,38 @@
 // for the same version starts anew, and that it applies even if it arrives before the order.
 func TestNoteAppliesOnlyToItsOrder(t *testing.T) {
 	w := newTestFleet()
-	k := w.keeper("vm-1", "a")
+	k := w.newKeeper("vm-1", "a")
 	w.addEndpoints("v2", 10)
 	note := relay.Note{Data: []byte(`{"Service":"s","Order":21,"Version":"v2"}`)}
 	assert.NilError(t, k.Hear(note)) // the order is not known here yet
-	w.giveOrder("v2")
-	assert.Equal(t, w.status().Order.Revision, uint64(21))
-	assert.Equal(t, w.status().Status().State, rollout.RolledBack)
-	w.giveOrder("v2")
-	assert.Equal(t, w.status().Status().State, rollout.Running)
+	w.orderRollout("v2")
+	assert.Equal(t, w.currentRollout().Order.Revision, uint64(21))
+	assert.Equal(t, w.currentRollout().Status().State, rollout.RolledBack)
+	w.orderRollout("v2")
+	assert.Equal(t, w.currentRollout().Status().State, rollout.Running)
 	assert.NilError(t, k.Hear(note))
-	assert.Equal(t, w.status().Status().State, rollout.Running)
+	assert.Equal(t, w.currentRollout().Status().State, rollout.Running)
 }
 
 // TestIncompleteNote checks that a note without a service or an order is an error without effect.
 func TestIncompleteNote(t *testing.T) {
 	w := newTestFleet()
-	k := w.keeper("vm-1", "a")
+	k := w.newKeeper("vm-1", "a")
 	for _, data := range []string{"", "{}", `{"Service":"s"}`, `{"Order":21}`, `[]`} {
 		assert.Assert(t, k.Hear(relay.Note{Data: []byte(data)}) != nil, data)
 	}
-	w.giveOrder("v2")
-	assert.Equal(t, w.status().Status().State, rollout.Running)
+	w.orderRollout("v2")
+	assert.Equal(t, w.currentRollout().Status().State, rollout.Running)
 }
 
 // TestBadVersionTakenOutWithoutNote checks that a balancer takes a bad version out of service even if it
 // cannot send the note.
 func TestBadVersionTakenOutWithoutNote(t *testing.T) {
 	w := newTestFleet()
-	k := w.keeper("vm-1", "a")
+	k := w.newKeeper("vm-1", "a")
 	k.cfg.Tell = func(string, []byte) error { return errors.New("too long") }
 	w.addEndpoints("v2", 10)
-	w.giveOrder("v2")
-	k.takeOutOfService(w.status())
-	assert.Equal(t, w.status().Status().State, rollout.RolledBack)
+	w.orderRollout("v2")
+	k.takeOutOfService(w.currentRollout())
+	assert.Equal(t, w.currentRollout().Status().State, rollout.RolledBack)
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -13,9 +13,9 @@
 // announced to all balancers by a note, on which they take it out of service at once (notes.go);
 // the leader at that time then writes the record.
 //
-// A Keeper owns the state of the tests so far, which a new leader computes anew, and the loop. It
-// relies on a Directory for orders and records, on Counts, on a Registry for the store, and
-// on Zones to find the leader. The rules are in coord/rollout.
+// A Keeper owns the state of the tests so far, which a new leader computes anew, and the loop that
+// evaluates rollouts (Run). It relies on a Directory for orders and records, on Counts, on a
+// Registry for the store, and on Zones to find the leader. The rules are in coord/rollout.
 //
 // # Usage
 //
@@ -67,7 +67,7 @@
 
 // Config is the configuration of a Keeper.
 type Config struct {
-	ID, Zone  string
+	ID, Zone  string // of this balancer
 	Directory Directory
 	Counts    Counts
 	Registry  Registry
@@ -99,8 +99,8 @@
 	status     rollout.Status
 	revision   uint64                   // of the record
 	statusSeen time.Time                // when the status was first seen here
-	lastWrite  time.Time                // when the last write of a status was tried
-	writePause time.Duration            // backoff after that
+	lastWrite  time.Time                // when a status was last written, with or without success
+	writePause time.Duration            // minimum time from lastWrite to the next write
 	kinds      map[string]*kindEvidence // by request kind
 }
 
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -23,15 +23,15 @@
 
 // testFleet simulates a store, a directory that follows it, and counters that all keepers share.
 type testFleet struct {
-	now           time.Time
-	directory     *directory.Directory
-	revision      uint64
-	record        uint64 // revision of the rollout's record
-	counts        map[string]int64
-	written       []rollout.State // states written to the store, in order
-	storeDown     bool            // the store does not respond
-	appliesWrites bool            // while storeDown: it applies writes without a response
-	zones         []string
+	now            time.Time
+	directory      *directory.Directory
+	revision       uint64
+	recordRevision uint64 // revision of the rollout's record
+	counts         map[string]int64
+	written        []rollout.State // states written to the store, in order
+	storeDown      bool            // the store does not respond
+	appliesWrites  bool            // while storeDown: it applies writes without a response
+	zones          []string
 }
 
 func (w *testFleet) Snapshot() *directory.Snapshot { return w.directory.Snapshot() }
@@ -58,11 +58,11 @@
 	if w.storeDown && !w.appliesWrites {
 		return errNoResponse
 	}
-	if revision != w.record {
+	if revision != w.recordRevision {
 		return relay.ErrTaken
 	}
 	w.revision++
-	w.record = w.revision
+	w.recordRevision = w.revision
 	w.written = append(w.written, state)
 	w.apply(directory.Changes{Registrations: []directory.Record{{Key: name, Value: value, Revision: w.revision}}})
 	if w.storeDown {
@@ -76,8 +76,8 @@
 	w.directory.Apply(c, w.now)
 }
 
-// giveOrder gives the order to roll out a version.
-func (w *testFleet) giveOrder(version string) {
+// orderRollout adds the order to roll out a version to the directory.
+func (w *testFleet) orderRollout(version string) {
 	w.revision++
 	w.apply(directory.Changes{Rollouts: []directory.RolloutOrder{{Service: "s", Version: version, Duration: 12 * time.Second, Revision: w.revision}}})
 }
@@ -109,27 +109,27 @@
 	return w
 }
 
-func (w *testFleet) keeper(id, name string) *Keeper {
+func (w *testFleet) newKeeper(id, zone string) *Keeper {
 	return New(Config{
-		ID: id, Zone: name, Directory: w, Counts: w, Registry: w, Zones: &testZone{testFleet: w, serving: true}, Settle: 2 * time.Second,
+		ID: id, Zone: zone, Directory: w, Counts: w, Registry: w, Zones: &testZone{testFleet: w, serving: true}, Settle: 2 * time.Second,
 		Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Now: func() time.Time { return w.now },
 	})
 }
 
-// status returns the rollout as the directory has it.
-func (w *testFleet) status() directory.Rollout { return w.directory.Snapshot().Rollouts[0] }
+// currentRollout returns the rollout in the directory.
+func (w *testFleet) currentRollout() directory.Rollout { return w.directory.Snapshot().Rollouts[0] }
 
-// simulate simulates a hundred requests per second, until the rollout has ended or the time most is
-// over. The new version fails half of its requests while fails returns true. It returns the simulated
-// time.
-func (w *testFleet) simulate(most time.Duration, fails func(at time.Duration) bool, keepers ...*Keeper) time.Duration {
+// simulate simulates a hundred requests per second, until the rollout has ended, but at most for
+// maxTime. While fails returns true, half of the requests at the new version fail. It returns the
+// simulated time.
+func (w *testFleet) simulate(maxTime time.Duration, fails func(at time.Duration) bool, keepers ...*Keeper) time.Duration {
 	from := w.now
-	for n := 0; w.now.Sub(from) < most; n++ {
-		if r := w.status(); r.Begun() && r.Status().State != rollout.Running {
+	for n := 0; w.now.Sub(from) < maxTime; n++ {
+		if r := w.currentRollout(); r.Begun() && r.Status().State != rollout.Running {
 			break
 		}
 		w.now = w.now.Add(100 * time.Millisecond)
-		share := w.status().Share()
+		share := w.currentRollout().Share()
 		for i := range 10 {
 			newer := float64((n*10+i)%100) < 100*share
 			failed := newer && i%2 == 0 && fails(w.now.Sub(from))
@@ -142,10 +142,11 @@
 	return w.now.Sub(from)
 }
 
-func never(time.Duration) bool  { return false }
-func always(time.Duration) bool { return true }
+func neverFails(time.Duration) bool  { return false }
+func alwaysFails(time.Duration) bool { return true }
 
-// countBySide returns the number of usable endpoints by version and side.
+// countBySide returns the number of usable endpoints by version and placement.Side, such as v1/1 for
+// v1 on OldSide.
 func (w *testFleet) countBySide() map[string]int {
 	n := map[string]int{}
 	for _, e := range w.directory.Snapshot().Endpoints["s"] {
@@ -156,19 +157,19 @@
 	return n
 }
 
-// TestGoodVersionIsCompleted checks the rollout of a good version: one endpoint serves first, the rollout
-// is completed in time, and the old version gets no requests any more after that.
+// TestGoodVersionIsCompleted checks the rollout of a good version: one endpoint serves first, the
+// rollout is completed in time, and the old version gets no requests any more after that.
 func TestGoodVersionIsCompleted(t *testing.T) {
 	w := newTestFleet()
-	k := w.keeper("one", "a")
-	w.giveOrder("v2")
+	k := w.newKeeper("one", "a")
+	w.orderRollout("v2")
 	w.addEndpoints("v2", 10)
 	assert.DeepEqual(t, w.countBySide(), map[string]int{"v1/1": 10})
 	k.evaluateAll(context.Background())
 	assert.DeepEqual(t, w.countBySide(), map[string]int{"v1/1": 10, "v2/2": 1})
-	took := w.simulate(12*time.Second, never, k)
+	took := w.simulate(12*time.Second, neverFails, k)
 	assert.Assert(t, took < 11*time.Second, "%v", took)
-	assert.Equal(t, w.status().Status().State, rollout.Completed)
+	assert.Equal(t, w.currentRollout().Status().State, rollout.Completed)
 	assert.DeepEqual(t, w.countBySide(), map[string]int{"v2/0": 10})
 	assert.Equal(t, w.written[0], rollout.Running)
 	assert.Equal(t, w.written[len(w.written)-1], rollout.Completed)
@@ -179,15 +180,15 @@
 // rolled back and gets no more requests.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	for name, fails := range map[string]func(time.Duration) bool{
-		"from the start": always,
+		"from the start": alwaysFails,
 		"later":          func(at time.Duration) bool { return at > 6*time.Second },
 	} {
 		w := newTestFleet()
-		k := w.keeper("one", "a")
-		w.giveOrder("v2")
+		k := w.newKeeper("one", "a")
+		w.orderRollout("v2")
 		w.addEndpoints("v2", 10)
 		w.simulate(12*time.Second, fails, k)
-		assert.Equal(t, w.status().Status().State, rollout.RolledBack, name)
+		assert.Equal(t, w.currentRollout().Status().State, rollout.RolledBack, name)
 		assert.DeepEqual(t, w.countBySide(), map[string]int{"v1/1": 10})
 		assert.Equal(t, w.written[len(w.written)-1], rollout.RolledBack)
 	}
@@ -198,11 +199,11 @@
 func TestOneLeader(t *testing.T) {
 	w := newTestFleet()
 	w.zones = []string{"a", "b", "c"}
-	keepers := []*Keeper{w.keeper("one", "a"), w.keeper("two", "b"), w.keeper("three", "c")}
-	w.giveOrder("v2")
+	keepers := []*Keeper{w.newKeeper("one", "a"), w.newKeeper("two", "b"), w.newKeeper("three", "c")}
+	w.orderRollout("v2")
 	w.addEndpoints("v2", 10)
-	w.simulate(6*time.Second, never, keepers...)
-	first := w.status().Record.By
+	w.simulate(6*time.Second, neverFails, keepers...)
+	first := w.currentRollout().Record.By
 	assert.Assert(t, first != "")
 	before := len(w.written)
 	w.zones = nil
@@ -211,9 +212,9 @@
 			w.zones = append(w.zones, k.cfg.Zone)
 		}
 	}
-	w.simulate(8*time.Second, never, keepers...)
-	assert.Equal(t, w.status().Status().State, rollout.Completed)
-	assert.Assert(t, w.status().Record.By != first)
+	w.simulate(8*time.Second, neverFails, keepers...)
+	assert.Equal(t, w.currentRollout().Status().State, rollout.Completed)
+	assert.Assert(t, w.currentRollout().Record.By != first)
 	assert.Assert(t, len(w.written) > before && len(w.written) <= 4, "%v", w.written)
 }
 
@@ -221,16 +222,16 @@
 // after a network partition, neither overwrites a record of the other.
 func TestTwoLeadersWriteOnce(t *testing.T) {
 	w := newTestFleet()
-	one, two := w.keeper("one", "a"), w.keeper("two", "a")
-	w.giveOrder("v2")
+	one, two := w.newKeeper("one", "a"), w.newKeeper("two", "a")
+	w.orderRollout("v2")
 	w.addEndpoints("v2", 10)
-	w.simulate(12*time.Second, never, one, two)
+	w.simulate(12*time.Second, neverFails, one, two)
 	assert.Equal(t, len(w.written), 4, "%v", w.written)
-	stale := w.status()
+	stale := w.currentRollout()
 	stale.Revision--
-	err := one.write(context.Background(), stale, rollout.Status{State: rollout.RolledBack})
+	err := one.writeStatus(context.Background(), stale, rollout.Status{State: rollout.RolledBack})
 	assert.Equal(t, err, relay.ErrTaken)
-	assert.Equal(t, w.status().Status().State, rollout.Completed)
+	assert.Equal(t, w.currentRollout().Status().State, rollout.Completed)
 }
 
 // TestLostResponsesAreRetried checks that a write without a response is retried if the store did not
@@ -238,14 +239,14 @@
 func TestLostResponsesAreRetried(t *testing.T) {
 	for _, appliesWrites := range []bool{false, true} {
 		w := newTestFleet()
-		k := w.keeper("one", "a")
-		w.giveOrder("v2")
+		k := w.newKeeper("one", "a")
+		w.orderRollout("v2")
 		w.addEndpoints("v2", 10)
 		w.storeDown, w.appliesWrites = true, appliesWrites
-		w.simulate(3*time.Second, never, k)
+		w.simulate(3*time.Second, neverFails, k)
 		w.storeDown = false
-		w.simulate(12*time.Second, never, k)
-		assert.Equal(t, w.status().Status().State, rollout.Completed)
+		w.simulate(12*time.Second, neverFails, k)
+		assert.Equal(t, w.currentRollout().Status().State, rollout.Completed)
 		assert.Equal(t, len(w.written), 4, "%v", w.written)
 	}
 }
@@ -254,22 +255,22 @@
 // replaced, and one that is withdrawn.
 func TestReplacedAndWithdrawnOrders(t *testing.T) {
 	w := newTestFleet()
-	k := w.keeper("one", "a")
-	w.giveOrder("v2")
+	k := w.newKeeper("one", "a")
+	w.orderRollout("v2")
 	k.evaluateAll(context.Background())
 	assert.DeepEqual(t, w.countBySide(), map[string]int{"v1/0": 10}) // no endpoint runs v2
-	w.simulate(14*time.Second, never, k)
-	assert.Equal(t, w.status().Status().State, rollout.Running)
+	w.simulate(14*time.Second, neverFails, k)
+	assert.Equal(t, w.currentRollout().Status().State, rollout.Running)
 	w.addEndpoints("v2", 10)
 	w.addEndpoints("v3", 10)
-	w.giveOrder("v3")
-	assert.Assert(t, !w.status().Begun())
+	w.orderRollout("v3")
+	assert.Assert(t, !w.currentRollout().Begun())
 	assert.DeepEqual(t, w.countBySide(), map[string]int{"v1/1": 10}) // the version of the replaced order gets no requests
-	w.simulate(12*time.Second, never, k)
-	assert.Equal(t, w.status().Status().State, rollout.Completed)
+	w.simulate(12*time.Second, neverFails, k)
+	assert.Equal(t, w.currentRollout().Status().State, rollout.Completed)
 	assert.DeepEqual(t, w.countBySide(), map[string]int{"v3/0": 10})
-	assert.DeepEqual(t, w.status().Record.Out, []string{"v2"})
-	w.giveOrder("v2")
+	assert.DeepEqual(t, w.currentRollout().Record.Out, []string{"v2"})
+	w.orderRollout("v2")
 	k.evaluateAll(context.Background())
 	w.revision++
 	w.apply(directory.Changes{Rollouts: []directory.RolloutOrder{{Service: "s", Over: true, Revision: w.revision}}})
@@ -281,13 +282,13 @@
 // TestStop checks that an operator can roll back a new version, and only once.
 func TestStop(t *testing.T) {
 	w := newTestFleet()
-	k := w.keeper("one", "a")
+	k := w.newKeeper("one", "a")
 	assert.Equal(t, k.Stop(context.Background(), "s"), ErrNone)
-	w.giveOrder("v2")
+	w.orderRollout("v2")
 	w.addEndpoints("v2", 10)
 	k.evaluateAll(context.Background())
 	assert.NilError(t, k.Stop(context.Background(), "s"))
-	assert.Equal(t, w.status().Status().State, rollout.RolledBack)
+	assert.Equal(t, w.currentRollout().Status().State, rollout.RolledBack)
 	assert.Equal(t, k.Stop(context.Background(), "s"), ErrNone)
 	list := k.List()
 	assert.Assert(t, len(list) == 1 && list[0].State == rollout.RolledBack && list[0].Leads, "%+v", list)
@@ -312,10 +313,10 @@
 	f.Add([]byte(`{"state":"running","stage":99}`))
 	f.Fuzz(func(t *testing.T, value []byte) {
 		w := newTestFleet()
-		w.giveOrder("v2")
+		w.orderRollout("v2")
 		w.addEndpoints("v2", 3)
 		w.apply(directory.Changes{Registrations: []directory.Record{{Key: directory.RecordName("s"), Value: value, Revision: 99}}})
-		if share := w.status().Share(); share < 0 || share > 1 {
+		if share := w.currentRollout().Share(); share < 0 || share > 1 {
 			t.Fatal(share)
 		}
 	})
--- a/rollout/run.go
+++ b/rollout/run.go
@@ -46,7 +46,8 @@
 }
 
 // evaluateAll evaluates all rollouts once. It reports whether any is open and whether this balancer
-// leads one of these.
+// leads one of these. A rollout is open until it is completed or rolled back in the store's record,
+// or its order is withdrawn.
 func (k *Keeper) evaluateAll(ctx context.Context) (open, leads bool) {
 	s := k.cfg.Directory.Snapshot()
 	for _, r := range s.Rollouts {
@@ -99,7 +100,7 @@
 		return
 	}
 	t.lastWrite = now
-	err := k.write(ctx, r, next)
+	err := k.writeStatus(ctx, r, next)
 	switch {
 	case err == nil:
 		k.cfg.Log.Info("rollout advanced", "service", r.Order.Service, "version", r.Order.Version, "state", next.State, "share", next.Share())
@@ -114,7 +115,7 @@
 	t.writePause = min(max(minWritePause, 2*t.writePause), maxWritePause)
 }
 
-// next returns the next status, and whether it differs from the one in the store.
+// next returns the next status of a rollout, and whether it differs from the one in the store.
 func (k *Keeper) next(r directory.Rollout, t *rolloutState, listed []directory.Endpoint, now time.Time) (rollout.Status, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -125,7 +126,7 @@
 	facts := rollout.Facts{
 		Since: now.Sub(t.orderSeen), InStage: now.Sub(t.statusSeen), Bad: bad || r.Bad, Proved: proved,
 	}
-	facts.New, facts.Old = countVersions(listed, r.Order.Version, now)
+	facts.New, facts.Old = countByVersion(listed, r.Order.Version, now)
 	plan := rollout.Plan{Duration: r.Order.Duration, Settle: k.cfg.Settle}
 	next := plan.Next(t.status, facts)
 	k.cfg.Log.Debug("rollout evaluated", "service", r.Order.Service, "stage", t.status.Stage, "since", facts.Since, "in_stage", facts.InStage,
@@ -133,9 +134,9 @@
 	return next, next != t.status
 }
 
-// countVersions returns the number of listed endpoints that run a version and are not warming up,
-// and the number of those that run the old version.
-func countVersions(listed []directory.Endpoint, version string, now time.Time) (newer, older int) {
+// countByVersion counts listed endpoints: newer run the given version and are not warming up, and
+// older run the old version.
+func countByVersion(listed []directory.Endpoint, version string, now time.Time) (newer, older int) {
 	for i := range listed {
 		switch e := &listed[i]; {
 		case e.State != directory.Listed:
@@ -148,8 +149,8 @@
 	return newer, older
 }
 
-// write writes a status to the store, for all balancers and for operators.
-func (k *Keeper) write(ctx context.Context, r directory.Rollout, next rollout.Status) error {
+// writeStatus writes a status to the store, for all balancers and for operators.
+func (k *Keeper) writeStatus(ctx context.Context, r directory.Rollout, next rollout.Status) error {
 	value, err := json.Marshal(directory.RolloutRecord{
 		Order: r.Order.Revision, Version: r.Order.Version, State: next.State, Stage: next.Stage, By: k.cfg.ID, Out: r.Out(),
 	})
@@ -176,7 +177,7 @@
 	if !ok || r.Order.Over || r.Begun() && r.Recorded().State != rollout.Running {
 		return ErrNone
 	}
-	err := k.write(ctx, r, rollout.Status{State: rollout.RolledBack})
+	err := k.writeStatus(ctx, r, rollout.Status{State: rollout.RolledBack})
 	if errors.Is(err, relay.ErrTaken) {
 		return ErrChanged
 	}
@@ -190,7 +191,7 @@
 	State    rollout.State
 	Share    float64
 	Duration time.Duration
-	Since    time.Duration // time since this balancer received the order; 0 if it has not evaluated it
+	Since    time.Duration // time since this balancer first handled the order; 0 if it has not yet
 	By       string        // balancer that wrote the record last
 	Leads    bool          // this balancer is the leader
 	Kinds    []KindStatus  // evidence on which the leader decides
