--- a/relay/askers.go
+++ b/relay/askers.go
@@ -7,111 +7,111 @@
 	"time"
 )
 
-// askedFor is how long a balancer that asked counts among a relay's askers.
-const askedFor = 2 * time.Second
+// askerTTL is how long a balancer that asked for changes counts as an asker.
+const askerTTL = 2 * time.Second
 
-// askers are the balancers that asked a relay lately. The zero value is empty. It is not
-// safe for concurrent use.
+// askers are the balancers that lately called this one for changes. The zero value is empty. It is
+// not safe for concurrent use.
 type askers struct {
-	asked   map[string]time.Time // by address
-	pruned  time.Time            // when those were dropped last that ask no more
-	inTouch string               // address of the last one that was in touch with the store
-	touched time.Time            // when it said so
+	lastAsked map[string]time.Time // time of the last call, by address
+	prunedAt  time.Time            // when expired askers were last removed
+	inTouch   string               // address of the last asker that was in touch with the store
+	inTouchAt time.Time            // when that asker reported it
 }
 
-// note notes that a balancer asked, and reports whether it is in touch with the store.
-func (a *askers) note(args ChangesArgs, now time.Time) bool {
+// record records a call and reports whether its sender is in touch with the store.
+func (a *askers) record(args ChangesArgs, now time.Time) bool {
 	if args.From == "" {
 		return false
 	}
-	if a.asked == nil {
-		a.asked = map[string]time.Time{}
+	if a.lastAsked == nil {
+		a.lastAsked = map[string]time.Time{}
 	}
-	a.asked[args.From] = now
-	if now.Sub(a.pruned) >= askedFor {
-		a.pruned = now
-		maps.DeleteFunc(a.asked, func(_ string, at time.Time) bool { return now.Sub(at) >= askedFor })
+	a.lastAsked[args.From] = now
+	if now.Sub(a.prunedAt) >= askerTTL {
+		a.prunedAt = now
+		maps.DeleteFunc(a.lastAsked, func(_ string, at time.Time) bool { return now.Sub(at) >= askerTTL })
 	}
 	switch {
 	case args.InTouch:
-		a.inTouch, a.touched = args.From, now
+		a.inTouch, a.inTouchAt = args.From, now
 	case a.inTouch == args.From:
 		a.inTouch = ""
 	}
 	return args.InTouch
 }
 
-// instead returns the balancer that is in touch with the store; empty for none.
-func (a *askers) instead(now time.Time) string {
-	if now.Sub(a.touched) >= askedFor {
+// alternative returns the address of the asker that is in touch with the store; empty for none.
+func (a *askers) alternative(now time.Time) string {
+	if now.Sub(a.inTouchAt) >= askerTTL {
 		return ""
 	}
 	return a.inTouch
 }
 
-// noteAsker notes who asks this balancer. One that is in touch with the store is news to
-// the others that wait here.
-func (g *Group) noteAsker(args ChangesArgs, now time.Time) {
+// recordAsker records a call for changes. If the caller is in touch with the store, it wakes the
+// calls that wait here, so that they can be referred to it.
+func (g *Group) recordAsker(args ChangesArgs, now time.Time) {
 	g.mu.Lock()
-	news := g.askers.note(args, now)
+	callerInTouch := g.askers.record(args, now)
 	g.mu.Unlock()
-	if news {
-		g.wakePatient()
+	if callerInTouch {
+		g.wakeSettleWaiters()
 	}
 }
 
-// inTouch returns the asker that is in touch with the store; empty for none.
-func (g *Group) inTouch(now time.Time) string {
+// askerInTouch returns the address of the asker that is in touch with the store; empty for none.
+func (g *Group) askerInTouch(now time.Time) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.askers.instead(now)
+	return g.askers.alternative(now)
 }
 
-// unsettledReply says why this balancer is not settled, and who may be asked instead:
-// one of those that ask it, the relay that it follows itself or, while it starts, will
-// follow next.
+// unsettledReply returns the reply of this balancer while it is not settled: whether it lost the
+// store, and which balancer to ask instead. That is an asker in touch with the store, the relay
+// that this balancer follows or, while it starts, the relay that it will ask next.
 func (g *Group) unsettledReply(now time.Time) ChangesReply {
 	lost := g.follower.Active()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	instead := cmp.Or(g.askers.instead(now), g.relayed.Addr)
-	if instead == "" && g.starting.Load() {
-		next, _ := nextRelay(g.replica.allRelays(), Relay{Addr: g.cfg.Addr, Zone: g.cfg.Zone}, g.penalized, g.turn, now)
-		instead = next.Addr
+	alternative := cmp.Or(g.askers.alternative(now), g.currentRelay.Addr)
+	if alternative == "" && g.starting.Load() {
+		next, _ := nextRelay(g.replica.allRelays(), Relay{Addr: g.cfg.Addr, Zone: g.cfg.Zone}, g.penalized, g.relayOffset, now)
+		alternative = next.Addr
 	}
-	return ChangesReply{StoreLost: lost, Askers: len(g.askers.asked), Instead: instead}
+	return ChangesReply{StoreLost: lost, Askers: len(g.askers.lastAsked), Instead: alternative}
 }
 
-// waitSettled waits until this balancer is settled or knows one beside the asker that is
-// in touch with the store, or until there is other news, at most as long as limit.
+// waitSettled waits until this balancer is settled, knows a balancer other than the asker that is
+// in touch with the store, or news reports true, for at most limit.
 func (g *Group) waitSettled(asker string, limit time.Duration, news func() bool) {
-	g.patient.Add(1)
-	defer g.patient.Add(-1)
+	g.settleWaiters.Add(1)
+	defer g.settleWaiters.Add(-1)
 	deadline := time.Now().Add(limit)
 	for now := time.Now(); now.Before(deadline); now = time.Now() {
-		other := g.inTouch(now)
-		if g.follower.Settled(now) || other != "" && other != asker || news() {
+		alternative := g.askerInTouch(now)
+		if g.follower.Settled(now) || alternative != "" && alternative != asker || news() {
 			return
 		}
 		g.replica.waitChange(context.Background(), deadline.Sub(now))
 	}
 }
 
-// OnAnswer notes that the store has answered; give it to the follower.
-func (g *Group) OnAnswer() { g.wakePatient() }
+// OnAnswer handles an answer of the store. Pass it to the follower as its OnAnswer option.
+func (g *Group) OnAnswer() { g.wakeSettleWaiters() }
 
-// OnFailure notes that the store has not answered; give it to the follower. Questions that wait
-// here are told at once that this balancer is not settled any more, not at the end of their wait:
-// what changes meanwhile they have to hear of elsewhere.
+// OnFailure handles a failed call to the store. Pass it to the follower as its OnFailure option.
+// Calls that wait here learn at once that this balancer is no longer settled, not at the end of
+// their wait, because they must get changes elsewhere in the meantime.
 func (g *Group) OnFailure() {
 	if !g.follower.Settled(time.Now()) {
-		g.replica.wake()
+		g.replica.wakeWaiters()
 	}
 }
 
-// wakePatient lets the questions look again that wait for this balancer to be settled.
-func (g *Group) wakePatient() {
-	if g.patient.Load() > 0 {
-		g.replica.wake()
+// wakeSettleWaiters makes the calls that wait for this balancer to become settled check again.
+func (g *Group) wakeSettleWaiters() {
+	if g.settleWaiters.Load() > 0 {
+		g.replica.wakeWaiters()
 	}
 }
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// serve has the store followed where this balancer is its zone's relay, and
-// reports whether it is and is settled.
-func (g *Group) serve(now time.Time) bool {
+// serveAsRelay activates the follower if this balancer is its zone's relay. It reports whether this
+// balancer is the relay and is settled.
+func (g *Group) serveAsRelay(now time.Time) bool {
 	relay := g.isRelay(now)
 	g.follower.SetServing(relay)
 	if !relay {
@@ -18,52 +18,56 @@
 // Serving reports whether this balancer is its zone's relay.
 func (g *Group) Serving() bool { return g.isRelay(time.Now()) }
 
-// isRelay reports whether this balancer is the one that its zone asks.
+// isRelay reports whether this balancer is its zone's relay: the registered one or, if the zone
+// has none, one that registered within the last TTL, in case the store has not reported the
+// registration yet.
 func (g *Group) isRelay(now time.Time) bool {
 	own, ok := g.replica.relay(g.cfg.Zone)
 	if ok {
 		return own.Addr == g.cfg.Addr
 	}
-	registered := g.registered.Load()
-	return registered > 0 && now.Sub(g.began)-time.Duration(registered) < g.opts.TTL
+	registeredAfter := g.registeredAfter.Load()
+	return registeredAfter > 0 && now.Sub(g.createdAt)-time.Duration(registeredAfter) < g.opts.TTL
 }
 
-// choose returns the relay to ask, or the balancer that one of them named.
-func (g *Group) choose(s *subscription, now time.Time) (Relay, bool) {
-	followsAsker := g.followsAsker(now)
+// chooseTarget returns the relay to ask, or a balancer that is in touch with the store and was
+// named by a relay or has asked this one. It returns false if there is none.
+func (g *Group) chooseTarget(s *subscription, now time.Time) (Relay, bool) {
+	mayFollowAsker := g.mayFollowAsker(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	instead := s.instead
-	if followsAsker && instead == "" {
-		instead = g.askers.instead(now)
+	alternative := s.alternative
+	if mayFollowAsker && alternative == "" {
+		alternative = g.askers.alternative(now)
 	}
-	if instead != "" && instead != g.cfg.Addr && !now.Before(g.penalized[instead]) {
-		return Relay{ID: instead, Addr: instead, Zone: g.cfg.Zone}, true
+	if alternative != "" && alternative != g.cfg.Addr && !now.Before(g.penalized[alternative]) {
+		return Relay{ID: alternative, Addr: alternative, Zone: g.cfg.Zone}, true
 	}
 	own := Relay{Addr: g.cfg.Addr, Zone: g.cfg.Zone}
-	return nextRelay(g.relaysFor(s), own, g.penalized, g.turn, now)
+	return nextRelay(g.candidateRelays(s), own, g.penalized, g.relayOffset, now)
 }
 
-// followsAsker reports whether this balancer follows one of those that ask it and are in
-// touch with the store: as a relay that has lost it, and as one whose registration has
-// ended while nobody else is registered. Nobody else does, and none that is settled: two
-// that are in touch would follow each other.
-func (g *Group) followsAsker(now time.Time) bool {
+// mayFollowAsker reports whether this balancer may follow one of its askers that is in touch with
+// the store. A relay may, since it may have lost the store, and so may an unsettled balancer while
+// no relay is registered, for example one whose own registration has ended. No other balancer may:
+// two that are in touch would follow each other.
+func (g *Group) mayFollowAsker(now time.Time) bool {
 	return g.isRelay(now) || len(g.replica.allRelays()) == 0 && !g.follower.Settled(now)
 }
 
-// relaysFor returns the relays that may be asked: the registered ones, and where there
-// is none any more, the one that was followed last. It follows the store still, and
-// tells of the next registration: not everybody has to look for it in the store.
-func (g *Group) relaysFor(s *subscription) []Relay {
+// candidateRelays returns the relays that may be asked: the registered ones or, if there is none
+// any more, the one that was followed last. That one still watches the store and reports the next
+// registration, so not every balancer has to look for it in the store.
+func (g *Group) candidateRelays(s *subscription) []Relay {
 	all := g.replica.allRelays()
-	if len(all) == 0 && s.last.Addr != "" {
-		all = append(all, s.last)
+	if len(all) == 0 && s.lastRelay.Addr != "" {
+		all = append(all, s.lastRelay)
 	}
 	return all
 }
 
-// penalize leaves a relay alone until a time.
+// penalize keeps a relay from being asked until the given time, and drops penalties that have
+// ended.
 func (g *Group) penalize(r Relay, until, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -75,18 +79,18 @@
 	g.penalized[r.Addr] = until
 }
 
-// forgive lets a relay be asked at once again that was left alone. One that has answered a
-// question that waited there for the store's return is well: without this its followers left it
-// alone for what remained of the penalty, and each followed the store.
-func (g *Group) forgive(r Relay) {
+// clearPenalty ends the penalty of a relay. A relay that answered a call that waited there for the
+// store's return is healthy again. Without this its followers would not ask it for the rest of the
+// penalty, and each of them would watch the store.
+func (g *Group) clearPenalty(r Relay) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.penalized, r.Addr)
 }
 
-// forgiveRelays lets the relays be asked at once that were left alone.
-func (g *Group) forgiveRelays(s *subscription) {
-	for _, r := range g.relaysFor(s) {
-		g.forgive(r)
+// clearPenalties ends the penalties of all candidate relays.
+func (g *Group) clearPenalties(s *subscription) {
+	for _, r := range g.candidateRelays(s) {
+		g.clearPenalty(r)
 	}
 }
--- a/relay/counting.go
+++ b/relay/counting.go
@@ -11,25 +11,25 @@
 	"github.com/lotuswing/lotuswing/link"
 )
 
-// CountArgs tells a relay what a balancer, or the relay of another zone, has counted.
-// Package gob sends the names of the fields.
+// CountArgs reports the counts of a balancer, or of another zone's relay, and asks for capacity at
+// endpoints. Package gob sends the names of the fields.
 type CountArgs struct {
 	Report tally.Report
-	From   string      // link address of the one that asks
-	Asks   []limit.Ask // for room at endpoints that the relay owns
+	From   string      // address of the caller
+	Asks   []limit.Ask // requests for capacity at endpoints that the called relay owns
 }
 
-// CountReply says what the relay knows of the same counts, and what it lets the asker send.
+// CountReply holds the relay's knowledge of the same counts, and the capacity that it grants.
 type CountReply struct {
 	Answer quota.Answer
 	Limits limit.Reply
 }
 
-// methodCount is the name under which net/rpc knows receiver.Count.
+// methodCount is the net/rpc name of rpcService.Count.
 const methodCount = link.Service + ".Count"
 
-// Count takes what another balancer has counted.
-func (r *receiver) Count(args CountArgs, reply *CountReply) error {
+// Count handles the counts and requests of another balancer.
+func (r *rpcService) Count(args CountArgs, reply *CountReply) error {
 	cfg := r.group.cfg
 	if cfg.OnReport != nil && args.Report.From != "" {
 		reply.Answer = cfg.OnReport(args.Report)
@@ -40,10 +40,11 @@
 	return nil
 }
 
-// errNoRelay says that no relay is followed just now.
+// errNoRelay is returned by Count without an address.
 var errNoRelay = errors.New("relay: no relay is followed")
 
-// Count tells a balancer what this one, or its zone, has counted.
+// Count reports the counts of this balancer, or of its zone, to the balancer at addr and returns
+// its answer.
 func (g *Group) Count(ctx context.Context, addr string, r tally.Report) (quota.Answer, error) {
 	if addr == "" {
 		return quota.Answer{}, errNoRelay
@@ -52,13 +53,13 @@
 	return reply.Answer, err
 }
 
-// Ask asks a relay for room at endpoints that it owns.
+// Ask asks the relay at addr for capacity at endpoints that it owns.
 func (g *Group) Ask(ctx context.Context, addr string, asks []limit.Ask) (limit.Reply, error) {
 	reply, err := g.count(ctx, addr, CountArgs{From: g.cfg.Addr, Asks: asks})
 	return reply.Limits, err
 }
 
-// count calls Count at another balancer.
+// count calls Count of the balancer at addr.
 func (g *Group) count(ctx context.Context, addr string, args CountArgs) (CountReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, g.opts.Wait+g.opts.Slack)
 	defer cancel()
@@ -67,21 +68,21 @@
 	return reply, err
 }
 
-// Followed returns the address of the balancer that last answered a question for changes and,
-// before any has, that of the registered relay that will be asked first; empty for none. A
-// balancer that has just started serves before it follows anybody, and until it is told what
-// is left of a quota it gives out some of it anew.
+// Followed returns the address of the balancer that last answered a call for changes. Before the
+// first answer it returns the registered relay that will be asked first, and an empty string if
+// there is none. A balancer that has just started serves before it follows a relay, and grants part
+// of a quota again until it is told what is left of it.
 func (g *Group) Followed() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.asked != "" {
-		return g.asked
+	if g.lastResponder != "" {
+		return g.lastResponder
 	}
-	next, _ := nextRelay(g.replica.allRelays(), Relay{Addr: g.cfg.Addr, Zone: g.cfg.Zone}, g.penalized, g.turn, time.Now())
+	next, _ := nextRelay(g.replica.allRelays(), Relay{Addr: g.cfg.Addr, Zone: g.cfg.Zone}, g.penalized, g.relayOffset, time.Now())
 	return next.Addr
 }
 
-// Others returns the addresses of the registered relays but this balancer's own.
+// Others returns the addresses of all registered relays other than this balancer.
 func (g *Group) Others() []string {
 	var others []string
 	for _, r := range g.replica.allRelays() {
@@ -92,7 +93,7 @@
 	return others
 }
 
-// IsRelay reports whether an address is that of a registered relay.
+// IsRelay reports whether addr belongs to a registered relay.
 func (g *Group) IsRelay(addr string) bool { return g.replica.isRelay(addr) }
 
 // Owners returns the registered relays, each of which owns the limits of its zone's endpoints.
@@ -104,10 +105,10 @@
 	return owners
 }
 
-// InTouch reports whether this balancer hears of the store's present state.
+// InTouch reports whether this balancer is settled, that is, in touch with the store itself.
 func (g *Group) InTouch() bool { return g.follower.Settled(time.Now()) }
 
-// RelayZones returns the zones that have a registered relay, in order.
+// RelayZones returns the zones that have a registered relay, sorted.
 func (g *Group) RelayZones() []string {
 	var zones []string
 	for _, r := range g.replica.allRelays() {
--- a/relay/first.go
+++ b/relay/first.go
@@ -7,62 +7,63 @@
 	"github.com/lotuswing/lotuswing/directory"
 )
 
-// Begin brings a first copy of what the store holds into force, from other balancers
-// or from the store; give it to the follower.
+// Begin obtains a first copy of the store's content from other balancers or from the store, and
+// applies it. Pass it to the follower as its Begin option.
 func (g *Group) Begin(ctx context.Context) {
-	first := bootstrap.New(bootstrap.Config{
+	bootstrapResult := bootstrap.New(bootstrap.Config{
 		Self: bootstrap.Peer{Addr: g.cfg.Addr, Zone: g.cfg.Zone}, Seeds: g.cfg.Seeds, Cores: g.cfg.Cores,
-		State: firstState{g}, Store: g.follower, Peers: firstPeers{g}, Giver: g.giver,
+		State: bootstrapState{g}, Store: g.follower, Peers: bootstrapPeers{g}, Giver: g.giver,
 		Log: g.cfg.Log.Named("bootstrap"), Options: g.opts.Bootstrap,
 	}).Run(ctx)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.first = first
+	g.bootstrapResult = bootstrapResult
 }
 
-// copyGiver returns the balancer that handed the first copy on, if one did.
-func (g *Group) copyGiver() (Relay, bool) {
+// bootstrapSource returns the balancer that provided the first copy, and false if the store did or
+// there is none yet.
+func (g *Group) bootstrapSource() (Relay, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	from := g.first.From
+	from := g.bootstrapResult.From
 	return Relay{ID: from, Addr: from}, from != "" && from != bootstrap.FromStore
 }
 
-// firstState is the group's replica as package bootstrap sees it.
-type firstState struct{ group *Group }
+// bootstrapState implements bootstrap.State on the group's replica.
+type bootstrapState struct{ group *Group }
 
-// Known is closed as soon as a first copy is in force.
-func (s firstState) Known() <-chan struct{} { return s.group.replica.known }
+// Known returns a channel that is closed once a complete copy has been applied.
+func (s bootstrapState) Known() <-chan struct{} { return s.group.replica.complete }
 
-// Partly is closed as soon as a part is known that is enough to serve, or everything.
-func (s firstState) Partly() <-chan struct{} { return s.group.replica.partly }
+// Partly returns a channel that is closed once enough is known to serve requests.
+func (s bootstrapState) Partly() <-chan struct{} { return s.group.replica.servable }
 
-// Part returns such a part.
-func (s firstState) Part() []directory.Record { return s.group.replica.part() }
+// Part returns the records that a balancer needs to begin to serve.
+func (s bootstrapState) Part() []directory.Record { return s.group.replica.part() }
 
-// Whole reports whether a part would be everything, or nearly.
-func (s firstState) Whole() bool { return s.group.replica.isSmall() }
+// Whole reports whether the content is complete and so small that a part would be nearly all of it.
+func (s bootstrapState) Whole() bool { return s.group.replica.isSmall() }
 
-// ApplyPart brings a part of what another balancer knew into force.
-func (s firstState) ApplyPart(records []directory.Record) {
+// ApplyPart applies a partial copy from another balancer.
+func (s bootstrapState) ApplyPart(records []directory.Record) {
 	changes := s.group.cfg.Decoder.Decode(records, 0, false)
 	changes.Part = true
 	s.group.follower.Apply(changes)
 }
 
-// Records returns everything, with the revision up to which all is known.
-func (s firstState) Records() ([]directory.Record, uint64) {
+// Records returns all records and the revision up to which all changes are known.
+func (s bootstrapState) Records() ([]directory.Record, uint64) {
 	d := s.group.replica.since(0)
-	return d.records, d.at
+	return d.records, d.knownRevision
 }
 
-// Apply brings everything that another balancer knew into force.
-func (s firstState) Apply(records []directory.Record, at uint64) {
+// Apply applies a complete copy from another balancer.
+func (s bootstrapState) Apply(records []directory.Record, at uint64) {
 	s.group.follower.Apply(s.group.cfg.Decoder.Decode(records, at, true))
 }
 
 // Relays returns the registered relays.
-func (s firstState) Relays() []bootstrap.Peer {
+func (s bootstrapState) Relays() []bootstrap.Peer {
 	var peers []bootstrap.Peer
 	for _, r := range s.group.replica.allRelays() {
 		peers = append(peers, bootstrap.Peer{Addr: r.Addr, Zone: r.Zone})
@@ -70,11 +71,11 @@
 	return peers
 }
 
-// firstPeers asks other balancers over the group's links.
-type firstPeers struct{ group *Group }
+// bootstrapPeers implements bootstrap.Peers over the group's connections.
+type bootstrapPeers struct{ group *Group }
 
-// Copy asks the balancer at addr for its copy.
-func (p firstPeers) Copy(ctx context.Context, addr string, args bootstrap.CopyArgs) (bootstrap.CopyReply, error) {
+// Copy calls the balancer at addr for its copy.
+func (p bootstrapPeers) Copy(ctx context.Context, addr string, args bootstrap.CopyArgs) (bootstrap.CopyReply, error) {
 	var reply bootstrap.CopyReply
 	err := p.group.client.Call(ctx, addr, methodCopy, args, &reply)
 	return reply, err
--- a/relay/first_test.go
+++ b/relay/first_test.go
@@ -11,17 +11,17 @@
 	"pgregory.net/rapid"
 )
 
-// fleetModel is a store, replicas of balancers and copies that are on their way between
-// these, some of which are old, late, repeated, out of order or never come.
+// fleetModel models a store, the replicas of balancers and the copies in transit between them,
+// which may be old, late, repeated, reordered or lost.
 type fleetModel struct {
-	store    *storeModel
-	past     []directory.Changes // whole readings of earlier moments
-	replicas []*replica
-	copies   []bootstrap.Copy
-	now      time.Time
+	store     *storeModel
+	pastReads []directory.Changes // full reads at earlier times
+	replicas  []*replica
+	copies    []bootstrap.Copy
+	now       time.Time
 }
 
-// follow brings a replica up to the store, as a watch from its revision does.
+// follow brings a replica up to date with the store, like a watch from its revision.
 func (f *fleetModel) follow(rep *replica) {
 	at, _ := rep.revision()
 	c := directory.Changes{At: f.store.revision}
@@ -33,7 +33,7 @@
 	rep.apply(c, f.now)
 }
 
-// step lets one thing happen.
+// step performs one random action.
 func (f *fleetModel) step(t *rapid.T) {
 	i := rapid.IntRange(0, len(f.replicas)-1).Draw(t, "balancer")
 	rep := f.replicas[i]
@@ -41,19 +41,19 @@
 	switch rapid.SampledFrom([]string{"change", "restart", "stale read", "stale part", "ask", "deliver", "deliver again", "drop", "follow", "time"}).Draw(t, "step") {
 	case "change":
 		f.store.change(t)
-		f.past = append(f.past, f.store.whole())
+		f.pastReads = append(f.pastReads, f.store.whole())
 	case "restart":
 		f.replicas[i] = newReplica()
 	case "stale read":
-		rep.apply(rapid.SampledFrom(f.past).Draw(t, "reading"), f.now)
-	case "stale part": // some keys of a reading, of the store or of another balancer
-		part := rapid.SampledFrom(f.past).Draw(t, "reading")
+		rep.apply(rapid.SampledFrom(f.pastReads).Draw(t, "reading"), f.now)
+	case "stale part": // some keys of a full read, from the store or from another balancer
+		part := rapid.SampledFrom(f.pastReads).Draw(t, "reading")
 		part.Whole, part.Part, part.At = false, true, 0
 		part.Records = part.Records[:rapid.IntRange(0, len(part.Records)).Draw(t, "keys")]
 		rep.apply(part, f.now)
 	case "ask":
 		if d := rep.since(0); known {
-			c, err := bootstrap.Pack(d.records, d.at)
+			c, err := bootstrap.Pack(d.records, d.knownRevision)
 			assert.NilError(t, err)
 			f.copies = append(f.copies, c)
 		}
@@ -65,12 +65,12 @@
 		if known {
 			f.follow(rep)
 		}
-	case "time": // copies are given up long before the end of a key is forgotten
-		f.now = f.now.Add(goneFor / 100)
+	case "time": // copies in transit are dropped long before a tombstone expires
+		f.now = f.now.Add(tombstoneTTL / 100)
 	}
 }
 
-// deliver brings any copy on its way to a replica; it stays there to come again.
+// deliver applies a random copy in transit to a replica; the copy may be delivered again.
 func (f *fleetModel) deliver(t *rapid.T, rep *replica) {
 	if len(f.copies) == 0 {
 		return
@@ -90,12 +90,12 @@
 	return out
 }
 
-// TestHandedOnCopiesEndWithTheStore: whatever copies a balancer is handed, no record
-// replaces a newer one, and after it has followed the store it has what the store has.
-func TestHandedOnCopiesEndWithTheStore(t *testing.T) {
+// TestPeerCopiesConvergeWithStore checks that no record replaces a newer one, whatever copies a
+// balancer receives, and that a replica that has followed the store matches it.
+func TestPeerCopiesConvergeWithStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fleetModel{store: &storeModel{revision: 1, records: map[string]directory.Record{}}, now: start}
-		f.past = []directory.Changes{f.store.whole()}
+		f.pastReads = []directory.Changes{f.store.whole()}
 		for range 4 {
 			f.replicas = append(f.replicas, newReplica())
 		}
@@ -118,18 +118,19 @@
 				continue
 			}
 			f.follow(rep)
-			assert.DeepEqual(t, rep.live(), f.store.live())
-			assert.Assert(t, rep.at == f.store.revision, fmt.Sprint("balancer ", i))
+			assert.DeepEqual(t, rep.liveContent(), f.store.liveContent())
+			assert.Assert(t, rep.knownRevision == f.store.revision, fmt.Sprint("balancer ", i))
 		}
 	})
 }
 
-// TestOutdatedReadingBringsNoKeyBack whose end came before what is known was read.
-func TestOutdatedReadingBringsNoKeyBack(t *testing.T) {
+// TestOutdatedReadDoesNotRestoreDeletedKey covers a key whose deletion precedes the read that is
+// already applied.
+func TestOutdatedReadDoesNotRestoreDeletedKey(t *testing.T) {
 	rep := newReplica()
 	a, gone := directory.Record{Key: "a", Revision: 2}, directory.Record{Key: "gone", Revision: 3}
 	rep.apply(directory.Changes{Whole: true, At: 6, Records: []directory.Record{a}}, start)
 	rep.apply(directory.Changes{Whole: true, At: 4, Records: []directory.Record{a, gone}}, start)
-	assert.Equal(t, len(rep.live()), 1)
-	assert.Equal(t, rep.at, uint64(6))
+	assert.Equal(t, len(rep.liveContent()), 1)
+	assert.Equal(t, rep.knownRevision, uint64(6))
 }
--- a/relay/follow.go
+++ b/relay/follow.go
@@ -10,29 +10,29 @@
 	"github.com/lotuswing/lotuswing/link"
 )
 
-// idle is the pause between two looks while there is nothing to ask.
-const idle = 200 * time.Millisecond
+// idlePause is the pause between two checks while there is nobody to ask.
+const idlePause = 200 * time.Millisecond
 
-// subscription is what follow remembers from one call of a relay to the next.
+// subscription is the state that followRelays keeps between calls.
 type subscription struct {
-	lastGood time.Time // when a relay last answered that was settled
-	relay    string    // address of the one that is followed; empty for none
-	outage   outage    // what relays say of the store
-	instead  string    // address of a balancer that one that was not settled named; empty for none
-	last     Relay     // the registered relay that was followed last
+	lastSettledAnswer time.Time // when a settled relay last answered
+	relayAddr         string    // address of the relay that is followed; empty for none
+	outage            outage    // what relays report about the store
+	alternative       string    // address of a balancer that an unsettled peer named; empty for none
+	lastRelay         Relay     // the registered relay that was followed last
 }
 
-// follow asks relays for changes until ctx ends, and has the store followed
-// while none of them is settled.
-func (g *Group) follow(ctx context.Context) {
+// followRelays fetches changes from relays until ctx ends, and switches the follower to the store
+// while no relay is settled. It begins when the first copy is complete.
+func (g *Group) followRelays(ctx context.Context) {
 	select {
-	case <-g.replica.known:
+	case <-g.replica.complete:
 	case <-ctx.Done():
 		return
 	}
 	started := time.Now()
 	g.starting.Store(true)
-	s := subscription{lastGood: started}
+	s := subscription{lastSettledAnswer: started}
 	for ctx.Err() == nil {
 		if g.starting.Load() && time.Since(started) > g.opts.StartWithin {
 			g.starting.Store(false)
@@ -41,66 +41,70 @@
 	}
 }
 
-// followOnce asks a relay once, or waits a moment where there is nothing to ask.
+// followOnce runs one step of followRelays: it calls a relay once, or waits for a moment if there
+// is nobody to ask.
 func (g *Group) followOnce(ctx context.Context, s *subscription) {
 	g.cfg.Suspensions.Check()
-	if g.serve(time.Now()) {
-		g.tellPredecessor(ctx, s)
-		g.replica.waitChange(ctx, idle)
+	if g.serveAsRelay(time.Now()) {
+		g.notifyPredecessor(ctx, s)
+		g.replica.waitChange(ctx, idlePause)
 		return
 	}
 	now := time.Now()
-	inOutage := s.outage.believed(now) && !g.isRelay(now)
+	inOutage := s.outage.reported(now) && !g.isRelay(now)
 	if inOutage && !now.Before(s.outage.probeAt) && !g.follower.Settled(now) {
 		g.probeStore(ctx, s)
 	}
-	target, ok := g.choose(s, now)
+	target, ok := g.chooseTarget(s, now)
 	switch {
 	case ok:
-		g.askOnce(ctx, target, s)
+		g.fetchFrom(ctx, target, s)
 	case inOutage:
-		g.sitOut(ctx, s)
+		g.waitAtLostRelay(ctx, s)
 	default:
-		g.withoutRelay(ctx, s)
+		g.handleNoRelay(ctx, s)
 	}
 }
 
-// askOnce asks a relay, or a balancer that one named, and notes how that ended.
-func (g *Group) askOnce(ctx context.Context, target Relay, s *subscription) {
-	err := g.ask(ctx, target, false)
+// fetchFrom fetches changes from a relay, or from a balancer that a relay named, and records the
+// outcome.
+func (g *Group) fetchFrom(ctx context.Context, target Relay, s *subscription) {
+	err := g.fetchChanges(ctx, target, false)
 	switch {
 	case ctx.Err() != nil:
 	case err != nil:
-		s.noteWord(target, err, time.Now())
-		g.left(target, s, err, time.Now())
+		s.recordReport(target, err, time.Now())
+		g.recordFailure(target, s, err, time.Now())
 	default:
-		g.followedRelay(target, s, time.Now())
+		g.recordAnswer(target, s, time.Now())
 	}
 }
 
-// noteWord notes what a balancer that gave no changes said of the store and of others.
-func (s *subscription) noteWord(from Relay, err error, now time.Time) {
+// recordReport records what a balancer that returned no changes reported about the store and about
+// other balancers to ask.
+func (s *subscription) recordReport(from Relay, err error, now time.Time) {
 	var unsettled unsettledError
 	if !errors.As(err, &unsettled) {
-		unsettled = unsettledError{} // it said nothing
+		unsettled = unsettledError{} // it reported nothing
 	}
-	s.instead = unsettled.instead
+	s.alternative = unsettled.alternative
 	if unsettled.lost {
-		s.outage = s.outage.withWord(from.Addr, unsettled.askers, rand.Float64(), now)
+		s.outage = s.outage.withReport(from.Addr, unsettled.askers, rand.Float64(), now)
 		return
 	}
-	s.outage = s.outage.without(from.Addr)
+	s.outage = s.outage.withoutReport(from.Addr)
 }
 
-// withoutRelay has the store followed; but a balancer that heard of a settled relay a
-// moment ago, or has just started, waits for a relay first, so that not every balancer
-// of a fleet follows the store for a moment.
-func (g *Group) withoutRelay(ctx context.Context, s *subscription) {
+// handleNoRelay handles the case that there is no relay to ask: it activates the follower, so that
+// this balancer watches the store. A balancer that heard from a settled relay a moment ago, or has
+// just started, waits for a relay first, so that not every balancer of a fleet watches the store
+// for a moment.
+func (g *Group) handleNoRelay(ctx context.Context, s *subscription) {
 	if !g.starting.Load() {
-		if g.opts.outOfTouch(s.lastGood, time.Now()) {
+		if g.opts.mustFollowStore(s.lastSettledAnswer, time.Now()) {
 			g.follower.SetActive(true)
 		}
-		g.replica.waitChange(ctx, idle)
+		g.replica.waitChange(ctx, idlePause)
 		return
 	}
 	g.replica.waitChange(ctx, g.opts.StartPoll)
@@ -109,50 +113,52 @@
 	}
 }
 
-// findRelays looks for relays that have registered since the first copy was packed: the balancer
-// that handed it on has had it for longer and may know one by now. Otherwise the store is asked,
-// which each balancer of a fleet that starts for the first time did.
+// findRelays looks for relays that registered after the first copy was packed. It asks the balancer
+// that provided the copy, which has had it for longer and may know a relay by now. It reads the
+// registrations from the store only if that fails, because otherwise each balancer of a fleet that
+// starts for the first time would read them.
 func (g *Group) findRelays(ctx context.Context, s *subscription) {
-	if giver, ok := g.copyGiver(); ok {
-		err := g.ask(ctx, giver, false)
-		s.noteWord(giver, err, time.Now())
-		if s.instead != "" || len(g.replica.allRelays()) > 0 {
+	if source, ok := g.bootstrapSource(); ok {
+		err := g.fetchChanges(ctx, source, false)
+		s.recordReport(source, err, time.Now())
+		if s.alternative != "" || len(g.replica.allRelays()) > 0 {
 			return
 		}
 	}
 	g.readRegistrations(ctx)
 }
 
-// readRegistrations looks for relays while the store is not followed.
+// readRegistrations reads the registrations from the store while the store is not watched.
 func (g *Group) readRegistrations(ctx context.Context) {
 	if err := g.follower.ReadRegistrations(ctx); err != nil && ctx.Err() == nil {
-		g.cfg.Log.Warn("relays not read", "error", err)
+		g.cfg.Log.Warn("could not read relay registrations", "error", err)
 	}
 }
 
-// ask waits for a relay's changes and brings them into force.
-// patient waits at one that is not settled.
-func (g *Group) ask(ctx context.Context, r Relay, patient bool) error {
+// fetchChanges calls a balancer for changes and notes and applies them. It returns an
+// unsettledError if that balancer is not settled. If patient is set, an unsettled balancer delays
+// its answer until it is settled, knows another one to ask, or the wait ends.
+func (g *Group) fetchChanges(ctx context.Context, r Relay, patient bool) error {
 	ctx, cancel := context.WithTimeout(ctx, g.opts.Wait+g.opts.Slack)
 	defer cancel()
-	after, _ := g.replica.revision() // 0 while nothing is known, which asks for everything
-	heard := g.heardFrom(r.Addr)
+	after, _ := g.replica.revision() // 0 while this balancer has no complete copy, which requests everything
+	position := g.receivedPosition(r.Addr)
 	var reply ChangesReply
 	err := g.client.Call(ctx, r.Addr, methodChanges, ChangesArgs{
 		After: after, Wait: g.opts.Wait, From: g.cfg.Addr, Patient: patient, InTouch: g.follower.Settled(time.Now()),
-		TakesNotes: true, NotesLife: heard.life, NotesAfter: heard.at,
+		TakesNotes: true, NotesLife: position.life, NotesAfter: position.at,
 	}, &reply)
 	if err == nil {
-		g.hearFrom(r.Addr, reply)
+		g.receiveReplyNotes(r.Addr, reply)
 	}
 	switch {
 	case errors.Is(err, link.ErrSilent):
-		g.client.Forget(r.Addr) // a connection that is cut stays silent
+		g.client.Forget(r.Addr) // an interrupted connection does not recover
 		return err
 	case err != nil:
 		return err
 	case !reply.Settled:
-		return unsettledError{lost: reply.StoreLost, askers: reply.Askers, instead: reply.Instead}
+		return unsettledError{lost: reply.StoreLost, askers: reply.Askers, alternative: reply.Instead}
 	}
 	records, err := unpack(reply.Packed)
 	if err != nil {
@@ -164,52 +170,53 @@
 	return nil
 }
 
-// heardFrom returns the place up to which the notes of a balancer are known.
-func (g *Group) heardFrom(addr string) place {
+// receivedPosition returns the position in a peer's note log up to which its notes have been
+// received.
+func (g *Group) receivedPosition(addr string) logPosition {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.heard[addr]
+	return g.received[addr]
 }
 
-// hearFrom takes the notes that a balancer handed on.
-func (g *Group) hearFrom(addr string, reply ChangesReply) {
+// receiveReplyNotes handles the notes in a peer's reply and records their position.
+func (g *Group) receiveReplyNotes(addr string, reply ChangesReply) {
 	if reply.NotesLife == 0 {
-		return // it is of a version that has none
+		return // the peer runs a version without notes
 	}
-	g.hear(reply.Notes)
+	g.receiveNotes(reply.Notes)
 	g.mu.Lock()
-	if len(g.heard) >= mostHeard {
-		clear(g.heard) // what is told twice does no harm
+	if len(g.received) >= maxTrackedPeers {
+		clear(g.received) // receiving a note twice does no harm
 	}
-	g.heard[addr] = place{life: reply.NotesLife, at: reply.NotesAt}
-	other := g.asked != addr
-	g.asked = addr
+	g.received[addr] = logPosition{life: reply.NotesLife, at: reply.NotesAt}
+	newResponder := g.lastResponder != addr
+	g.lastResponder = addr
 	g.mu.Unlock()
-	if other {
-		g.tellRelays()
+	if newResponder {
+		g.deliverToRelays()
 	}
 }
 
-// mostHeard bounds of how many balancers it is remembered which notes they know or told.
-const mostHeard = 64
+// maxTrackedPeers bounds for how many peers a Group remembers note positions, in each direction.
+const maxTrackedPeers = 64
 
-// followedRelay notes that a relay has answered that is settled. The store is left
-// alone then, unless this balancer is a relay itself.
-func (g *Group) followedRelay(r Relay, s *subscription, now time.Time) {
-	s.lastGood = now
+// recordAnswer records that r, a settled relay, has answered. It deactivates the follower unless
+// this balancer is a relay itself.
+func (g *Group) recordAnswer(r Relay, s *subscription, now time.Time) {
+	s.lastSettledAnswer = now
 	s.outage = outage{}
-	if r.revision > 0 { // as the store has it, not one that another balancer named
-		s.last = r
+	if r.revision > 0 { // r is a registered relay, not a balancer named by a peer
+		s.lastRelay = r
 	}
-	if g.replica.isRelay(s.instead) { // the relay of the own zone goes first again
-		s.instead = ""
+	if g.replica.isRelay(s.alternative) { // the relay of this balancer's own zone takes precedence again
+		s.alternative = ""
 	}
 	g.starting.Store(false)
-	g.followed.Store(true)
-	g.forgive(r)
-	g.noteFollowed(r, now)
-	if s.relay != r.Addr {
-		s.relay = r.Addr
+	g.relaySettled.Store(true)
+	g.clearPenalty(r)
+	g.setCurrentRelay(r, now)
+	if s.relayAddr != r.Addr {
+		s.relayAddr = r.Addr
 		revision, _ := g.replica.revision()
 		g.cfg.Log.Info("following a relay", "relay", r.ID, "zone", r.Zone, "revision", revision)
 	}
@@ -218,35 +225,35 @@
 	}
 }
 
-// left notes that a relay failed, and has the store followed where none has
-// answered for long.
-func (g *Group) left(r Relay, s *subscription, err error, now time.Time) {
+// recordFailure records that r failed with err and penalizes it. It activates the follower if no
+// relay has answered for too long, but deactivates it while relays report that the store is lost.
+func (g *Group) recordFailure(r Relay, s *subscription, err error, now time.Time) {
 	g.penalize(r, now.Add(g.opts.penalty(err)), now)
-	if r.revision == 0 { // it was named while the relays had lost the store; they may have it again
-		g.forgiveRelays(s)
+	if r.revision == 0 { // r was named while the relays had lost the store; they may have regained it
+		g.clearPenalties(s)
 	}
 	level := hclog.Debug
-	if s.relay == r.Addr {
+	if s.relayAddr == r.Addr {
 		level = hclog.Info
 	}
-	g.cfg.Log.Log(level, "relay left", "relay", r.ID, "zone", r.Zone, "error", err, "age", now.Sub(s.lastGood))
-	s.relay = ""
-	g.followed.Store(false)
-	g.noteFollowed(Relay{}, s.lastGood)
+	g.cfg.Log.Log(level, "relay request failed", "relay", r.ID, "zone", r.Zone, "error", err, "age", now.Sub(s.lastSettledAnswer))
+	s.relayAddr = ""
+	g.relaySettled.Store(false)
+	g.setCurrentRelay(Relay{}, s.lastSettledAnswer)
 	switch {
-	case s.outage.believed(now) && !g.isRelay(now):
+	case s.outage.reported(now) && !g.isRelay(now):
 		if !g.follower.Settled(now) {
 			g.follower.SetActive(false)
 		}
-	case g.opts.outOfTouch(s.lastGood, now) && !g.starting.Load():
+	case g.opts.mustFollowStore(s.lastSettledAnswer, now) && !g.starting.Load():
 		g.follower.SetActive(true)
 	}
 }
 
-// noteFollowed notes whom the balancer follows, for the status and for those that ask
-// it, and when that one last told the store's present state.
-func (g *Group) noteFollowed(r Relay, confirmed time.Time) {
+// setCurrentRelay records which relay this balancer follows, for the status and for balancers that
+// ask it, and when a settled relay last confirmed the store's current state.
+func (g *Group) setCurrentRelay(r Relay, confirmedAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.relayed, g.confirmed = r, confirmed
+	g.currentRelay, g.confirmedAt = r, confirmedAt
 }
--- a/relay/notes.go
+++ b/relay/notes.go
@@ -9,164 +9,166 @@
 	"time"
 )
 
-// Note is a word of one balancer to all others. What it means is the matter of those who
-// agree on its topic; relays hand it on as it is. Notes come late, twice or in another
-// order, and some never do: whoever tells something by a note must bear that. Package gob
+// Note is a small message from one balancer to all others. Its meaning is up to the publishers and
+// subscribers of its topic; relays pass it on unchanged. Delivery is best effort: notes may arrive
+// late, twice, out of order or never, and whoever publishes them must tolerate that. Package gob
 // sends the names of the fields.
 type Note struct {
-	Origin string // link address of the balancer
-	Life   uint64 // which start of it, a random number
-	Number uint64 // counts its notes, from 1
+	Origin string // address of the publishing balancer
+	Life   uint64 // random number that identifies the publishing process
+	Number uint64 // sequence number among the notes of that process, from 1
 	Topic  string
 	Data   []byte
-	Age    time.Duration // since it was told, as of the sending
+	Age    time.Duration // time since publication, at the moment of sending
 }
 
 const (
-	// notesFor is how long a note is handed on, and mostNotes how many are kept: 4,096 of
-	// 200 bytes are less than a megabyte. The oldest go first.
-	notesFor  = 10 * time.Minute
-	mostNotes = 4096
-	// briefNotesFor is how long a note of a topic is handed on that begins with Brief.
-	briefNotesFor = 10 * time.Second
-	// mostNoteBytes bounds the data of one note.
-	mostNoteBytes = 1 << 10
-	// pruneEvery is between two looks for notes that are too old.
-	pruneEvery = 10 * time.Second
+	// noteRetention is how long a note is passed on, and maxNotes how many are kept: 4,096 of 200
+	// bytes take less than a megabyte. The oldest are dropped first.
+	noteRetention = 10 * time.Minute
+	maxNotes      = 4096
+	// briefNoteRetention is the retention of notes whose topic begins with Brief.
+	briefNoteRetention = 10 * time.Second
+	// maxNoteBytes bounds the data of one note.
+	maxNoteBytes = 1 << 10
+	// pruneInterval is the least time between two scans for expired notes.
+	pruneInterval = 10 * time.Second
 )
 
-// Brief begins the topics of notes that are of use for seconds only: who starts later does not hear
-// them, and they take no room from others.
+// Brief is the topic prefix of notes that are useful for seconds only: balancers that start later
+// do not receive them, and they do not take up the space of other notes for long.
 const Brief = "brief/"
 
-// keptFor returns how long a note is handed on.
-func (n Note) keptFor() time.Duration {
+// retention returns how long the note is passed on.
+func (n Note) retention() time.Duration {
 	if strings.HasPrefix(n.Topic, Brief) {
-		return briefNotesFor
+		return briefNoteRetention
 	}
-	return notesFor
+	return noteRetention
 }
 
-// ErrNoteTooLong says that the data of a note is longer than a kilobyte.
+// ErrNoteTooLong is returned by Publish for data longer than a kilobyte.
 var ErrNoteTooLong = errors.New("relay: note too long")
 
-// noteKey tells notes apart.
-type noteKey struct {
+// noteID identifies a note.
+type noteID struct {
 	origin string
 	life   uint64
 	number uint64
 }
 
-func (n Note) key() noteKey { return noteKey{n.Origin, n.Life, n.Number} }
+func (n Note) id() noteID { return noteID{n.Origin, n.Life, n.Number} }
 
-// heldNote is a note as it is kept.
-type heldNote struct {
-	note Note
-	told time.Time // of the clock that goes on during a suspension
-	at   uint64    // its place in this log, from 1
+// loggedNote is a note in a noteLog.
+type loggedNote struct {
+	note        Note
+	publishedAt time.Time // on a clock that also runs during a suspension
+	at          uint64    // index in the noteLog, from 1
 }
 
-// noteLog is the notes that a balancer knows, in the order in which it heard of them, its
-// own ones included. Another balancer that names the log's life and a place gets what came
-// after. It is safe for concurrent use.
+// noteLog holds the notes that a balancer knows, including its own, in the order in which it
+// received them. A peer that passes the log's life and an index gets the notes after it. It is safe
+// for concurrent use.
 type noteLog struct {
-	life uint64
-
-	mu    sync.Mutex
-	held  []heldNote
-	known map[noteKey]bool
-	at    uint64 // place of the last one
-	// pruned is when notes that are too old were last dropped.
-	pruned time.Time
+	life uint64 // identifies this process, random, never 0
+
+	mu      sync.Mutex
+	entries []loggedNote
+	known   map[noteID]bool
+	at      uint64 // index of the last note
+	// lastPruned is when expired notes were last dropped.
+	lastPruned time.Time
 }
 
 func newNoteLog() *noteLog {
-	return &noteLog{life: cmp.Or(rand.Uint64(), 1), known: map[noteKey]bool{}}
+	return &noteLog{life: cmp.Or(rand.Uint64(), 1), known: map[noteID]bool{}}
 }
 
-// add keeps notes and returns those that are news.
+// add adds notes and returns those that were new. It ignores notes that have expired or are too
+// long.
 func (l *noteLog) add(notes []Note, now time.Time) []Note {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.forget(now)
+	l.dropExpired(now)
 	var news []Note
 	for _, n := range notes {
-		if l.known[n.key()] || n.Age > n.keptFor() || len(n.Data) > mostNoteBytes {
+		if l.known[n.id()] || n.Age > n.retention() || len(n.Data) > maxNoteBytes {
 			continue
 		}
 		l.at++
-		l.known[n.key()] = true
-		l.held = append(l.held, heldNote{note: n, told: now.Add(-max(0, n.Age)), at: l.at})
+		l.known[n.id()] = true
+		l.entries = append(l.entries, loggedNote{note: n, publishedAt: now.Add(-max(0, n.Age)), at: l.at})
 		news = append(news, n)
 	}
-	l.trim()
+	l.dropOldest()
 	return news
 }
 
-// forget drops notes that are too old, seldom, because it looks at all; l.mu is held.
-func (l *noteLog) forget(now time.Time) {
-	if now.Sub(l.pruned) < pruneEvery {
+// dropExpired drops expired notes. It scans all notes, so it does so at most once per
+// pruneInterval. l.mu must be held.
+func (l *noteLog) dropExpired(now time.Time) {
+	if now.Sub(l.lastPruned) < pruneInterval {
 		return
 	}
-	l.pruned = now
-	kept := l.held[:0]
-	for _, h := range l.held {
-		if now.Sub(h.told) > h.note.keptFor() {
-			delete(l.known, h.note.key())
+	l.lastPruned = now
+	kept := l.entries[:0]
+	for _, h := range l.entries {
+		if now.Sub(h.publishedAt) > h.note.retention() {
+			delete(l.known, h.note.id())
 			continue
 		}
 		kept = append(kept, h)
 	}
-	clear(l.held[len(kept):])
-	l.held = kept
+	clear(l.entries[len(kept):])
+	l.entries = kept
 }
 
-// trim drops the first notes where there are too many; l.mu is held.
-func (l *noteLog) trim() {
-	over := len(l.held) - mostNotes
+// dropOldest drops the oldest notes above maxNotes; l.mu must be held.
+func (l *noteLog) dropOldest() {
+	over := len(l.entries) - maxNotes
 	if over <= 0 {
 		return
 	}
-	for _, h := range l.held[:over] {
-		delete(l.known, h.note.key())
+	for _, h := range l.entries[:over] {
+		delete(l.known, h.note.id())
 	}
-	l.held = append(l.held[:0], l.held[over:]...)
+	l.entries = append(l.entries[:0], l.entries[over:]...)
 }
 
-// place is a place in the log of one life of a balancer.
-type place struct {
+// logPosition is a position in the note log of one process, which life identifies.
+type logPosition struct {
 	life uint64
-	at   uint64
+	at   uint64 // index of a note in the log, from 1; 0 for the beginning
 }
 
-// since returns the notes after a place, with their ages, and the place of the last one. A
-// place in another log is that before the first note. Only notes of one origin are
-// returned where that is given.
-func (l *noteLog) since(p place, origin string, now time.Time) ([]Note, place) {
+// since returns the notes after a position, with their ages, and the position of the last note in
+// the log. A position of another life counts as the beginning of the log. If origin is not empty,
+// only notes of that origin are returned.
+func (l *noteLog) since(p logPosition, origin string, now time.Time) ([]Note, logPosition) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if p.life != l.life {
 		p.at = 0
 	}
 	var notes []Note
-	for _, h := range l.held {
-		age := now.Sub(h.told)
-		if h.at <= p.at || age > h.note.keptFor() || origin != "" && h.note.Origin != origin {
+	for _, h := range l.entries {
+		age := now.Sub(h.publishedAt)
+		if h.at <= p.at || age > h.note.retention() || origin != "" && h.note.Origin != origin {
 			continue
 		}
 		n := h.note
 		n.Age = age
 		notes = append(notes, n)
 	}
-	return notes, place{life: l.life, at: l.at}
+	return notes, logPosition{life: l.life, at: l.at}
 }
 
-// after reports whether there are notes after a place.
-func (l *noteLog) after(p place) bool {
+// hasAfter reports whether the log has notes after a position.
+func (l *noteLog) hasAfter(p logPosition) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if p.life != l.life {
 		p.at = 0
 	}
-	return len(l.held) > 0 && l.held[len(l.held)-1].at > p.at
+	return len(l.entries) > 0 && l.entries[len(l.entries)-1].at > p.at
 }
--- a/relay/options.go
+++ b/relay/options.go
@@ -7,46 +7,46 @@
 	"github.com/lotuswing/lotuswing/bootstrap"
 )
 
-// Options of a Group. Zero fields take the defaults.
+// Options of a Group. Zero fields take their defaults.
 type Options struct {
-	// TTL of a registration that is not renewed; default 3 s. It bounds how long
-	// a zone follows the relays of others after its own one was killed.
+	// TTL of a registration that is not renewed; default 3 s. It bounds how long a zone depends on
+	// the relays of other zones after its own relay was killed.
 	TTL time.Duration
-	// Wait is after which a relay answers though nothing changed, and Slack after
-	// which an answer counts as missing; defaults 400 ms and 250 ms.
+	// A relay answers after Wait even if nothing has changed, and a call fails if its answer is
+	// late by more than Slack; defaults 400 ms and 250 ms.
 	Wait  time.Duration
 	Slack time.Duration
-	// Penalty is for which a relay that failed is left alone; default 3 s.
+	// Penalty is how long a relay that failed is not asked; default 3 s.
 	Penalty time.Duration
-	// A vacancy is left to others for BackoffBase and a random part of
-	// BackoffJitter, and for longer by VMs with a small processor share; defaults
-	// 300 ms and 1 s.
+	// A balancer waits before it registers as the relay of a zone that has none: BackoffBase plus a
+	// random part of up to BackoffJitter, longer on VMs with a small processor share. The random
+	// part is ten times as long while relays of other zones are registered. The defaults are 300 ms
+	// and 1 s.
 	BackoffBase   time.Duration
 	BackoffJitter time.Duration
-	// StartWithin is how long a balancer that starts waits for a relay before it
-	// follows the store, reading the registrations each StartPoll; defaults 2 s and
-	// 400 ms.
+	// StartWithin is how long a balancer that starts waits for a relay before it watches the store
+	// itself. Meanwhile it reads the registrations every StartPoll. Defaults 2 s and 400 ms.
 	StartWithin time.Duration
 	StartPoll   time.Duration
-	// Bootstrap are the options of the search for a first copy.
+	// Bootstrap configures the search for a first copy.
 	Bootstrap bootstrap.Options
 }
 
-// OptionsWithin returns options that let a balancer change over to another relay,
-// or to the store, well within a bound on how late a change may come into force.
+// OptionsWithin returns options with which a balancer switches to another relay, or to the store,
+// well within bound, the longest permitted delay until a change is in force.
 func OptionsWithin(bound time.Duration) Options {
 	return Options{
-		Wait:  min(time.Duration(waitShare*float64(bound)), mostWait),
-		Slack: min(time.Duration(slackShare*float64(bound)), mostSlack),
+		Wait:  min(time.Duration(waitShare*float64(bound)), maxDerivedWait),
+		Slack: min(time.Duration(slackShare*float64(bound)), maxDerivedSlack),
 	}
 }
 
-// Parts of the bound and their limits.
+// Wait and Slack as fractions of the bound given to OptionsWithin, and their upper limits.
 const (
-	waitShare  = 0.2
-	slackShare = 0.125
-	mostWait   = time.Second
-	mostSlack  = 500 * time.Millisecond
+	waitShare       = 0.2
+	slackShare      = 0.125
+	maxDerivedWait  = time.Second
+	maxDerivedSlack = 500 * time.Millisecond
 )
 
 func (o Options) withDefaults() Options {
--- a/relay/outage.go
+++ b/relay/outage.go
@@ -7,149 +7,152 @@
 	"time"
 )
 
-// While the store does not answer, nobody needs to find that out alone: a relay says so to its
-// followers, which stay with it and ask the store by turns, so seldom that the calls of all of
-// them together do not grow with their number. The first one that the store answers is named to
-// the others, which follow it until a relay is settled again.
+// While the store does not answer, a relay reports this to its followers, so that they need not
+// find out on their own. They stay with the relay and probe the store at intervals that grow with
+// their number, so that their total call rate does not. The relay names the first follower that
+// the store answers to the others, which follow it until a relay is settled again.
 
 const (
-	// firstProbe and laterProbe are the mean times between two calls of the store by
-	// the followers of one relay together, while it is lost: at first a store that
-	// turns the relay alone away is to be found out soon.
-	firstProbe = 200 * time.Millisecond
-	laterProbe = 500 * time.Millisecond
-	// shortRound is the mean time between two calls of one follower where there are few: the
-	// store may serve just one of them, and nobody else finds out for it. fewFollowers is how
-	// many that are more than their share of the calls.
-	shortRound   = 1500 * time.Millisecond
-	fewFollowers = 5
-	// lostFor is how long a relay's word that the store is lost holds.
-	lostFor = 3 * time.Second
+	// initialProbeInterval and probeInterval are the mean times between two probes of a lost store
+	// by all followers of one relay together. The first probes come faster, to find out soon if the
+	// store rejects only the relay.
+	initialProbeInterval = 200 * time.Millisecond
+	probeInterval        = 500 * time.Millisecond
+	// smallGroupProbeDelay is the mean time between two probes of one follower if there are few
+	// followers: the store may serve only one of them, and no other finds out on its behalf.
+	// smallGroupSize is the number of followers by which the proportional delay is reduced; see
+	// meanProbeDelay.
+	smallGroupProbeDelay = 1500 * time.Millisecond
+	smallGroupSize       = 5
+	// reportTTL is how long a relay's report that the store is lost stays valid.
+	reportTTL = 3 * time.Second
 )
 
-// outage is what a balancer believes of the store from what relays say. It is an
-// immutable value; the zero value believes it well.
+// outage is what a balancer knows about a loss of the store from the reports of relays. It is an
+// immutable value; the zero value means that the store is not reported lost.
 type outage struct {
-	lost    map[string]time.Time // relays that said that it is lost, by address, and when
-	askers  int                  // of the relay that said so last
-	probeAt time.Time            // when this balancer asks the store itself
+	reportedAt map[string]time.Time // when each relay last reported the store lost, by address
+	askers     int                  // number of askers of the relay that reported last
+	probeAt    time.Time            // when this balancer probes the store next
 }
 
-// withWord returns the outage after a relay said that the store is lost to it. random
-// is from 0 to 1 and spreads the askers of one relay.
-func (o outage) withWord(addr string, askers int, random float64, now time.Time) outage {
-	began := !o.believed(now)
-	lost := map[string]time.Time{addr: now}
-	for other, at := range o.lost {
-		if other != addr && now.Sub(at) < lostFor {
-			lost[other] = at
+// withReport returns the outage after a relay with the given number of askers reported the store
+// lost. random is from 0 to 1; it spreads the first probes of the askers of one relay.
+func (o outage) withReport(addr string, askers int, random float64, now time.Time) outage {
+	isFirst := !o.reported(now)
+	reportedAt := map[string]time.Time{addr: now}
+	for other, at := range o.reportedAt {
+		if other != addr && now.Sub(at) < reportTTL {
+			reportedAt[other] = at
 		}
 	}
-	o.lost, o.askers = lost, max(1, askers)
-	if began {
-		o.probeAt = now.Add(time.Duration(random * float64(o.askers) * float64(firstProbe)))
+	o.reportedAt, o.askers = reportedAt, max(1, askers)
+	if isFirst {
+		o.probeAt = now.Add(time.Duration(random * float64(o.askers) * float64(initialProbeInterval)))
 	}
 	return o
 }
 
-// withProbe returns the outage after this balancer asked the store in vain.
+// withProbe returns the outage after this balancer probed the store without success. random is from
+// 0 to 1.
 func (o outage) withProbe(random float64, now time.Time) outage {
-	o.probeAt = now.Add(time.Duration((0.5 + random) * float64(o.round())))
+	o.probeAt = now.Add(time.Duration((0.5 + random) * float64(o.meanProbeDelay())))
 	return o
 }
 
-// round returns the mean time between two calls of one follower. Of many followers a store that
-// serves some of them serves one whose turn comes soon; of a few it may serve the one alone whose
-// turn comes last.
-func (o outage) round() time.Duration {
-	whole := time.Duration(o.askers) * laterProbe
-	return max(min(whole, shortRound), whole-fewFollowers*laterProbe)
+// meanProbeDelay returns the mean time between two probes by one follower. With many followers, a
+// store that serves some of them serves one that probes soon. With few, it may serve only the one
+// that probes last.
+func (o outage) meanProbeDelay() time.Duration {
+	proportional := time.Duration(o.askers) * probeInterval
+	return max(min(proportional, smallGroupProbeDelay), proportional-smallGroupSize*probeInterval)
 }
 
-// without returns the outage without what a relay said, which says so no more.
-func (o outage) without(addr string) outage {
-	if _, ok := o.lost[addr]; !ok {
+// withoutReport returns the outage without the report of one relay, which no longer reports the
+// store lost.
+func (o outage) withoutReport(addr string) outage {
+	if _, ok := o.reportedAt[addr]; !ok {
 		return o
 	}
-	o.lost = maps.Clone(o.lost)
-	delete(o.lost, addr)
+	o.reportedAt = maps.Clone(o.reportedAt)
+	delete(o.reportedAt, addr)
 	return o
 }
 
-// believed reports whether some relay said lately that the store is lost.
-func (o outage) believed(now time.Time) bool {
-	for _, at := range o.lost {
-		if now.Sub(at) < lostFor {
+// reported reports whether any relay lately reported the store lost.
+func (o outage) reported(now time.Time) bool {
+	for _, at := range o.reportedAt {
+		if now.Sub(at) < reportTTL {
 			return true
 		}
 	}
 	return false
 }
 
-// said reports whether a relay said so lately.
-func (o outage) said(addr string, now time.Time) bool {
-	at, ok := o.lost[addr]
-	return ok && now.Sub(at) < lostFor
+// reportedBy reports whether the relay at addr lately reported the store lost.
+func (o outage) reportedBy(addr string, now time.Time) bool {
+	at, ok := o.reportedAt[addr]
+	return ok && now.Sub(at) < reportTTL
 }
 
-// probeStore asks the store whether it answers this balancer, which follows it then.
+// probeStore calls the store and activates the follower if the store answers.
 func (g *Group) probeStore(ctx context.Context, s *subscription) {
 	err := g.follower.ReadRegistrations(ctx)
 	if err != nil {
 		s.outage = s.outage.withProbe(rand.Float64(), time.Now())
 		return
 	}
-	g.cfg.Log.Info("store answers, relays have lost it", "askers", s.outage.askers)
+	g.cfg.Log.Info("store answers this balancer but not its relays", "askers", s.outage.askers)
 	g.follower.SetActive(true)
 }
 
-// tellPredecessor tells the relay that was followed before this balancer became one that
-// this one is in touch with the store, as long as that one says that it has lost it. The
-// predecessor names it to those that still wait there, and follows it itself: where its
-// registration has ended and the store turns it away, nothing else tells it of the next:
-// alone in its zone it would stay with what it knew.
-func (g *Group) tellPredecessor(ctx context.Context, s *subscription) {
-	if !s.outage.said(s.last.Addr, time.Now()) {
+// notifyPredecessor tells the relay that was followed before this balancer became one that this
+// balancer is in touch with the store, as long as the predecessor reports the store lost. The
+// predecessor names this balancer to the callers that still wait there, and follows it itself. If
+// its registration has ended and the store rejects it, it does not learn of the next registration
+// in any other way: alone in its zone it would keep outdated content.
+func (g *Group) notifyPredecessor(ctx context.Context, s *subscription) {
+	if !s.outage.reportedBy(s.lastRelay.Addr, time.Now()) {
 		return
 	}
-	err := g.ask(ctx, s.last, false)
-	s.noteWord(s.last, err, time.Now())
+	err := g.fetchChanges(ctx, s.lastRelay, false)
+	s.recordReport(s.lastRelay, err, time.Now())
 }
 
-// sitOut waits at a relay that has lost the store until it is settled or names a
-// balancer that is in touch.
-func (g *Group) sitOut(ctx context.Context, s *subscription) {
+// waitAtLostRelay calls a relay that has lost the store and waits there until it is settled or
+// names a balancer that is in touch with the store.
+func (g *Group) waitAtLostRelay(ctx context.Context, s *subscription) {
 	began := time.Now()
-	target, ok := g.lostRelay(s, began)
+	target, ok := g.relayReportingLoss(s, began)
 	if !ok {
 		s.outage = outage{}
 		return
 	}
-	err := g.ask(ctx, target, true)
+	err := g.fetchChanges(ctx, target, true)
 	now := time.Now()
 	if ctx.Err() != nil {
 		return
 	}
 	if err == nil {
-		g.followedRelay(target, s, now)
+		g.recordAnswer(target, s, now)
 		return
 	}
-	s.noteWord(target, err, now)
-	if !s.outage.said(target.Addr, now) {
-		g.left(target, s, err, now)
+	s.recordReport(target, err, now)
+	if !s.outage.reportedBy(target.Addr, now) {
+		g.recordFailure(target, s, err, now)
 		return
 	}
-	if now.Sub(began) < idle { // it names one that this balancer cannot reach
-		g.replica.waitChange(ctx, idle)
+	if now.Sub(began) < idlePause { // the relay names a balancer that this one cannot reach
+		g.replica.waitChange(ctx, idlePause)
 	}
 }
 
-// lostRelay returns a relay that says that the store is lost: that of the own zone
-// first.
-func (g *Group) lostRelay(s *subscription, now time.Time) (Relay, bool) {
+// relayReportingLoss returns a relay that reports the store lost, preferably that of this
+// balancer's own zone, and false if there is none.
+func (g *Group) relayReportingLoss(s *subscription, now time.Time) (Relay, bool) {
 	var found Relay
-	for _, r := range g.relaysFor(s) {
-		if r.Addr == g.cfg.Addr || !s.outage.said(r.Addr, now) {
+	for _, r := range g.candidateRelays(s) {
+		if r.Addr == g.cfg.Addr || !s.outage.reportedBy(r.Addr, now) {
 			continue
 		}
 		if found.Addr == "" || r.Zone == g.cfg.Zone {
--- a/relay/part_test.go
+++ b/relay/part_test.go
@@ -10,17 +10,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// namesEndpoints is a Decoder that knows endpoints by their keys alone.
-type namesEndpoints struct{}
+// prefixDecoder is a Decoder that recognizes endpoints by the prefix of their keys.
+type prefixDecoder struct{}
 
-func (namesEndpoints) Decode([]directory.Record, uint64, bool) directory.Changes {
+func (prefixDecoder) Decode([]directory.Record, uint64, bool) directory.Changes {
 	return directory.Changes{}
 }
 
-func (namesEndpoints) NamesEndpoint(key string) bool { return strings.HasPrefix(key, "servers/") }
+func (prefixDecoder) NamesEndpoint(key string) bool { return strings.HasPrefix(key, "servers/") }
 
-// page returns a part of a reading with so many endpoints.
-func page(from, n int) directory.Changes {
+// endpointPage returns a partial read of n endpoints, numbered from the given one.
+func endpointPage(from, n int) directory.Changes {
 	c := directory.Changes{Part: true}
 	for i := range n {
 		id := fmt.Sprintf("i-%05d", from+i)
@@ -30,22 +30,23 @@
 	return c
 }
 
-// TestPartIsEnoughToServe: a replica says so once it knows enough endpoints, hands on
-// everything else and some of these, and a copy of everything takes its place.
+// TestPartIsEnoughToServe checks that a replica becomes servable once it knows enough endpoints,
+// that a part contains directory.PartEntries endpoints and all other records, and that a complete
+// copy replaces a partial one.
 func TestPartIsEnoughToServe(t *testing.T) {
-	rep := newReplica().countingEndpoints(namesEndpoints{})
+	rep := newReplica().withDecoder(prefixDecoder{})
 	rep.apply(directory.Changes{Part: true, Records: []directory.Record{{Key: "op/config", Revision: 1}, {Key: "lotuswing/relays/a", Revision: 2}}}, start)
 	for from := 0; from < 1000; from += 200 {
-		rep.apply(page(from, 200), start)
-		assert.Assert(t, !pause.Over(rep.partly) && !rep.isKnown())
+		rep.apply(endpointPage(from, 200), start)
+		assert.Assert(t, !pause.Over(rep.servable) && !rep.isComplete())
 	}
-	rep.apply(page(1000, 200), start)
-	assert.Assert(t, pause.Over(rep.partly) && !rep.isKnown())
-	whole := page(0, 10000)
+	rep.apply(endpointPage(1000, 200), start)
+	assert.Assert(t, pause.Over(rep.servable) && !rep.isComplete())
+	whole := endpointPage(0, 10000)
 	whole.Part, whole.Whole, whole.At = false, true, 10000
 	whole.Records = append(whole.Records, directory.Record{Key: "op/config", Revision: 1})
 	rep.apply(whole, start)
-	assert.Assert(t, rep.isKnown() && !rep.isSmall())
+	assert.Assert(t, rep.isComplete() && !rep.isSmall())
 	part := rep.part()
 	endpoints := 0
 	others := map[string]bool{}
@@ -60,12 +61,12 @@
 	assert.DeepEqual(t, others, map[string]bool{"op/config": true})
 }
 
-// TestSmallStoreIsHandedOnWhole: where a part would be everything, or nearly, nobody is given
-// a part.
+// TestSmallStoreIsHandedOnWhole checks that a store whose part would be nearly everything counts as
+// small, so that peers get the complete copy.
 func TestSmallStoreIsHandedOnWhole(t *testing.T) {
-	rep := newReplica().countingEndpoints(namesEndpoints{})
-	c := page(0, 300)
+	rep := newReplica().withDecoder(prefixDecoder{})
+	c := endpointPage(0, 300)
 	c.Part, c.Whole, c.At = false, true, 300
 	rep.apply(c, start)
-	assert.Assert(t, pause.Over(rep.partly) && rep.isSmall())
+	assert.Assert(t, pause.Over(rep.servable) && rep.isSmall())
 }
--- a/relay/registration.go
+++ b/relay/registration.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// namePrefix begins the names of registrations; the zone follows.
+	// namePrefix is the key prefix of registrations; the zone follows.
 	namePrefix = "relays/"
-	// renewals is how often a registration is renewed within its time to live, so
-	// that two renewals in a row may fail.
-	renewals = 3
-	// watchedFor is how long a watch must have waited, at the least, for a vacancy that it has
-	// not contradicted to be believed.
-	watchedFor = 30 * time.Millisecond
+	// renewalsPerTTL is how often a registration is renewed within its TTL, so that two renewals in
+	// a row may fail.
+	renewalsPerTTL = 3
+	// minWatchAge is how long a watch must have been open before the absence of a registration is
+	// trusted.
+	minWatchAge = 30 * time.Millisecond
 )
 
-// Relay is a registered balancer. Its JSON stands in the store.
+// Relay is a registered balancer. The value of its registration in the store is its JSON.
 type Relay struct {
 	ID   string `json:"id"`
 	Addr string `json:"addr"`
-	Zone string `json:"-"` // from the name of the registration
+	Zone string `json:"-"` // taken from the registration's key
 
 	lease    uint64
 	revision uint64
 }
 
-// parseRelay reads a registration.
+// parseRelay decodes a registration record.
 func parseRelay(r directory.Record) (Relay, error) {
 	relay := Relay{Zone: strings.TrimPrefix(r.Key, namePrefix), lease: r.Lease, revision: r.Revision}
 	if err := json.Unmarshal(r.Value, &relay); err != nil {
@@ -44,12 +44,12 @@
 	return relay, nil
 }
 
-// maintainRegistration registers this balancer as its zone's relay while there is
-// none, and renews its registration, until ctx ends.
+// maintainRegistration registers this balancer as its zone's relay while the zone has none, and
+// renews the registration, until ctx ends.
 func (g *Group) maintainRegistration(ctx context.Context) {
 	value, err := json.Marshal(Relay{ID: g.cfg.ID, Addr: g.cfg.Addr})
 	if err != nil {
-		g.cfg.Log.Error("no registration", "error", err)
+		g.cfg.Log.Error("could not encode relay registration", "error", err)
 		return
 	}
 	for ctx.Err() == nil {
@@ -57,35 +57,35 @@
 		switch {
 		case ok && current.Addr == g.cfg.Addr:
 			g.renew(ctx, current)
-			pause.For(ctx, g.opts.TTL/renewals)
+			pause.For(ctx, g.opts.TTL/renewalsPerTTL)
 		case ok:
 			g.replica.waitChange(ctx, g.opts.TTL)
 		default:
-			if g.waitVacant(ctx) {
+			if g.awaitVacancy(ctx) {
 				g.register(ctx, value)
 			}
 		}
 	}
 }
 
-// waitVacant waits as long as a vacancy is left to others, and reports whether it
-// still stands.
-func (g *Group) waitVacant(ctx context.Context) bool {
+// awaitVacancy waits for the registration backoff and reports whether this balancer may register:
+// the zone still has no relay, and this balancer is not shutting down.
+func (g *Group) awaitVacancy(ctx context.Context) bool {
 	if g.leaving.Load() {
 		pause.For(ctx, g.opts.TTL)
 		return false
 	}
-	if !g.backOff(ctx) {
+	if !g.waitBackoff(ctx) {
 		return false
 	}
 	if g.starting.Load() {
 		g.readRegistrations(ctx)
 	}
-	// Balancers that were blind to changes for a moment see again at the same
-	// time: each waits anew, lest all of them register then.
-	for ctx.Err() == nil && !g.starting.Load() && !g.upToDate(time.Now()) {
-		g.replica.waitChange(ctx, watchedFor)
-		if g.upToDate(time.Now()) && !g.backOff(ctx) {
+	// Balancers that lost sight of changes for a moment regain it at the same time. Each of them
+	// backs off again, so that they do not all register at once.
+	for ctx.Err() == nil && !g.starting.Load() && !g.seesRegistrations(time.Now()) {
+		g.replica.waitChange(ctx, minWatchAge)
+		if g.seesRegistrations(time.Now()) && !g.waitBackoff(ctx) {
 			return false
 		}
 	}
@@ -93,37 +93,37 @@
 	return !taken && ctx.Err() == nil && !g.leaving.Load()
 }
 
-// backOff waits as long as a balancer of this size leaves a vacancy to others, and
-// reports whether it still stands.
-func (g *Group) backOff(ctx context.Context) bool {
-	share := turn(slices.Contains(g.cfg.Seeds, g.cfg.Addr), rand.Float64())
-	random := scatter(g.opts.jitter(len(g.replica.allRelays())), share)
+// waitBackoff waits for this balancer's registration backoff, which depends on its processor share,
+// and reports whether the zone still has no relay. It returns early when the zone gets one.
+func (g *Group) waitBackoff(ctx context.Context) bool {
+	share := registrationDraw(slices.Contains(g.cfg.Seeds, g.cfg.Addr), rand.Float64())
+	random := drawJitter(g.opts.maxJitter(len(g.replica.allRelays())), share)
 	return !g.replica.waitRegistration(ctx, g.cfg.Zone, g.opts.backoff(random, g.cfg.Cores)) && ctx.Err() == nil
 }
 
-// upToDate reports whether a registration would be known here if it existed.
-func (g *Group) upToDate(now time.Time) bool {
+// seesRegistrations reports whether this balancer would know of a registration if one existed.
+func (g *Group) seesRegistrations(now time.Time) bool {
 	if g.follower.Settled(now) {
-		return g.follower.Watching(now) >= watchedFor
+		return g.follower.Watching(now) >= minWatchAge
 	}
-	return g.followed.Load()
+	return g.relaySettled.Load()
 }
 
-// register registers this balancer and waits until the store tells who is
-// registered. After an error the registration may have been written all the same:
-// then the store tells that, too.
+// register tries to register this balancer and waits until the store reports the zone's relay, at
+// most one TTL. After an error the registration may still have been written, which the store then
+// reports as well.
 func (g *Group) register(ctx context.Context, value []byte) {
 	limited, cancel := context.WithTimeout(ctx, g.opts.TTL)
 	defer cancel()
 	err := g.cfg.Registry.Register(limited, namePrefix+g.cfg.Zone, value, g.opts.TTL)
 	switch {
 	case errors.Is(err, ErrTaken):
-		g.cfg.Log.Info("registration taken by another", "zone", g.cfg.Zone)
+		g.cfg.Log.Info("another balancer registered as relay first", "zone", g.cfg.Zone)
 	case err != nil:
-		g.cfg.Log.Warn("not registered", "zone", g.cfg.Zone, "error", err)
+		g.cfg.Log.Warn("could not register as relay", "zone", g.cfg.Zone, "error", err)
 	default:
 		g.cfg.Log.Info("registered as relay", "zone", g.cfg.Zone)
-		g.registered.Store(int64(time.Since(g.began)))
+		g.registeredAfter.Store(int64(time.Since(g.createdAt)))
 		g.follower.SetServing(true)
 		g.follower.SetActive(true)
 		g.follower.Retry()
@@ -131,13 +131,13 @@
 	g.replica.waitRegistration(ctx, g.cfg.Zone, g.opts.TTL)
 }
 
-// renew extends the own registration. That it has ended is told by the store's
-// changes.
+// renew extends this balancer's lease. If the registration has ended, the store's changes report
+// it.
 func (g *Group) renew(ctx context.Context, own Relay) {
-	ctx, cancel := context.WithTimeout(ctx, g.opts.TTL/renewals)
+	ctx, cancel := context.WithTimeout(ctx, g.opts.TTL/renewalsPerTTL)
 	defer cancel()
 	if err := g.cfg.Registry.Renew(ctx, own.lease); err != nil {
-		g.cfg.Log.Warn("registration not renewed", "zone", g.cfg.Zone, "lease", own.lease, "error", err)
+		g.cfg.Log.Warn("could not renew relay registration", "zone", g.cfg.Zone, "lease", own.lease, "error", err)
 		return
 	}
 	g.follower.Retry()
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,20 +1,21 @@
-// Package relay lets a few balancers follow the store for all: each availability
-// zone has one, its relay, whose address stands in the store under a lease. The
-// others ask it for changes, and follow the store themselves only while no relay in
-// reach is settled, that is, up to date itself.
+// Package relay distributes the store's changes through a few balancers, so that not every balancer
+// has to watch the store. Each availability zone has one such balancer, its relay, whose address is
+// registered in the store under a lease. The other balancers fetch changes from a relay and watch
+// the store themselves only while no reachable relay is settled. A balancer is settled, or in touch
+// with the store, while its own watch keeps it up to date with the store.
 //
-// A Group is one balancer's part in this. It owns the replica, which is the store's
-// records as this process knows them, and the links to other balancers. Its two
-// loops are in follow.go (where changes come from) and registration.go (who is the
-// relay); the rules that they follow are in rules.go, what other balancers are told
-// in server.go, what balancers tell one another beside the store's records in notes.go and
-// telling.go, and what they count for the whole fleet in counting.go. What is known first comes by package bootstrap (first.go). It relies on a Follower, which it switches on and off, a Registry
-// for the lease, and a Decoder for the meaning of records.
+// A Group is the part of one balancer. It owns the replica, which is this process's copy of the
+// store's records, and the connections to other balancers. It runs two loops: follow.go fetches
+// changes, and registration.go elects and registers the zone's relay. Their rules are in rules.go,
+// and server.go serves other balancers. Balancers broadcast small messages beside the store's
+// records, called notes (notes.go, telling.go), and exchange counts for the whole fleet
+// (counting.go). Package bootstrap obtains the first copy of the store's content (first.go). A
+// Group relies on a Follower, which watches the store and which it switches on and off, on a
+// Registry for the lease, and on a Decoder that interprets records.
 //
-// Being a relay is no right that has to be exclusive. Two at once cost a few calls;
-// none costs each balancer a watch of its own. What is handed on are the store's
-// own records with their revisions, so a change that comes late, twice or out of
-// order does no harm.
+// The registration need not be exclusive: two relays in one zone cost a few calls more, and without
+// any relay each balancer watches the store itself. Relays pass on the store's own records with
+// their revisions, so a change that arrives late, twice or out of order does no harm.
 //
 // # Usage
 //
@@ -45,135 +46,153 @@
 )
 
 var (
-	// ErrTaken says that a registration exists already.
-	ErrTaken = errors.New("relay: registration is taken")
-	// ErrLapsed says that a lease is over.
-	ErrLapsed = errors.New("relay: lease is over")
+	// ErrTaken is returned by Registry.Register for a registration that already exists.
+	ErrTaken = errors.New("relay: already registered")
+	// ErrLapsed is returned by Registry.Renew for a lease that has expired.
+	ErrLapsed = errors.New("relay: lease has expired")
 )
 
-// Registry keeps registrations under leases.
+// Registry stores registrations under leases.
 type Registry interface {
-	// Register writes a registration that does not exist, or returns ErrTaken.
+	// Register creates a registration under a new lease with the given TTL. It returns ErrTaken if
+	// the registration exists.
 	Register(ctx context.Context, name string, value []byte, ttl time.Duration) error
-	// Renew extends a lease, or returns ErrLapsed.
+	// Renew extends a lease. It returns ErrLapsed if the lease has expired.
 	Renew(ctx context.Context, lease uint64) error
-	// Release ends a lease and its registrations.
+	// Release ends a lease and deletes its registrations.
 	Release(ctx context.Context, lease uint64) error
 }
 
-// Follower is what follows the store.
+// Follower watches the store and applies its changes; directory.Follower implements it.
 type Follower interface {
+	// Apply applies changes, whatever their source.
 	Apply(directory.Changes)
+	// SetActive starts or stops watching the store. A watch that is open when watching stops runs
+	// to its end.
 	SetActive(active bool)
+	// SetServing says whether other balancers rely on this follower, which then pauses for shorter
+	// times.
 	SetServing(serving bool)
+	// Retry ends the pause after a failed call, because the store has just answered another call.
 	Retry()
+	// Read reads the full store and applies the result, which may be some seconds old.
 	Read(ctx context.Context) error
+	// ReadRegistrations reads only the registrations and applies them.
 	ReadRegistrations(ctx context.Context) error
+	// Active reports whether the follower watches the store.
 	Active() bool
+	// Answered returns when the store last answered; zero for never.
 	Answered() time.Time
+	// Settled reports whether the follower watches the store and got an answer lately, so that its
+	// content may be passed on as the store's current state.
 	Settled(now time.Time) bool
+	// Watching returns how long the current watch has been open; 0 if there is none.
 	Watching(now time.Time) time.Duration
 }
 
-// Decoder reads records of the store.
+// Decoder interprets records of the store.
 type Decoder interface {
+	// Decode interprets records. at is the revision up to which they are complete, and whole means
+	// that they are the full content.
 	Decode(records []directory.Record, at uint64, whole bool) directory.Changes
-	// NamesEndpoint reports whether a key is that of an endpoint's entry.
+	// NamesEndpoint reports whether key belongs to an endpoint's entry.
 	NamesEndpoint(key string) bool
 }
 
-// Config of a Group.
+// Config configures a Group.
 type Config struct {
 	ID       string
 	Zone     string
-	Addr     string   // at which other balancers reach this one
-	Seeds    []string // addresses of some others, for the start
-	Cores    float64  // processor share; balancers with more of it become relays first
-	LinkRate float64  // of the VM's link, in bytes a second; 0 where it is not known
+	Addr     string   // address at which other balancers reach this one
+	Seeds    []string // addresses of some other balancers, used at the start
+	Cores    float64  // processor share in cores; balancers with a larger share register as relays first
+	LinkRate float64  // bandwidth of the VM's network link in bytes per second; 0 if unknown
 	Registry Registry
 	Decoder  Decoder
 	Log      hclog.Logger
-	TLS      *tls.Config // of links; nil for plain TCP
+	TLS      *tls.Config // for connections between balancers; nil for plain TCP
 	Options  Options
-	// OnReport takes what another balancer has counted; nil where nothing is counted.
+	// OnReport handles the counts that another balancer reports; nil if nothing is counted.
 	OnReport func(tally.Report) quota.Answer
-	// OnAsk answers another balancer that asks for room at endpoints; nil where nobody does.
+	// OnAsk answers another balancer that asks for capacity at endpoints; nil if no balancer asks.
 	OnAsk func(from string, asks []limit.Ask) limit.Reply
-	// OnNote is called with each note of another balancer, once; nil for none.
+	// OnNote is called once for each note of another balancer; nil to ignore notes.
 	OnNote func(Note)
-	// Suspensions tells of suspensions of the VM; nil for none.
+	// Suspensions detects suspensions of the VM; nil for none.
 	Suspensions *suspend.Detector
 }
 
-// Group is a balancer's part among those that hand on the store's changes.
+// Group is the part of one balancer in distributing the store's changes. Create it with New.
 type Group struct {
-	cfg      Config
-	opts     Options
-	follower Follower
-	replica  *replica
-	packer   *packer
-	giver    *bootstrap.Giver // hands first copies to balancers that start
-	notes    *noteLog         // what balancers tell one another beside the store's records
-	client   *link.Client
-	server   *link.Server
-	stop     context.CancelFunc
-	done     sync.WaitGroup
-	began    time.Time // of the steady clock
-	turn     int       // which of other zones' relays is asked
-
-	leaving  atomic.Bool  // a planned stop has begun
-	starting atomic.Bool  // waits for a first relay that is settled
-	followed atomic.Bool  // the last relay that was asked is settled
-	patient  atomic.Int64 // questions that wait for this balancer to be settled
-	waking   atomic.Bool  // those that wait here are about to be woken for notes
-	// published counts the notes of this balancer.
-	published atomic.Uint64
-	// registered is when this balancer registered, until the store tells so; in
-	// ns since began, 0 for never.
-	registered atomic.Int64
-
-	mu        sync.Mutex
-	penalized map[string]time.Time // relays that failed, by address, until when they are left alone
-	first     bootstrap.Result     // how the first copy came
-	relayed   Relay                // the relay that is followed; zero for none
-	confirmed time.Time            // when a settled relay last answered
-	askers    askers               // who asks this balancer
-	asked     string               // address of the balancer that last answered a question for changes
-	live      context.Context      // ends with Close; nil before Start and after Close
-	telling   map[string]bool      // relays that are being told notes, by address
-	told      map[string]place     // which notes relays have taken, by address: their life and the place in the own log
-	heard     map[string]place     // which notes of others are known, by address of the balancer that handed them on
+	cfg         Config
+	opts        Options
+	follower    Follower
+	replica     *replica
+	packer      *packer
+	giver       *bootstrap.Giver // serves first copies to balancers that start
+	notes       *noteLog         // notes of this and of other balancers
+	client      *link.Client
+	server      *link.Server
+	stop        context.CancelFunc
+	done        sync.WaitGroup
+	createdAt   time.Time // read with the monotonic clock
+	relayOffset int       // random offset that selects among the relays of other zones
+
+	leaving       atomic.Bool  // a planned shutdown has begun
+	starting      atomic.Bool  // the balancer has started and waits for its first settled relay
+	relaySettled  atomic.Bool  // the relay that was asked last is settled
+	settleWaiters atomic.Int64 // calls that wait here for this balancer to become settled
+	wakeScheduled atomic.Bool  // waiting calls are about to be woken because of new notes
+	// notesPublished counts the notes published by this balancer.
+	notesPublished atomic.Uint64
+	// registeredAfter is when this balancer last registered, in ns since createdAt; 0 for never. It
+	// bridges the time until the store reports the registration.
+	registeredAfter atomic.Int64
+
+	mu              sync.Mutex
+	penalized       map[string]time.Time   // until when a relay that failed is not asked, by address
+	bootstrapResult bootstrap.Result       // how the first copy was obtained
+	currentRelay    Relay                  // the relay that is followed; zero for none
+	confirmedAt     time.Time              // when a settled relay last answered
+	askers          askers                 // balancers that ask this one for changes
+	lastResponder   string                 // address of the balancer that last answered a call for changes
+	runCtx          context.Context        // canceled by Close; nil before Start and after Close
+	delivering      map[string]bool        // relays to which a goroutine is delivering notes, by address
+	delivered       map[string]logPosition // index in this balancer's log up to which a peer has accepted its notes, by address, with the peer's life
+	received        map[string]logPosition // position in a peer's log up to which its notes have been received, by address
 }
 
-// maxTurns spreads the balancers of a zone without a relay over those of others.
-const maxTurns = 1 << 10
+// maxRelayOffset bounds Group.relayOffset, which spreads the balancers of a zone without a relay
+// over the relays of other zones.
+const maxRelayOffset = 1 << 10
 
-// New returns a group that does nothing before Start.
+// New returns a Group that is idle until Start is called.
 func New(cfg Config) *Group {
 	g := &Group{
-		cfg: cfg, opts: cfg.Options.withDefaults(), replica: newReplica().countingEndpoints(cfg.Decoder), packer: newPacker(), notes: newNoteLog(),
-		began: time.Now(), client: link.NewClient(cfg.TLS), turn: rand.IntN(maxTurns), penalized: map[string]time.Time{},
-		telling: map[string]bool{}, told: map[string]place{}, heard: map[string]place{},
+		cfg: cfg, opts: cfg.Options.withDefaults(), replica: newReplica().withDecoder(cfg.Decoder), packer: newPacker(), notes: newNoteLog(),
+		createdAt: time.Now(), client: link.NewClient(cfg.TLS), relayOffset: rand.IntN(maxRelayOffset), penalized: map[string]time.Time{},
+		delivering: map[string]bool{}, delivered: map[string]logPosition{}, received: map[string]logPosition{},
 	}
-	g.giver = bootstrap.NewGiver(firstState{g}, cfg.LinkRate)
+	g.giver = bootstrap.NewGiver(bootstrapState{g}, cfg.LinkRate)
 	return g
 }
 
-// Observe notes changes that are in force; give it to the follower.
+// Observe records changes that the follower has applied. Pass it to the follower as its Observe
+// option.
 func (g *Group) Observe(c directory.Changes) {
 	for _, err := range g.replica.apply(c, time.Now()) {
-		g.cfg.Log.Error("registration not read", "error", err)
+		g.cfg.Log.Error("could not parse relay registration", "error", err)
 	}
 	if len(c.Registrations) > 0 {
-		g.tellRelays() // one may be new
+		g.deliverToRelays() // c may contain a new relay
 	}
 }
 
-// Start answers other balancers on a listener, and follows or registers until
-// Close. The follower given here is the one that calls Observe.
+// Start serves other balancers on a listener and runs the loops that follow relays and maintain the
+// registration, until Close is called. The follower must be the one that calls Observe.
 func (g *Group) Start(l net.Listener, follower Follower) error {
 	g.follower = follower
-	server, err := link.Serve(l, g.cfg.TLS, &receiver{group: g})
+	server, err := link.Serve(l, g.cfg.TLS, &rpcService{group: g})
 	if err != nil {
 		return err
 	}
@@ -181,15 +200,14 @@
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
 	g.mu.Lock()
-	g.live = ctx
+	g.runCtx = ctx
 	g.mu.Unlock()
-	g.done.Go(func() { g.follow(ctx) })
+	g.done.Go(func() { g.followRelays(ctx) })
 	g.done.Go(func() { g.maintainRegistration(ctx) })
 	return nil
 }
 
-// Leave gives the registration up, so that another balancer takes over before
-// this one stops.
+// Leave releases the registration, so that another balancer takes over before this one stops.
 func (g *Group) Leave(ctx context.Context) {
 	g.leaving.Store(true)
 	own, ok := g.replica.relay(g.cfg.Zone)
@@ -199,17 +217,17 @@
 	ctx, cancel := context.WithTimeout(ctx, g.opts.Wait)
 	defer cancel()
 	if err := g.cfg.Registry.Release(ctx, own.lease); err != nil {
-		g.cfg.Log.Warn("registration not given up", "error", err)
+		g.cfg.Log.Warn("could not release relay registration", "error", err)
 	}
 }
 
-// Close ends everything.
+// Close stops the loops, the server and all connections, and waits until they have ended.
 func (g *Group) Close() {
 	g.stop()
 	g.mu.Lock()
-	g.live = nil
+	g.runCtx = nil
 	g.mu.Unlock()
-	_ = g.server.Close() // its listener is closed whatever it says
+	_ = g.server.Close() // the listener is closed even if Close returns an error
 	g.client.Close()
 	g.done.Wait()
 }
--- a/relay/replica.go
+++ b/relay/replica.go
@@ -11,97 +11,97 @@
 	"github.com/lotuswing/lotuswing/internal/pause"
 )
 
-// goneFor is how long the end of a key is remembered. A balancer that heard nothing for longer is
-// told everything.
-const goneFor = 30 * time.Second
+// tombstoneTTL is how long the deletion of a key is remembered. A balancer that has received
+// nothing for longer gets the full content.
+const tombstoneTTL = 30 * time.Second
 
-// replica is the store's content as this process knows it: the last record of
-// each key, with the ends of keys that went lately. It is safe for concurrent
-// use.
+// replica is this process's copy of the store's content: the last record of each key, and
+// tombstones of keys that were deleted lately. It is safe for concurrent use.
 type replica struct {
-	mu      sync.Mutex
-	records map[string]directory.Record
-	order   []change             // changes in the order of their revisions, also those that newer ones have replaced
-	ended   map[string]time.Time // keys that went, and when that was learnt
-	relays  map[string]Relay     // by zone
-	at      uint64               // revision up to which all is known
-	floor   uint64               // changes after it can be told apart
-	known   chan struct{}        // closed when a first copy of everything has come
-	partly  chan struct{}        // closed when a part has come that is enough to serve, or everything
+	mu               sync.Mutex
+	records          map[string]directory.Record
+	changeLog        []change             // in the order of revisions, including changes that newer ones have replaced
+	tombstones       map[string]time.Time // when the deletion of a key was learned
+	relays           map[string]Relay     // by zone
+	knownRevision    uint64               // all changes up to this revision are known
+	minDeltaRevision uint64               // oldest revision after which changes can be returned without the full content
+	complete         chan struct{}        // closed when the first complete copy has been applied
+	servable         chan struct{}        // closed when enough is known to serve requests
 
-	isEndpoint func(key string) bool // whether a key is that of an endpoint's entry; nil for never
-	endpoints  int                   // such keys, while only a part is known
-	changed    chan struct{}         // closed and replaced at each change
+	isEndpoint    func(key string) bool // whether a key belongs to an endpoint's entry; nil for never
+	partEndpoints int                   // number of endpoints received while the copy is not complete
+	changed       chan struct{}         // closed and replaced at each change
 }
 
 func newReplica() *replica {
 	return &replica{
-		records: map[string]directory.Record{}, ended: map[string]time.Time{}, relays: map[string]Relay{},
-		known: make(chan struct{}), partly: make(chan struct{}), changed: make(chan struct{}),
+		records: map[string]directory.Record{}, tombstones: map[string]time.Time{}, relays: map[string]Relay{},
+		complete: make(chan struct{}), servable: make(chan struct{}), changed: make(chan struct{}),
 	}
 }
 
-// countingEndpoints lets a replica tell when enough endpoints are known to serve.
-func (rep *replica) countingEndpoints(d Decoder) *replica {
+// withDecoder sets how the replica recognizes keys of endpoints, and returns it. d may be nil.
+func (rep *replica) withDecoder(d Decoder) *replica {
 	if d != nil {
 		rep.isEndpoint = d.NamesEndpoint
 	}
 	return rep
 }
 
-// change is that a key got its record of a revision.
+// change says that a key got a new record at a revision.
 type change struct {
 	revision uint64
 	key      string
 }
 
-// apply notes changes and returns the registrations that could not be read.
+// apply applies changes and returns one error for each registration that could not be parsed.
 func (rep *replica) apply(c directory.Changes, now time.Time) []error {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
-	if c.Outdated(rep.at) {
+	if c.Outdated(rep.knownRevision) {
 		return nil
 	}
 	for _, r := range c.Records {
 		rep.applyRecord(r, now)
 	}
 	if c.Whole {
-		rep.applyAbsent(c, now)
+		rep.deleteAbsent(c, now)
 	}
-	if c.Whole && !rep.isKnown() {
-		rep.floor = c.At
-		close(rep.known)
+	if c.Whole && !rep.isComplete() {
+		rep.minDeltaRevision = c.At
+		close(rep.complete)
 	}
-	rep.notePart(c)
-	rep.at = max(rep.at, c.At)
-	rep.forget(now)
-	rep.dropReplaced()
+	rep.updateServable(c)
+	rep.knownRevision = max(rep.knownRevision, c.At)
+	rep.expireTombstones(now)
+	rep.compactChangeLog()
 	faults := rep.applyRegistrations(c)
-	rep.noteChange()
+	rep.notifyChange()
 	return faults
 }
 
-// notePart notes that a part has come, or everything.
-func (rep *replica) notePart(c directory.Changes) {
-	if pause.Over(rep.partly) {
+// updateServable counts the endpoints of a partial copy and closes servable once there are enough
+// or the copy is complete.
+func (rep *replica) updateServable(c directory.Changes) {
+	if pause.Over(rep.servable) {
 		return
 	}
 	if c.Part {
-		rep.endpoints += len(c.Entries)
+		rep.partEndpoints += len(c.Entries)
 	}
-	if rep.isKnown() || rep.endpoints >= directory.PartEntries {
-		close(rep.partly)
+	if rep.isComplete() || rep.partEndpoints >= directory.PartEntries {
+		close(rep.servable)
 	}
 }
 
-// part returns what a balancer needs to serve: everything but the endpoints, and some of
-// these.
+// part returns what a balancer needs to begin to serve: all records other than endpoints, and up to
+// directory.PartEntries endpoints.
 func (rep *replica) part() []directory.Record {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
 	var records []directory.Record
 	endpoints := 0
-	for _, r := range rep.records { // in no order, so that nobody gets the same ones
+	for _, r := range rep.records { // map order is random, so that each balancer gets other endpoints
 		if r.Gone {
 			continue
 		}
@@ -116,86 +116,86 @@
 	return records
 }
 
-// isSmall reports whether everything is known and is not much more than a part.
+// isSmall reports whether the copy is complete and not much larger than a part.
 func (rep *replica) isSmall() bool {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
-	return rep.isKnown() && len(rep.records) < 2*directory.PartEntries
+	return rep.isComplete() && len(rep.records) < 2*directory.PartEntries
 }
 
-// applyRecord keeps a record that is newer than the one known.
+// applyRecord stores a record if it is newer than the known one.
 func (rep *replica) applyRecord(r directory.Record, now time.Time) {
 	if old, ok := rep.records[r.Key]; ok && old.Revision >= r.Revision {
 		return
 	}
 	rep.records[r.Key] = r
-	rep.noteOrder(change{revision: r.Revision, key: r.Key})
+	rep.insertChange(change{revision: r.Revision, key: r.Key})
 	if r.Gone {
-		rep.ended[r.Key] = now
+		rep.tombstones[r.Key] = now
 		return
 	}
-	delete(rep.ended, r.Key)
+	delete(rep.tombstones, r.Key)
 }
 
-// noteOrder notes a change in its place, which is nearly always the last one.
-func (rep *replica) noteOrder(c change) {
-	last := len(rep.order)
-	if last == 0 || rep.order[last-1].revision <= c.revision {
-		rep.order = append(rep.order, c)
+// insertChange inserts a change into changeLog by revision, which is nearly always at the end.
+func (rep *replica) insertChange(c change) {
+	last := len(rep.changeLog)
+	if last == 0 || rep.changeLog[last-1].revision <= c.revision {
+		rep.changeLog = append(rep.changeLog, c)
 		return
 	}
-	at, _ := slices.BinarySearchFunc(rep.order, c.revision, byRevision)
-	rep.order = slices.Insert(rep.order, at, c)
+	at, _ := slices.BinarySearchFunc(rep.changeLog, c.revision, compareRevision)
+	rep.changeLog = slices.Insert(rep.changeLog, at, c)
 }
 
-func byRevision(c change, revision uint64) int { return cmp.Compare(c.revision, revision) }
+func compareRevision(c change, revision uint64) int { return cmp.Compare(c.revision, revision) }
 
-// leastOrder is how many changes are kept at the least before those are dropped that newer
-// ones have replaced.
-const leastOrder = 1024
+// minChangeLog is the length up to which changeLog is never compacted.
+const minChangeLog = 1024
 
-// dropReplaced drops the changes that newer ones have replaced, once they are as many as the
+// compactChangeLog drops changes that newer ones have replaced, once they are about as many as the
 // others.
-func (rep *replica) dropReplaced() {
-	if len(rep.order) < leastOrder+2*len(rep.records) {
+func (rep *replica) compactChangeLog() {
+	if len(rep.changeLog) < minChangeLog+2*len(rep.records) {
 		return
 	}
-	rep.order = slices.DeleteFunc(rep.order, func(c change) bool { return !rep.isLast(c) })
+	rep.changeLog = slices.DeleteFunc(rep.changeLog, func(c change) bool { return !rep.isCurrent(c) })
 }
 
-// isLast reports whether a change is the last one of its key.
-func (rep *replica) isLast(c change) bool {
+// isCurrent reports whether a change is the last one of its key.
+func (rep *replica) isCurrent(c change) bool {
 	r, ok := rep.records[c.key]
 	return ok && r.Revision == c.revision
 }
 
-// applyAbsent notes the end of what a whole reading does not name.
-func (rep *replica) applyAbsent(c directory.Changes, now time.Time) {
-	named := make(map[string]bool, len(c.Records))
+// deleteAbsent deletes the keys that a full read does not contain.
+func (rep *replica) deleteAbsent(c directory.Changes, now time.Time) {
+	present := make(map[string]bool, len(c.Records))
 	for _, r := range c.Records {
-		named[r.Key] = true
+		present[r.Key] = true
 	}
 	for key, r := range rep.records {
-		if !named[key] && !r.Gone && r.Revision <= c.At {
+		if !present[key] && !r.Gone && r.Revision <= c.At {
 			rep.applyRecord(directory.Record{Key: key, Revision: c.At, Gone: true}, now)
 		}
 	}
 }
 
-// forget drops the ends of keys that went long ago.
-func (rep *replica) forget(now time.Time) {
-	for key, at := range rep.ended {
-		if now.Sub(at) > goneFor {
-			rep.floor = max(rep.floor, rep.records[key].Revision)
+// expireTombstones drops tombstones older than tombstoneTTL.
+func (rep *replica) expireTombstones(now time.Time) {
+	for key, at := range rep.tombstones {
+		if now.Sub(at) > tombstoneTTL {
+			rep.minDeltaRevision = max(rep.minDeltaRevision, rep.records[key].Revision)
 			delete(rep.records, key)
-			delete(rep.ended, key)
+			delete(rep.tombstones, key)
 		}
 	}
 }
 
-// applyRegistrations keeps the list of relays.
+// applyRegistrations updates the relays by zone and returns one error for each registration that
+// could not be parsed.
 func (rep *replica) applyRegistrations(c directory.Changes) (faults []error) {
-	if c.Whole && c.At >= rep.at {
+	if c.Whole && c.At >= rep.knownRevision {
 		clear(rep.relays)
 	}
 	for _, r := range c.Registrations {
@@ -217,7 +217,7 @@
 	return faults
 }
 
-// relay returns the relay of a zone.
+// relay returns the registered relay of a zone, and false if there is none.
 func (rep *replica) relay(zone string) (Relay, bool) {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
@@ -225,12 +225,12 @@
 	return r, ok && r.Addr != ""
 }
 
-// isRelay reports whether the balancer at an address is a registered relay.
+// isRelay reports whether the balancer at addr is a registered relay.
 func (rep *replica) isRelay(addr string) bool {
 	return slices.ContainsFunc(rep.allRelays(), func(r Relay) bool { return r.Addr == addr })
 }
 
-// allRelays returns the relays of all zones, in the order of the zones.
+// allRelays returns the registered relays of all zones, sorted by zone.
 func (rep *replica) allRelays() []Relay {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
@@ -244,41 +244,42 @@
 	return all
 }
 
-// delta is what changed after a revision, or everything.
+// delta is the set of changes after a revision, or the full content.
 type delta struct {
-	records []directory.Record
-	after   uint64 // revision that was asked for; 0 where everything is told
-	at      uint64
-	whole   bool
+	records       []directory.Record
+	after         uint64 // revision that was asked for; 0 for the full content
+	knownRevision uint64 // all changes up to this revision are included
+	whole         bool   // records are the full content
 }
 
-// since returns what changed after a revision, in the order of revisions. It looks at what
-// changed alone.
+// since returns the changes after a revision, in the order of revisions, or the full content if the
+// tombstones do not reach back far enough. Its cost depends on the number of changes, not on that
+// of keys.
 func (rep *replica) since(after uint64) delta {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
-	d := delta{after: after, at: rep.at}
-	if after >= rep.at {
+	d := delta{after: after, knownRevision: rep.knownRevision}
+	if after >= rep.knownRevision {
 		return d
 	}
-	if after < rep.floor {
+	if after < rep.minDeltaRevision {
 		d.after, d.whole = 0, true
 	}
-	first, _ := slices.BinarySearchFunc(rep.order, d.after+1, byRevision)
-	for _, c := range rep.order[first:] {
-		if r := rep.records[c.key]; rep.isLast(c) && !(d.whole && r.Gone) {
+	first, _ := slices.BinarySearchFunc(rep.changeLog, d.after+1, compareRevision)
+	for _, c := range rep.changeLog[first:] {
+		if r := rep.records[c.key]; rep.isCurrent(c) && !(d.whole && r.Gone) {
 			d.records = append(d.records, r)
 		}
 	}
 	return d
 }
 
-// revision returns the revision up to which all is known, and whether anything
-// is.
+// revision returns the revision up to which all changes are known, and whether the copy is
+// complete.
 func (rep *replica) revision() (uint64, bool) {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
-	return rep.at, rep.isKnown()
+	return rep.knownRevision, rep.isComplete()
 }
 
-func (rep *replica) isKnown() bool { return pause.Over(rep.known) }
+func (rep *replica) isComplete() bool { return pause.Over(rep.complete) }
--- a/relay/replica_test.go
+++ b/relay/replica_test.go
@@ -12,8 +12,8 @@
 
 var start = time.Unix(1000, 0)
 
-// live returns the content that a replica holds.
-func (rep *replica) live() map[string]string {
+// liveContent returns the values of the keys that a replica holds.
+func (rep *replica) liveContent() map[string]string {
 	content := map[string]string{}
 	for key, r := range rep.records {
 		if !r.Gone {
@@ -23,7 +23,7 @@
 	return content
 }
 
-// storeModel is a store whose changes are drawn at random.
+// storeModel is a model of a store with random changes.
 type storeModel struct {
 	revision uint64
 	records  map[string]directory.Record
@@ -50,7 +50,7 @@
 	return c
 }
 
-func (s *storeModel) live() map[string]string {
+func (s *storeModel) liveContent() map[string]string {
 	content := map[string]string{}
 	for key, r := range s.records {
 		if !r.Gone {
@@ -60,9 +60,9 @@
 	return content
 }
 
-// TestReplicaHasWhatTheRelayHas, however seldom it asks, whatever it missed and
-// however long ago a key went.
-func TestReplicaHasWhatTheRelayHas(t *testing.T) {
+// TestReplicaConvergesWithRelay checks that a replica matches the relay after each call, however
+// rarely it calls, whatever changes it missed and however long ago a key was deleted.
+func TestReplicaConvergesWithRelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &storeModel{revision: 1, records: map[string]directory.Record{}}
 		relay, replica := newReplica(), newReplica()
@@ -73,38 +73,40 @@
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				relay.apply(s.change(t), now)
-			case 2: // changes that the relay learns by reading everything
+			case 2: // changes that the relay learns from a full read
 				s.change(t)
 				relay.apply(s.whole(), now)
 			case 3:
-				now = now.Add(goneFor / 2)
+				now = now.Add(tombstoneTTL / 2)
 			case 4:
-				at, _ := replica.revision()
-				d := relay.since(at)
+				knownRevision, _ := replica.revision()
+				d := relay.since(knownRevision)
 				packed, err := newPacker().pack(d)
 				assert.NilError(t, err)
 				records, err := unpack(packed)
 				assert.NilError(t, err)
-				replica.apply(directory.Changes{Records: records, At: d.at, Whole: d.whole}, now)
-				assert.DeepEqual(t, replica.live(), relay.live())
+				replica.apply(directory.Changes{Records: records, At: d.knownRevision, Whole: d.whole}, now)
+				assert.DeepEqual(t, replica.liveContent(), relay.liveContent())
 			}
-			assert.DeepEqual(t, relay.live(), s.live())
+			assert.DeepEqual(t, relay.liveContent(), s.liveContent())
 		}
 	})
 }
 
-// TestLateRecordChangesNothing, and nothing is told to one who knows it all.
-func TestLateRecordChangesNothing(t *testing.T) {
+// TestOlderRecordIsIgnored checks that a late record does not replace a newer one, and that a
+// balancer which knows all changes gets no records.
+func TestOlderRecordIsIgnored(t *testing.T) {
 	rep := newReplica()
 	rep.apply(directory.Changes{Whole: true, At: 3, Records: []directory.Record{{Key: "a", Revision: 3, Value: []byte("new")}}}, start)
 	rep.apply(directory.Changes{At: 2, Records: []directory.Record{{Key: "a", Revision: 2, Value: []byte("old")}}}, start)
-	assert.DeepEqual(t, rep.live(), map[string]string{"a": "new"})
+	assert.DeepEqual(t, rep.liveContent(), map[string]string{"a": "new"})
 	assert.Equal(t, len(rep.since(3).records), 0)
-	assert.Equal(t, rep.since(3).at, uint64(3))
-	assert.Assert(t, rep.since(2).whole, "what happened before the first reading is not known")
+	assert.Equal(t, rep.since(3).knownRevision, uint64(3))
+	assert.Assert(t, rep.since(2).whole, "changes before the first full read are not known")
 }
 
-// TestRelaysFollowTheirRegistrations.
+// TestRelaysFollowTheirRegistrations checks the list of relays against added, deleted, late and
+// invalid registrations.
 func TestRelaysFollowTheirRegistrations(t *testing.T) {
 	rep := newReplica()
 	registration := func(zone, addr string, revision uint64) directory.Record {
@@ -124,13 +126,14 @@
 	assert.Equal(t, len(rep.allRelays()), 1)
 	assert.Equal(t, len(take(false, 6, directory.Record{Key: "relays/medina", Value: []byte("no json"), Revision: 6})), 1)
 	take(true, 9)
-	assert.Equal(t, len(rep.allRelays()), 0, "a whole reading names all there are")
+	assert.Equal(t, len(rep.allRelays()), 0, "a full read contains all registrations")
 }
 
-// TestSameChangesArePackedOnce for all who ask for them.
+// TestSameChangesArePackedOnce checks that callers that ask for the same changes share one encoded
+// result.
 func TestSameChangesArePackedOnce(t *testing.T) {
 	p := newPacker()
-	d := delta{after: 1, at: 2, records: []directory.Record{{Key: "a", Revision: 2, Value: make([]byte, 10000)}}}
+	d := delta{after: 1, knownRevision: 2, records: []directory.Record{{Key: "a", Revision: 2, Value: make([]byte, 10000)}}}
 	first, err := p.pack(d)
 	assert.NilError(t, err)
 	assert.Assert(t, len(first) < 1000, "%d bytes", len(first))
@@ -145,24 +148,24 @@
 	assert.ErrorContains(t, err, "unpack")
 }
 
-// TestForgottenEndsAreTold: one who has not heard for so long that ends of keys
-// were forgotten meanwhile is told everything.
-func TestForgottenEndsAreTold(t *testing.T) {
+// TestExpiredTombstoneForcesFullDelta checks that a balancer gets the full content if tombstones
+// that it has not seen have expired.
+func TestExpiredTombstoneForcesFullDelta(t *testing.T) {
 	rep := newReplica()
 	rep.apply(directory.Changes{Whole: true, At: 5, Records: []directory.Record{{Key: "a", Revision: 4}, {Key: "b", Revision: 5}}}, start)
 	rep.apply(directory.Changes{At: 7, Records: []directory.Record{{Key: "a", Revision: 7, Gone: true}}}, start)
 	assert.Assert(t, !rep.since(6).whole)
-	assert.Equal(t, len(rep.since(6).records), 1, "the end of a")
-	rep.apply(directory.Changes{At: 8, Records: []directory.Record{{Key: "c", Revision: 8}}}, start.Add(2*goneFor))
+	assert.Equal(t, len(rep.since(6).records), 1, "the deletion of a")
+	rep.apply(directory.Changes{At: 8, Records: []directory.Record{{Key: "c", Revision: 8}}}, start.Add(2*tombstoneTTL))
 	late := rep.since(6)
 	assert.Assert(t, late.whole)
 	assert.Equal(t, len(late.records), 2, "b and c")
-	assert.Assert(t, !rep.since(7).whole, "knows of the end")
+	assert.Assert(t, !rep.since(7).whole, "the deletion of a is already known")
 }
 
-// TestSinceTellsAllThatChanged, in order and once, whatever order the changes came in and
-// however many have been replaced.
-func TestSinceTellsAllThatChanged(t *testing.T) {
+// TestSinceReturnsEachChangeOnce checks that since returns all changes in order, whatever order
+// they arrived in and however many were replaced.
+func TestSinceReturnsEachChangeOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rep := newReplica()
 		store := &storeModel{records: map[string]directory.Record{}}
@@ -176,9 +179,9 @@
 				rep.apply(c, start)
 			}
 		}
-		rep.order = append(rep.order, make([]change, leastOrder+100)...) // as after thousands of changes
-		for i := range rep.order[len(rep.order)-leastOrder-100:] {
-			rep.order[len(rep.order)-1-i] = change{revision: store.revision, key: "replaced"}
+		rep.changeLog = append(rep.changeLog, make([]change, minChangeLog+100)...) // as after thousands of changes
+		for i := range rep.changeLog[len(rep.changeLog)-minChangeLog-100:] {
+			rep.changeLog[len(rep.changeLog)-1-i] = change{revision: store.revision, key: "replaced"}
 		}
 		rep.apply(directory.Changes{At: store.revision}, start)
 		after := rapid.Uint64Range(0, store.revision-1).Draw(t, "after")
@@ -189,22 +192,22 @@
 				want[key] = r.Revision
 			}
 		}
-		told := map[string]uint64{}
+		returned := map[string]uint64{}
 		last := uint64(0)
 		for _, r := range got.records {
 			assert.Assert(t, r.Revision >= last)
 			last = r.Revision
-			_, twice := told[r.Key]
+			_, twice := returned[r.Key]
 			assert.Assert(t, !twice)
-			told[r.Key] = r.Revision
+			returned[r.Key] = r.Revision
 		}
-		assert.DeepEqual(t, told, want)
-		assert.Assert(t, len(rep.order) <= leastOrder+2*len(rep.records), "%d", len(rep.order))
+		assert.DeepEqual(t, returned, want)
+		assert.Assert(t, len(rep.changeLog) <= minChangeLog+2*len(rep.records), "%d", len(rep.changeLog))
 	})
 }
 
-// BenchmarkSince is what one follower's answer costs beside its packing, where one of 10,000
-// endpoints has changed: 0.2 ms while all keys were looked at, less than 1 us now.
+// BenchmarkSince measures the cost of one answer to a follower without its encoding, after one of
+// 10,000 endpoints has changed: 0.2 ms when since scanned all keys, less than 1 us now.
 func BenchmarkSince(b *testing.B) {
 	rep := newReplica()
 	whole := directory.Changes{At: 10000, Whole: true}
--- a/relay/return_test.go
+++ b/relay/return_test.go
@@ -15,60 +15,60 @@
 	"gotest.tools/v3/poll"
 )
 
-// still is a follower of which nothing changes.
-type still struct {
+// staticFollower is a Follower whose state does not change.
+type staticFollower struct {
 	Follower
 	settled bool
-	read    *atomic.Int64 // readings of the registrations
-	retried *atomic.Int64 // how often a pause was ended
+	read    *atomic.Int64 // number of reads of the registrations
+	retried *atomic.Int64 // number of calls of Retry
 }
 
-// Settled is as it was made.
-func (f still) Settled(time.Time) bool { return f.settled }
+// Settled returns the configured value.
+func (f staticFollower) Settled(time.Time) bool { return f.settled }
 
-// Active: it follows the store, and waits for an answer where it is not settled.
-func (f still) Active() bool { return true }
+// Active reports that the follower watches the store, also while it is not settled.
+func (f staticFollower) Active() bool { return true }
 
-// SetActive changes nothing.
-func (f still) SetActive(bool) {}
+// SetActive does nothing.
+func (f staticFollower) SetActive(bool) {}
 
-// SetServing changes nothing.
-func (f still) SetServing(bool) {}
+// SetServing does nothing.
+func (f staticFollower) SetServing(bool) {}
 
-// Retry is counted.
-func (f still) Retry() { f.retried.Add(1) }
+// Retry counts its calls.
+func (f staticFollower) Retry() { f.retried.Add(1) }
 
-// ReadRegistrations finds none.
-func (f still) ReadRegistrations(context.Context) error {
+// ReadRegistrations counts its calls and finds no registration.
+func (f staticFollower) ReadRegistrations(context.Context) error {
 	f.read.Add(1)
 	return nil
 }
 
-// renewing is a registry whose leases never end.
-type renewing struct {
+// fakeRegistry is a Registry whose leases never expire.
+type fakeRegistry struct {
 	Registry
-	down bool // nothing is answered
+	down bool // all calls fail
 }
 
-// Renew extends it.
-func (r renewing) Renew(context.Context, uint64) error {
+// Renew succeeds unless the registry is down.
+func (r fakeRegistry) Renew(context.Context, uint64) error {
 	if r.down {
 		return errors.New("store is down")
 	}
 	return nil
 }
 
-// Register registers a balancer.
-func (r renewing) Register(context.Context, string, []byte, time.Duration) error {
+// Register succeeds unless the registry is down.
+func (r fakeRegistry) Register(context.Context, string, []byte, time.Duration) error {
 	return r.Renew(context.Background(), 0)
 }
 
-// TestAnswerToARelayEndsItsPause: the store's answer to a registration or to its renewal has the
-// changes asked for at once; a call that fails has not.
-func TestAnswerToARelayEndsItsPause(t *testing.T) {
+// TestRegistryAnswerEndsFollowerPause checks that a successful registration or renewal makes the
+// follower ask for changes at once, and that a failed one does not.
+func TestRegistryAnswerEndsFollowerPause(t *testing.T) {
 	for _, down := range []bool{false, true} {
-		f := still{retried: new(atomic.Int64)}
-		g := New(Config{Zone: "medina", Registry: renewing{down: down}, Log: hclog.NewNullLogger(), Options: Options{TTL: time.Millisecond}})
+		f := staticFollower{retried: new(atomic.Int64)}
+		g := New(Config{Zone: "medina", Registry: fakeRegistry{down: down}, Log: hclog.NewNullLogger(), Options: Options{TTL: time.Millisecond}})
 		g.follower = f
 		g.renew(t.Context(), Relay{})
 		g.register(t.Context(), nil)
@@ -80,132 +80,136 @@
 	}
 }
 
-// startStill starts a balancer with such a follower, and returns it with its address.
-func startStill(t *testing.T, settled bool) (*Group, string) {
+// startStaticGroup starts a group with a staticFollower and returns it with its address.
+func startStaticGroup(t *testing.T, settled bool) (*Group, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	addr := l.Addr().String()
-	g := New(Config{ID: addr, Zone: "medina", Addr: addr, Registry: renewing{}, Log: hclog.NewNullLogger()})
-	assert.NilError(t, g.Start(l, still{settled: settled, read: new(atomic.Int64), retried: new(atomic.Int64)}))
+	g := New(Config{ID: addr, Zone: "medina", Addr: addr, Registry: fakeRegistry{}, Log: hclog.NewNullLogger()})
+	assert.NilError(t, g.Start(l, staticFollower{settled: settled, read: new(atomic.Int64), retried: new(atomic.Int64)}))
 	t.Cleanup(g.Close)
 	return g, addr
 }
 
-// TestPredecessorIsTold: a relay whose predecessor said that it has lost the store tells
-// it that it is in touch, and no longer than that one says so.
-func TestPredecessorIsTold(t *testing.T) {
-	ctx, start := context.Background(), time.Now() // what is noted later is fresh at start, too
-	old, oldAddr := startStill(t, false)
-	next, nextAddr := startStill(t, true)
+// TestPredecessorIsNotified checks that a relay whose predecessor reported the store lost tells the
+// predecessor that it is in touch with the store, and stops once the predecessor no longer reports
+// this.
+func TestPredecessorIsNotified(t *testing.T) {
+	ctx, start := context.Background(), time.Now() // entries recorded later also count as recent at start
+	old, oldAddr := startStaticGroup(t, false)
+	next, nextAddr := startStaticGroup(t, true)
 	next.replica.apply(directory.Changes{At: 2, Whole: true, Registrations: []directory.Record{
 		{Key: "relays/medina", Value: []byte(`{"id":"next","addr":"` + nextAddr + `"}`), Revision: 2},
 	}}, time.Now())
-	s := subscription{last: Relay{Addr: oldAddr, Zone: "medina", revision: 1}}
+	s := subscription{lastRelay: Relay{Addr: oldAddr, Zone: "medina", revision: 1}}
 	next.followOnce(ctx, &s)
-	assert.Equal(t, old.inTouch(start), "", "it has not said so")
-	s.noteWord(s.last, unsettledError{lost: true, askers: 1}, time.Now())
+	assert.Equal(t, old.askerInTouch(start), "", "the predecessor has not reported the store lost")
+	s.recordReport(s.lastRelay, unsettledError{lost: true, askers: 1}, time.Now())
 	next.followOnce(ctx, &s)
-	assert.Equal(t, old.inTouch(start), nextAddr)
-	assert.Assert(t, s.outage.said(oldAddr, start), "it still says so")
-	got, ok := old.choose(&subscription{}, start)
-	assert.Assert(t, ok && got.Addr == nextAddr, "nobody is registered: it follows its successor")
-
-	back, backAddr := startStill(t, true)
-	s.last.Addr = backAddr
-	s.noteWord(s.last, unsettledError{lost: true, askers: 1}, time.Now())
+	assert.Equal(t, old.askerInTouch(start), nextAddr)
+	assert.Assert(t, s.outage.reportedBy(oldAddr, start), "the predecessor still reports the store lost")
+	got, ok := old.chooseTarget(&subscription{}, start)
+	assert.Assert(t, ok && got.Addr == nextAddr, "without a registration, the predecessor follows its successor")
+
+	back, backAddr := startStaticGroup(t, true)
+	s.lastRelay.Addr = backAddr
+	s.recordReport(s.lastRelay, unsettledError{lost: true, askers: 1}, time.Now())
 	next.followOnce(ctx, &s)
-	assert.Assert(t, !s.outage.said(backAddr, start), "it is in touch again")
-	assert.Equal(t, back.inTouch(start), nextAddr)
+	assert.Assert(t, !s.outage.reportedBy(backAddr, start), "the predecessor is in touch again")
+	assert.Equal(t, back.askerInTouch(start), nextAddr)
 }
 
-// TestRelayThatAnswersIsAskedAgain: a relay that was left alone while it had lost the
-// store is asked like any other as soon as it has answered a question that waited there.
-func TestRelayThatAnswersIsAskedAgain(t *testing.T) {
+// TestAnswerClearsPenalty checks that a relay which was penalized because it had lost the store is
+// asked again as soon as it has answered a call that waited there.
+func TestAnswerClearsPenalty(t *testing.T) {
 	now := time.Now()
 	g := New(Config{Zone: "medina", Addr: "10.0.0.2:1", Log: hclog.NewNullLogger()})
-	g.follower = still{retried: new(atomic.Int64)}
+	g.follower = staticFollower{retried: new(atomic.Int64)}
 	g.replica.apply(directory.Changes{At: 2, Whole: true, Registrations: []directory.Record{
 		{Key: "relays/medina", Value: []byte(`{"id":"vm","addr":"10.0.0.1:1"}`), Revision: 2},
 	}}, now)
 	var s subscription
-	relay, ok := g.choose(&s, now)
+	relay, ok := g.chooseTarget(&s, now)
 	assert.Assert(t, ok)
-	g.left(relay, &s, unsettledError{lost: true}, now)
-	_, ok = g.choose(&s, now)
-	assert.Assert(t, !ok, "it is left alone")
-	g.followedRelay(relay, &s, now)
-	got, ok := g.choose(&s, now)
+	g.recordFailure(relay, &s, unsettledError{lost: true}, now)
+	_, ok = g.chooseTarget(&s, now)
+	assert.Assert(t, !ok, "the penalized relay is not asked")
+	g.recordAnswer(relay, &s, now)
+	got, ok := g.chooseTarget(&s, now)
 	assert.Assert(t, ok && got.Addr == relay.Addr)
 }
 
-// TestGiverIsAskedForRelays: a balancer that has just started and knows no relay asks the
-// one that handed its first copy on, and the store only where that one knows none either.
-func TestGiverIsAskedForRelays(t *testing.T) {
+// TestBootstrapSourceIsAskedForRelays checks that a balancer which has just started and knows no
+// relay asks the balancer that provided its first copy, and reads the store only if that one knows
+// no relay either.
+func TestBootstrapSourceIsAskedForRelays(t *testing.T) {
 	ctx := context.Background()
-	_, relayAddr := startStill(t, true)
-	giver, giverAddr := startStill(t, false)
+	_, relayAddr := startStaticGroup(t, true)
+	giver, giverAddr := startStaticGroup(t, false)
 	readings := new(atomic.Int64)
 	g := New(Config{Zone: "medina", Addr: "10.0.0.2:1", Log: hclog.NewNullLogger(), Options: Options{StartPoll: time.Millisecond}})
-	g.follower = still{read: readings, retried: new(atomic.Int64)}
+	g.follower = staticFollower{read: readings, retried: new(atomic.Int64)}
 	g.starting.Store(true)
-	g.first = bootstrap.Result{From: giverAddr}
+	g.bootstrapResult = bootstrap.Result{From: giverAddr}
 	var s subscription
-	g.withoutRelay(ctx, &s)
-	assert.Equal(t, readings.Load(), int64(1), "the giver knows no relay")
+	g.handleNoRelay(ctx, &s)
+	assert.Equal(t, readings.Load(), int64(1), "the bootstrap source knows no relay")
 	giver.starting.Store(true)
 	giver.replica.apply(directory.Changes{At: 1, Whole: true, Registrations: []directory.Record{
 		{Key: "relays/tribunal", Value: []byte(`{"id":"other","addr":"` + relayAddr + `"}`), Revision: 1},
 	}}, time.Now())
-	g.withoutRelay(ctx, &s)
-	assert.Equal(t, readings.Load(), int64(1), "it has heard of one since")
-	got, ok := g.choose(&s, time.Now())
+	g.handleNoRelay(ctx, &s)
+	assert.Equal(t, readings.Load(), int64(1), "the bootstrap source has learned of a relay")
+	got, ok := g.chooseTarget(&s, time.Now())
 	assert.Assert(t, ok && got.Addr == relayAddr)
-	g.first = bootstrap.Result{From: bootstrap.FromStore}
-	g.withoutRelay(ctx, &subscription{})
-	assert.Equal(t, readings.Load(), int64(2), "nobody handed the copy on")
+	g.bootstrapResult = bootstrap.Result{From: bootstrap.FromStore}
+	g.handleNoRelay(ctx, &subscription{})
+	assert.Equal(t, readings.Load(), int64(2), "the first copy came from the store")
 
 	g.replica.apply(directory.Changes{At: 2, Whole: true, Registrations: []directory.Record{
 		{Key: "relays/medina", Value: []byte(`{"id":"own","addr":"10.0.0.3:1"}`), Revision: 1},
 		{Key: "relays/tribunal", Value: []byte(`{"id":"other","addr":"` + relayAddr + `"}`), Revision: 2},
 	}}, time.Now())
-	g.followedRelay(got, &s, time.Now())
-	got, ok = g.choose(&s, time.Now())
-	assert.Assert(t, ok && got.Addr == "10.0.0.3:1", "the relay of the own zone goes first")
+	g.recordAnswer(got, &s, time.Now())
+	got, ok = g.chooseTarget(&s, time.Now())
+	assert.Assert(t, ok && got.Addr == "10.0.0.3:1", "the relay of the own zone takes precedence")
 }
 
-// turning is a follower that is settled until it is told otherwise.
-type turning struct {
-	still
+// settableFollower is a staticFollower that is settled until lost is set.
+type settableFollower struct {
+	staticFollower
 	lost *atomic.Bool
 }
 
-// Settled is what it was told.
-func (f turning) Settled(time.Time) bool { return !f.lost.Load() }
+// Settled returns false once lost is set.
+func (f settableFollower) Settled(time.Time) bool { return !f.lost.Load() }
 
-// TestRelayThatLosesTheStoreSaysSoAtOnce: a question that waits for changes is answered as soon as
-// the relay has lost the store, and not at the end of its wait. Users saw a configuration 70 ms
-// later than allowed: followers heard 1.3 s after the change that their relay had lost the store,
-// 0.4 s of which their questions waited there though it knew.
-func TestRelayThatLosesTheStoreSaysSoAtOnce(t *testing.T) {
+// TestRelayReportsStoreLossAtOnce checks that a call which waits for changes is answered as soon as
+// the relay loses the store, not at the end of its wait. Users saw a configuration 70 ms later than
+// allowed: followers learned 1.3 s after the change that their relay had lost the store, and 0.4 s
+// of that their calls waited at the relay although it knew.
+func TestRelayReportsStoreLossAtOnce(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	addr := l.Addr().String()
 	lost := new(atomic.Bool)
-	relay := New(Config{ID: addr, Zone: "medina", Addr: addr, Registry: renewing{}, Log: hclog.NewNullLogger()})
-	assert.NilError(t, relay.Start(l, turning{still: still{read: new(atomic.Int64), retried: new(atomic.Int64)}, lost: lost}))
+	relay := New(Config{ID: addr, Zone: "medina", Addr: addr, Registry: fakeRegistry{}, Log: hclog.NewNullLogger()})
+	assert.NilError(t, relay.Start(l, settableFollower{staticFollower: staticFollower{read: new(atomic.Int64), retried: new(atomic.Int64)}, lost: lost}))
 	t.Cleanup(relay.Close)
 	relay.replica.apply(directory.Changes{At: 2, Whole: true}, time.Now())
 	l, err = net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	follower := New(Config{ID: "b", Zone: "medina", Addr: l.Addr().String(), Registry: renewing{}, Log: hclog.NewNullLogger(), Options: Options{Wait: maxWait}})
-	assert.NilError(t, follower.Start(l, still{read: new(atomic.Int64), retried: new(atomic.Int64)}))
+	follower := New(Config{ID: "b", Zone: "medina", Addr: l.Addr().String(), Registry: fakeRegistry{}, Log: hclog.NewNullLogger(), Options: Options{Wait: maxWait}})
+	assert.NilError(t, follower.Start(l, staticFollower{read: new(atomic.Int64), retried: new(atomic.Int64)}))
 	t.Cleanup(follower.Close)
 	follower.replica.apply(directory.Changes{At: 2, Whole: true}, time.Now())
 	answered := make(chan error, 1)
-	go func() { answered <- follower.ask(context.Background(), Relay{Addr: addr, Zone: "medina"}, false) }()
+	go func() {
+		answered <- follower.fetchChanges(context.Background(), Relay{Addr: addr, Zone: "medina"}, false)
+	}()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if relay.asks() == 0 {
+		if relay.askerCount() == 0 {
 			return poll.Continue("not asked yet")
 		}
 		return poll.Success()
@@ -217,13 +221,13 @@
 		var unsettled unsettledError
 		assert.Assert(t, errors.As(err, &unsettled), "%v", err)
 	case <-time.After(maxWait / 2):
-		t.Fatal("it waits on")
+		t.Fatal("the call still waits after the relay lost the store")
 	}
 }
 
-// asks returns how many balancers have asked lately.
-func (g *Group) asks() int {
+// askerCount returns the number of balancers that asked lately.
+func (g *Group) askerCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.askers.asked)
+	return len(g.askers.lastAsked)
 }
--- a/relay/rules.go
+++ b/relay/rules.go
@@ -7,36 +7,36 @@
 	"github.com/lotuswing/lotuswing/bootstrap"
 )
 
-// The rules of following and registering, as functions of their arguments.
+// This file holds the rules of following and registering as functions without side effects.
 
 const (
-	// unsettledDivisor shortens the penalty of a relay that answers but is not settled: asking it
-	// again costs little.
-	unsettledDivisor = 4
-	// otherRelaysFactor lengthens the random wait while relays of other zones serve: nothing
-	// presses then, and what another balancer registers becomes known late.
-	otherRelaysFactor = 10
+	// unsettledPenaltyDivisor shortens the penalty of a relay that answers but is not settled:
+	// asking it again costs little.
+	unsettledPenaltyDivisor = 4
+	// otherRelaysJitterFactor lengthens the registration jitter while relays of other zones serve:
+	// registration is not urgent then, and a registration by another balancer becomes known late.
+	otherRelaysJitterFactor = 10
 )
 
-// unsettledError says that a balancer that was asked is not up to date itself.
+// unsettledError reports that the balancer that was asked does not have the store's current state.
 type unsettledError struct {
-	lost    bool   // because the store does not answer it
-	askers  int    // balancers that asked it lately
-	instead string // address of one that may be asked; empty for none
+	lost        bool   // the store does not answer it
+	askers      int    // number of balancers that asked it lately
+	alternative string // address of a balancer to ask instead; empty for none
 }
 
-// Error tells it.
+// Error implements error.
 func (e unsettledError) Error() string {
 	if e.lost {
-		return "relay: not settled, store lost"
+		return "relay: peer is not up to date: store does not answer it"
 	}
-	return "relay: not settled"
+	return "relay: peer is not up to date"
 }
 
-// nextRelay returns the relay to ask: that of the own zone first, then others in
-// an order of this balancer's own, so that the balancers of a zone without a relay
-// spread. Those that failed lately are left out.
-func nextRelay(all []Relay, own Relay, penalized map[string]time.Time, turn int, now time.Time) (Relay, bool) {
+// nextRelay returns the relay to ask, and false if there is none. It prefers the relay of this
+// balancer's own zone, then selects another one by offset, so that the balancers of a zone without
+// a relay spread over the others. It skips relays whose penalty lasts.
+func nextRelay(all []Relay, own Relay, penalized map[string]time.Time, offset int, now time.Time) (Relay, bool) {
 	var candidates []Relay
 	for _, r := range all {
 		if r.Addr != own.Addr && !now.Before(penalized[r.Addr]) {
@@ -51,56 +51,59 @@
 			return r, true
 		}
 	}
-	return candidates[turn%len(candidates)], true
+	return candidates[offset%len(candidates)], true
 }
 
-// penalty returns for how long a relay that failed with err is left alone. One that has
-// lost the store is asked seldom: its followers wait at the relay of their own zone.
+// penalty returns how long a relay that failed with err is not asked. A relay that has lost the
+// store gets the full penalty: its followers wait at the relay of their own zone.
 func (o Options) penalty(err error) time.Duration {
 	var unsettled unsettledError
 	if errors.As(err, &unsettled) && !unsettled.lost {
-		return o.Penalty / unsettledDivisor
+		return o.Penalty / unsettledPenaltyDivisor
 	}
 	return o.Penalty
 }
 
-// outOfTouch reports whether no settled relay has answered for so long that the
-// store has to be followed meanwhile: others may fail in the same way.
-func (o Options) outOfTouch(lastGood, now time.Time) bool {
-	return now.Sub(lastGood) > o.Wait+o.Slack
+// mustFollowStore reports whether the last answer of a settled relay is so old that this balancer
+// has to watch the store in the meantime: other relays may fail in the same way.
+func (o Options) mustFollowStore(lastSettledAnswer, now time.Time) bool {
+	return now.Sub(lastSettledAnswer) > o.Wait+o.Slack
 }
 
-// jitter returns the bound of the random part of the wait before a registration.
-func (o Options) jitter(relays int) time.Duration {
+// maxJitter returns the upper bound of the random part of the wait before a registration, given the
+// number of registered relays.
+func (o Options) maxJitter(relays int) time.Duration {
 	if relays > 0 {
-		return o.BackoffJitter * otherRelaysFactor
+		return o.BackoffJitter * otherRelaysJitterFactor
 	}
 	return o.BackoffJitter
 }
 
-// leastScatter is the part of its bound that the random part of the wait has at least. The
-// wait of a VM grows with the inverse of its processor share, so that with this part all of
-// a zone's VMs with four times the share of the others have waited to the end before the
-// first of these may register, however many they are: their links are narrow.
-const leastScatter = 0.25
+// minJitterShare is the least fraction of its upper bound that the random part of the wait takes.
+// The wait of a VM grows with the inverse of its processor share. With this fraction, all VMs of a
+// zone with four times the share of the others have finished their wait before the first of the
+// others may register, whatever their number. Small VMs should not become relays, because their
+// network links are narrow.
+const minJitterShare = 0.25
 
-// turn returns which part of the random wait a balancer draws, given a random number from 0
-// to 1. Seeds come after all others of their size: they are asked for first copies anyway,
-// so that a fleet that starts has more balancers to ask where its relays are others.
-func turn(isSeed bool, random float64) float64 {
+// registrationDraw maps a random number from 0 to 1 to the balancer's position in the jitter range,
+// also from 0 to 1. Seeds come after all other balancers of their size: they serve first copies
+// anyway, so a fleet that starts has more balancers to ask if its relays are not seeds.
+func registrationDraw(isSeed bool, random float64) float64 {
 	if isSeed {
 		return (1 + random) / 2
 	}
 	return random / 2
 }
 
-// scatter returns the random part of the wait, given its bound. random is from 0 to 1.
-func scatter(bound time.Duration, random float64) time.Duration {
-	return time.Duration((leastScatter + (1-leastScatter)*random) * float64(bound))
+// drawJitter returns the random part of the wait, given its upper bound and a random number from 0
+// to 1.
+func drawJitter(bound time.Duration, random float64) time.Duration {
+	return time.Duration((minJitterShare + (1-minJitterShare)*random) * float64(bound))
 }
 
-// backoff returns how long a balancer with a processor share, in cores, leaves a
-// vacancy to others. random is the random part.
+// backoff returns how long a balancer waits before it registers, given the random part of the wait
+// and its processor share in cores.
 func (o Options) backoff(random time.Duration, cores float64) time.Duration {
 	return bootstrap.BySize(o.BackoffBase+random, cores)
 }
--- a/relay/rules_test.go
+++ b/relay/rules_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestNextRelay: the own zone's relay first, then others, spread by turn.
+// TestNextRelay checks that the relay of the own zone comes first and that others are selected by
+// offset.
 func TestNextRelay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	own := Relay{Addr: "me", Zone: "medina"}
@@ -23,13 +24,13 @@
 		turn      int
 		want      string // empty for none
 	}{
-		{"that of the own zone", all, nil, 1, "a"},
-		{"another one while it is left alone", all, failed("a"), 0, "b"},
-		{"another one in turn", all, failed("a"), 1, "c"},
-		{"that of the own zone again", all, map[string]time.Time{"a": now}, 0, "a"},
-		{"not itself", []Relay{{ID: "me", Addr: "me", Zone: "medina"}}, nil, 0, ""},
+		{"relay of the own zone", all, nil, 1, "a"},
+		{"another relay while that one is penalized", all, failed("a"), 0, "b"},
+		{"another relay by offset", all, failed("a"), 1, "c"},
+		{"relay of the own zone after its penalty", all, map[string]time.Time{"a": now}, 0, "a"},
+		{"not this balancer itself", []Relay{{ID: "me", Addr: "me", Zone: "medina"}}, nil, 0, ""},
 		{"none", nil, nil, 0, ""},
-		{"none that is not left alone", []Relay{home}, failed("a"), 0, ""},
+		{"all relays penalized", []Relay{home}, failed("a"), 0, ""},
 	} {
 		got, ok := nextRelay(c.all, own, c.penalized, c.turn, now)
 		assert.Equal(t, ok, c.want != "", c.name)
@@ -37,40 +38,43 @@
 	}
 }
 
-// TestTimesOfRelays: how long one that failed is left alone, when the store is
-// followed instead, and how long a vacancy is left to others.
-func TestTimesOfRelays(t *testing.T) {
+// TestPenaltyAndBackoff checks how long a relay that failed is not asked, when the store is watched
+// instead, and how long a balancer waits before it registers.
+func TestPenaltyAndBackoff(t *testing.T) {
 	o := Options{}.withDefaults()
 	now := time.Unix(1000, 0)
 	assert.Equal(t, o.penalty(errors.New("silent")), 3*time.Second)
 	assert.Equal(t, o.penalty(unsettledError{}), 750*time.Millisecond)
-	assert.Equal(t, o.penalty(unsettledError{lost: true}), 3*time.Second, "its followers wait elsewhere")
-	assert.Assert(t, !o.outOfTouch(now.Add(-650*time.Millisecond), now))
-	assert.Assert(t, o.outOfTouch(now.Add(-651*time.Millisecond), now))
-	assert.Equal(t, o.jitter(0), time.Second)
-	assert.Equal(t, o.jitter(2), 10*time.Second)
+	assert.Equal(t, o.penalty(unsettledError{lost: true}), 3*time.Second, "followers of a relay that lost the store wait elsewhere")
+	assert.Assert(t, !o.mustFollowStore(now.Add(-650*time.Millisecond), now))
+	assert.Assert(t, o.mustFollowStore(now.Add(-651*time.Millisecond), now))
+	assert.Equal(t, o.maxJitter(0), time.Second)
+	assert.Equal(t, o.maxJitter(2), 10*time.Second)
 	assert.Equal(t, o.backoff(0, 0.2), 300*time.Millisecond)
 	assert.Equal(t, o.backoff(100*time.Millisecond, 0.8), 100*time.Millisecond)
 	assert.Equal(t, o.backoff(0, 0.01), 600*time.Millisecond, "a very small VM counts as one with 0.1 of a core")
 }
 
-// TestLargerVMsRegisterFirst, however many small ones there are: the last of those with
-// four times the processor share has waited to the end before the first small one.
+// TestLargerVMsRegisterFirst checks that every VM with four times the processor share finishes its
+// wait before the first small VM does, however many VMs there are.
 func TestLargerVMsRegisterFirst(t *testing.T) {
 	o := Options{}.withDefaults()
 	for _, relays := range []int{0, 1, 3} {
-		wait := func(random, cores float64) time.Duration { return o.backoff(scatter(o.jitter(relays), random), cores) }
+		wait := func(random, cores float64) time.Duration {
+			return o.backoff(drawJitter(o.maxJitter(relays), random), cores)
+		}
 		assert.Assert(t, wait(1, 0.8) < wait(0, 0.2), "%d relays: %v, %v", relays, wait(1, 0.8), wait(0, 0.2))
-		assert.Assert(t, wait(0, 0.2) < wait(1, 0.2), "equals spread")
+		assert.Assert(t, wait(0, 0.2) < wait(1, 0.2), "VMs of the same size spread")
 	}
-	assert.Assert(t, o.backoff(scatter(o.jitter(0), 1), 0.16) < o.TTL, "without any relay, one registers soon")
+	assert.Assert(t, o.backoff(drawJitter(o.maxJitter(0), 1), 0.16) < o.TTL, "without any relay, a balancer registers soon")
 }
 
-// TestSeedsRegisterAfterOthersOfTheirSize, and before smaller VMs.
+// TestSeedsRegisterAfterOthersOfTheirSize checks that seeds register after all other VMs of their
+// size and before smaller VMs.
 func TestSeedsRegisterAfterOthersOfTheirSize(t *testing.T) {
 	o := Options{}.withDefaults()
 	wait := func(isSeed bool, random, cores float64) time.Duration {
-		return o.backoff(scatter(o.jitter(1), turn(isSeed, random)), cores)
+		return o.backoff(drawJitter(o.maxJitter(1), registrationDraw(isSeed, random)), cores)
 	}
 	assert.Assert(t, wait(false, 0.999, 0.8) < wait(true, 0, 0.8))
 	assert.Assert(t, wait(true, 1, 0.8) < wait(false, 0, 0.2))
--- a/relay/server.go
+++ b/relay/server.go
@@ -9,91 +9,94 @@
 	"github.com/lotuswing/lotuswing/link"
 )
 
-// ChangesArgs asks a relay for what changed after a revision. It answers after
-// Wait at the latest. Package gob sends the names of the fields.
+// ChangesArgs asks a relay for the changes after a revision. The relay answers after Wait at the
+// latest. Package gob sends the names of the fields.
 type ChangesArgs struct {
 	After   uint64
 	Wait    time.Duration
-	From    string // address of the one that asks; empty from those that do not tell it
-	Patient bool   // a relay that is not settled answers when it is again, or after Wait
-	InTouch bool   // the one that asks follows the store itself, and is settled
-	// TakesNotes: notes are wanted, from after a place in the log of a life of the relay.
+	From    string // address of the caller; empty if its version does not send it
+	Patient bool   // an unsettled relay delays its answer until it is settled or knows another balancer to ask, at most for Wait
+	InTouch bool   // the caller watches the store itself and is settled
+	// TakesNotes requests the notes after index NotesAfter in the log of the process that NotesLife
+	// identifies.
 	TakesNotes bool
 	NotesLife  uint64
 	NotesAfter uint64
 }
 
-// ChangesReply tells it.
+// ChangesReply is the answer to ChangesArgs.
 type ChangesReply struct {
-	Settled   bool   // the relay follows the store and is up to date
-	Whole     bool   // the records are all there are
+	Settled   bool   // the relay watches the store and is up to date; the records are valid
+	Whole     bool   // the records are the full content
 	At        uint64 // revision up to which the relay knows all changes
-	Packed    []byte // records of the store, see packer; empty for none
+	Packed    []byte // records of the store, encoded by packer; empty for none
 	StoreLost bool   // the relay is not settled because the store does not answer it
-	Askers    int    // how many balancers asked it lately
-	Instead   string // the address of one of these that is in touch with the store; empty for none
-	// Notes that were asked for, settled or not, with the life of the log and the place of
-	// the last one.
+	Askers    int    // number of balancers that asked the relay lately
+	Instead   string // if the relay is not settled: address of a balancer to ask instead; empty for none
+	// The requested notes, whether the relay is settled or not, with the life of the log and the
+	// index of its last note.
 	Notes     []Note
 	NotesLife uint64
 	NotesAt   uint64
 }
 
-// methodChanges is the name under which net/rpc knows receiver.Changes.
+// methodChanges is the net/rpc name of rpcService.Changes.
 const methodChanges = link.Service + ".Changes"
 
-// methodCopy is the name under which net/rpc knows receiver.Copy.
+// methodCopy is the net/rpc name of rpcService.Copy.
 const methodCopy = link.Service + ".Copy"
 
-// maxWait bounds how long a call waits for changes, whatever it asks for.
+// maxWait bounds how long a call waits for changes, whatever its Wait is.
 const maxWait = 30 * time.Second
 
-// receiver answers other balancers, in the form that net/rpc asks for.
-type receiver struct{ group *Group }
+// rpcService holds the methods that other balancers call through net/rpc.
+type rpcService struct{ group *Group }
 
-// Changes waits for changes and notes and tells them.
-func (r *receiver) Changes(args ChangesArgs, reply *ChangesReply) error {
+// Changes waits for changes or notes and returns them.
+func (r *rpcService) Changes(args ChangesArgs, reply *ChangesReply) error {
 	err := r.changes(args, reply)
 	if args.TakesNotes {
-		notes, at := r.group.notes.since(args.notesPlace(), "", bootclock.Now())
+		notes, at := r.group.notes.since(args.notesPosition(), "", bootclock.Now())
 		reply.Notes, reply.NotesLife, reply.NotesAt = notes, at.life, at.at
 	}
 	return err
 }
 
-// notesPlace returns the place after which notes are wanted.
-func (a ChangesArgs) notesPlace() place { return place{life: a.NotesLife, at: a.NotesAfter} }
+// notesPosition returns the position after which notes are requested.
+func (args ChangesArgs) notesPosition() logPosition {
+	return logPosition{life: args.NotesLife, at: args.NotesAfter}
+}
 
-// changes waits for changes, or for notes, and tells the changes.
-func (r *receiver) changes(args ChangesArgs, reply *ChangesReply) error {
+// changes waits for changes or notes and returns the changes.
+func (r *rpcService) changes(args ChangesArgs, reply *ChangesReply) error {
 	g := r.group
 	g.cfg.Suspensions.Check()
-	g.noteAsker(args, time.Now())
+	g.recordAsker(args, time.Now())
 	wait := min(args.Wait, maxWait)
-	news := func() bool { return args.TakesNotes && g.notes.after(args.notesPlace()) }
+	hasNotes := func() bool { return args.TakesNotes && g.notes.hasAfter(args.notesPosition()) }
 	if args.Patient {
-		g.waitSettled(args.From, wait, news)
+		g.waitSettled(args.From, wait, hasNotes)
 	}
 	if !g.follower.Settled(time.Now()) {
 		*reply = g.unsettledReply(time.Now())
 		return nil
 	}
-	g.replica.waitAfter(context.Background(), args.After, wait, func() bool { return news() || !g.follower.Settled(time.Now()) })
-	g.cfg.Suspensions.Check() // meanwhile
+	g.replica.waitAfter(context.Background(), args.After, wait, func() bool { return hasNotes() || !g.follower.Settled(time.Now()) })
+	g.cfg.Suspensions.Check() // the VM may have been suspended during the wait
 	d := g.replica.since(args.After)
 	packed, err := g.packer.pack(d)
 	if err != nil {
 		return err
 	}
-	*reply = ChangesReply{Settled: g.follower.Settled(time.Now()), Whole: d.whole, At: d.at, Packed: packed}
+	*reply = ChangesReply{Settled: g.follower.Settled(time.Now()), Whole: d.whole, At: d.knownRevision, Packed: packed}
 	if !reply.Settled {
 		*reply = g.unsettledReply(time.Now())
 	}
 	return nil
 }
 
-// Copy hands everything that is known to a balancer that starts.
-func (r *receiver) Copy(args bootstrap.CopyArgs, reply *bootstrap.CopyReply) error {
+// Copy returns the full content, or a part of it, to a balancer that starts.
+func (r *rpcService) Copy(args bootstrap.CopyArgs, reply *bootstrap.CopyReply) error {
 	answer, err := r.group.giver.Answer(context.Background(), args)
 	if err != nil {
 		return err
--- a/relay/status.go
+++ b/relay/status.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Status is what a group tells operators at /status of where its copy of the store
-// comes from. Its names are the JSON's.
+// Status describes to operators, at /status, where the group's copy of the store comes from. Its
+// field names are those of the JSON.
 type Status struct {
-	FirstFrom  string        // who had the first copy: a balancer's address, or "store"; empty while there is none
-	FirstAfter time.Duration // from the start until it was in force
-	Following  string        // a relay's identity, or "store"
-	Age        time.Duration // since what is in force was known to be the store's present state
+	FirstFrom  string        // source of the first copy: a balancer's address or "store"; empty until there is one
+	FirstAfter time.Duration // from the start until the first copy was applied
+	Following  string        // ID of the relay that is followed, or "store"
+	Age        time.Duration // since the copy was last confirmed to be the store's current state
 }
 
-// FollowsStore stands in Status for the store.
+// FollowsStore is the value of Status.Following while the balancer watches the store.
 const FollowsStore = "store"
 
-// Status returns the status at now.
+// Status returns the status at the time now.
 func (g *Group) Status(now time.Time) Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	st := Status{FirstFrom: g.first.From, FirstAfter: g.first.After, Following: g.relayed.ID}
-	confirmed := g.confirmed
+	st := Status{FirstFrom: g.bootstrapResult.From, FirstAfter: g.bootstrapResult.After, Following: g.currentRelay.ID}
+	confirmedAt := g.confirmedAt
 	if g.follower.Active() {
 		st.Following = FollowsStore
-		if answered := g.follower.Answered(); answered.After(confirmed) {
-			confirmed = answered
+		if answered := g.follower.Answered(); answered.After(confirmedAt) {
+			confirmedAt = answered
 		}
 	}
-	if !confirmed.IsZero() {
-		st.Age = now.Sub(confirmed)
+	if !confirmedAt.IsZero() {
+		st.Age = now.Sub(confirmedAt)
 	}
 	return st
 }
--- a/relay/telling.go
+++ b/relay/telling.go
@@ -11,65 +11,65 @@
 	"github.com/lotuswing/lotuswing/link"
 )
 
-// What one balancer sees and all should know goes by notes. Whoever has one tells it to the
-// relays of all zones, and these to those that wait at them, with the changes of the store.
-// The store is not asked for it. A relay that is gone keeps nobody: each balancer tells a
-// relay that registers all that it has told itself in the last minutes, and a relay that
-// lost the store hands notes on like any other. With R relays and N balancers a note costs
-// R calls of the one that tells it and N answers to questions that wait anyway, of some 200
-// bytes each.
+// Notes broadcast what one balancer observes and all should know. The publisher sends a note to
+// the relays of all zones, and each relay adds it to its answers to the balancers that wait there
+// for changes. The store is not involved. The failure of a relay loses no notes: each balancer
+// sends its own notes of the last minutes to a relay that registers, and a relay that has lost the
+// store passes notes on like any other. With R relays and N balancers a note costs R calls by its
+// publisher and N answers to calls that wait anyway, of some 200 bytes each.
 
 const (
-	// gatherNotes is how long a relay waits for further notes before it wakes those that wait at
-	// it, so that what many see at once is not handed on one by one.
-	gatherNotes = 5 * time.Millisecond
-	// tellPause and tellMost are the pauses after a relay did not take notes: the first one,
-	// which is doubled, and the longest.
-	tellPause = 250 * time.Millisecond
-	tellMost  = 4 * time.Second
+	// noteBatchDelay is how long a relay collects notes before it wakes waiting calls, so that
+	// notes published by many balancers at once are not passed on one by one.
+	noteBatchDelay = 5 * time.Millisecond
+	// deliveryBackoff is the first pause after a failed delivery of notes. It doubles with each
+	// failure, up to maxDeliveryBackoff.
+	deliveryBackoff    = 250 * time.Millisecond
+	maxDeliveryBackoff = 4 * time.Second
 )
 
-// TellArgs tells a relay notes of a balancer. Package gob sends the names of the fields.
+// TellArgs delivers notes to a relay. Package gob sends the names of the fields.
 type TellArgs struct {
 	Notes []Note
 }
 
-// TellReply says which start of the relay has taken them.
+// TellReply identifies the process that accepted the notes, by its life; see Note.
 type TellReply struct {
 	Life uint64
 }
 
-// methodTell is the name under which net/rpc knows receiver.Tell.
+// methodTell is the net/rpc name of rpcService.Tell.
 const methodTell = link.Service + ".Tell"
 
-// Tell takes notes of another balancer.
-func (r *receiver) Tell(args TellArgs, reply *TellReply) error {
-	r.group.hear(args.Notes)
+// Tell accepts notes of another balancer.
+func (r *rpcService) Tell(args TellArgs, reply *TellReply) error {
+	r.group.receiveNotes(args.Notes)
 	reply.Life = r.group.notes.life
 	return nil
 }
 
-// Publish tells something to all balancers of the deployment, as far as they can be
-// reached within the next minutes.
+// Publish broadcasts a note to all balancers of the deployment, as far as they can be reached
+// within the next minutes. It returns ErrNoteTooLong if data is too long.
 func (g *Group) Publish(topic string, data []byte) error {
-	if len(data) > mostNoteBytes {
+	if len(data) > maxNoteBytes {
 		return ErrNoteTooLong
 	}
 	g.notes.add([]Note{{
-		Origin: g.cfg.Addr, Life: g.notes.life, Number: g.published.Add(1), Topic: topic, Data: slices.Clone(data),
+		Origin: g.cfg.Addr, Life: g.notes.life, Number: g.notesPublished.Add(1), Topic: topic, Data: slices.Clone(data),
 	}}, bootclock.Now())
-	g.wakeForNotes()
-	g.tellRelays()
+	g.scheduleNoteWake()
+	g.deliverToRelays()
 	return nil
 }
 
-// hear notes what other balancers tell and passes on what is news.
-func (g *Group) hear(notes []Note) {
+// receiveNotes adds the notes of other balancers to the log, wakes waiting calls and passes new
+// notes to OnNote.
+func (g *Group) receiveNotes(notes []Note) {
 	news := g.notes.add(notes, bootclock.Now())
 	if len(news) == 0 {
 		return
 	}
-	g.wakeForNotes()
+	g.scheduleNoteWake()
 	for _, n := range news {
 		if g.cfg.OnNote != nil && n.Origin != g.cfg.Addr {
 			g.cfg.OnNote(n)
@@ -77,93 +77,93 @@
 	}
 }
 
-// wakeForNotes wakes those that wait here, once what comes at the same time has come.
-func (g *Group) wakeForNotes() {
-	if g.waking.CompareAndSwap(false, true) {
-		time.AfterFunc(gatherNotes, func() {
-			g.waking.Store(false)
-			g.replica.wake()
+// scheduleNoteWake wakes waiting calls after noteBatchDelay, unless that is already scheduled.
+func (g *Group) scheduleNoteWake() {
+	if g.wakeScheduled.CompareAndSwap(false, true) {
+		time.AfterFunc(noteBatchDelay, func() {
+			g.wakeScheduled.Store(false)
+			g.replica.wakeWaiters()
 		})
 	}
 }
 
-// tellRelays has the own notes told to each relay that has not taken them yet, and to the
-// balancer that was last asked for changes, which need not be one while a fleet starts or
-// the store is lost.
-func (g *Group) tellRelays() {
+// deliverToRelays starts delivery of this balancer's notes to all registered relays and to the last
+// responder, which may be no relay while a fleet starts or the store is lost.
+func (g *Group) deliverToRelays() {
 	relays := g.replica.allRelays()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, r := range append(relays, Relay{Addr: g.asked}) {
+	for _, r := range append(relays, Relay{Addr: g.lastResponder}) {
 		if r.Addr != "" && r.Addr != g.cfg.Addr {
-			g.beginTelling(r.Addr)
+			g.startDelivery(r.Addr)
 		}
 	}
 }
 
-// beginTelling begins to tell a balancer the own notes, unless that is under way; g.mu is
-// held.
-func (g *Group) beginTelling(addr string) {
-	if g.live == nil || g.telling[addr] {
+// startDelivery starts a goroutine that delivers this balancer's notes to the balancer at addr,
+// unless one runs already; g.mu must be held.
+func (g *Group) startDelivery(addr string) {
+	if g.runCtx == nil || g.delivering[addr] {
 		return
 	}
-	g.telling[addr] = true
-	ctx := g.live
-	g.done.Go(func() { g.tell(ctx, addr) })
+	g.delivering[addr] = true
+	ctx := g.runCtx
+	g.done.Go(func() { g.deliverNotes(ctx, addr) })
 }
 
-// tell tells a balancer the own notes until it has taken all of them or hands on nothing any
-// more.
-func (g *Group) tell(ctx context.Context, addr string) {
-	wait := tellPause
+// deliverNotes delivers this balancer's notes to the balancer at addr until that one has accepted
+// them all or no longer passes notes on.
+func (g *Group) deliverNotes(ctx context.Context, addr string) {
+	wait := deliveryBackoff
 	for {
-		notes, at, ok := g.untold(ctx, addr)
+		notes, at, ok := g.undeliveredNotes(ctx, addr)
 		if !ok {
 			return
 		}
-		if err := g.tellOnce(ctx, addr, notes, at); err != nil {
-			g.cfg.Log.Debug("notes not told", "relay", addr, "error", err)
+		if err := g.deliverOnce(ctx, addr, notes, at); err != nil {
+			g.cfg.Log.Debug("could not deliver notes", "relay", addr, "error", err)
 			pause.For(ctx, wait)
-			wait = min(2*wait, tellMost)
+			wait = min(2*wait, maxDeliveryBackoff)
 			continue
 		}
-		wait = tellPause
+		wait = deliveryBackoff
 	}
 }
 
-// untold returns the own notes that a balancer has not taken yet, and their last place. Where
-// there is nothing to tell it, or nobody, the telling is over: a note that comes from then on
-// begins it anew.
-func (g *Group) untold(ctx context.Context, addr string) ([]Note, uint64, bool) {
+// undeliveredNotes returns this balancer's notes that the balancer at addr has not accepted yet,
+// and the index of the last one. It returns false and ends the delivery if there are none, if that
+// balancer no longer passes notes on, or if ctx has ended; a later note starts a new delivery.
+func (g *Group) undeliveredNotes(ctx context.Context, addr string) ([]Note, uint64, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	notes, last := g.notes.since(place{life: g.notes.life, at: g.told[addr].at}, g.cfg.Addr, bootclock.Now())
-	if ctx.Err() != nil || len(notes) == 0 || addr != g.asked && !g.replica.isRelay(addr) {
-		delete(g.telling, addr)
+	notes, last := g.notes.since(logPosition{life: g.notes.life, at: g.delivered[addr].at}, g.cfg.Addr, bootclock.Now())
+	if ctx.Err() != nil || len(notes) == 0 || addr != g.lastResponder && !g.replica.isRelay(addr) {
+		delete(g.delivering, addr)
 		return nil, 0, false
 	}
 	return notes, last.at, true
 }
 
-// tellOnce tells a balancer notes, of which the last one has a place in the own log.
-func (g *Group) tellOnce(ctx context.Context, addr string, notes []Note, last uint64) error {
+// deliverOnce sends notes to the balancer at addr and records their acceptance. last is the index
+// in this balancer's log up to which the notes reach.
+func (g *Group) deliverOnce(ctx context.Context, addr string, notes []Note, last uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, g.opts.Wait+g.opts.Slack)
 	defer cancel()
 	var reply TellReply
 	if err := g.client.Call(ctx, addr, methodTell, TellArgs{Notes: notes}, &reply); err != nil {
 		if errors.Is(err, link.ErrSilent) {
-			g.client.Forget(addr) // a connection that is cut stays silent
+			g.client.Forget(addr) // an interrupted connection does not recover
 		}
 		return err
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if before := g.told[addr].life; before != 0 && before != reply.Life {
-		last = 0 // it has started again: what its last start took is told once more
+	if previousLife := g.delivered[addr].life; previousLife != 0 && previousLife != reply.Life {
+		last = 0 // the peer has restarted: send it again what the previous process accepted
 	}
-	if len(g.told) >= mostHeard {
-		clear(g.told) // what is told twice does no harm
+	if len(g.delivered) >= maxTrackedPeers {
+		clear(g.delivered) // delivering a note twice does no harm
 	}
-	g.told[addr] = place{life: reply.Life, at: last}
+	g.delivered[addr] = logPosition{life: reply.Life, at: last}
 	return nil
 }
--- a/relay/telling_test.go
+++ b/relay/telling_test.go
@@ -13,20 +13,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// noteBook keeps the notes that a balancer was told.
-type noteBook struct {
+// noteRecorder records the notes that a balancer receives.
+type noteRecorder struct {
 	mu    sync.Mutex
 	texts []string
 }
 
-func (b *noteBook) note(n relay.Note) {
+func (b *noteRecorder) record(n relay.Note) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.texts = append(b.texts, n.Topic+" "+string(n.Data))
 }
 
-// has reports whether a note was told, and panics if it was told twice.
-func (b *noteBook) has(text string) bool {
+// has reports whether a note was received, and panics if it was received twice.
+func (b *noteRecorder) has(text string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
@@ -36,83 +36,83 @@
 		}
 	}
 	if n > 1 {
-		panic(fmt.Sprintf("%q told %d times", text, n))
+		panic(fmt.Sprintf("note %q received %d times", text, n))
 	}
 	return n == 1
 }
 
-// tell has a balancer tell something and waits until all others have heard of it.
-func tell(t *testing.T, from *vm, text string, all ...*vm) {
+// publishNote publishes a note on one balancer and waits until all others have received it.
+func publishNote(t *testing.T, from *testBalancer, text string, all ...*testBalancer) {
 	t.Helper()
 	assert.NilError(t, from.group.Publish("topic", []byte(text)))
 	for i, m := range all {
 		if m != from {
-			until(t, fmt.Sprintf("%q at %d", text, i), func() bool { return m.heard.has("topic " + text) })
+			waitUntil(t, fmt.Sprintf("%q at %d", text, i), func() bool { return m.heard.has("topic " + text) })
 		}
 	}
-	assert.Assert(t, !from.heard.has("topic "+text), "its own note")
+	assert.Assert(t, !from.heard.has("topic "+text), "a balancer receives its own note")
 }
 
-// following waits until all follow a relay.
-func following(t *testing.T, all ...*vm) {
+// following waits until all balancers follow a relay.
+func following(t *testing.T, all ...*testBalancer) {
 	t.Helper()
 	for _, m := range all {
-		until(t, "following a relay", func() bool {
+		waitUntil(t, "following a relay", func() bool {
 			following := m.group.Status(time.Now()).Following
 			return following != "" && following != "store"
 		})
 	}
 }
 
-// TestNotesReachEverybody: what one balancer tells all others hear, once, in its own zone
-// and in others, whoever tells it, and the store is not called for it.
+// TestNotesReachEverybody checks that a note reaches all other balancers once, in its own zone and
+// in others, whoever publishes it, and that it writes nothing to the store.
 func TestNotesReachEverybody(t *testing.T) {
 	store := platformtest.NewStore()
 	publish(store, 1)
-	all, chosen, others := settled(t, store, 3)
-	far := begin(t, store, "tribunal")
-	inForce(t, store, 2, append(all, far)...)
-	until(t, "a relay of the other zone", func() bool { return len(store.Keys("lotuswing/relays/")) == 2 })
-	everybody := append(slices.Clone(all), far)
-	tell(t, others[0], "from a follower", everybody...)
-	tell(t, chosen, "from the relay", everybody...)
-	tell(t, far, "from another zone", everybody...)
+	all, chosen, others := startZone(t, store, 3)
+	far := startBalancer(t, store, "tribunal")
+	publishAndWait(t, store, 2, append(all, far)...)
+	waitUntil(t, "a relay of the other zone", func() bool { return len(store.Keys("lotuswing/relays/")) == 2 })
+	balancers := append(slices.Clone(all), far)
+	publishNote(t, others[0], "from a follower", balancers...)
+	publishNote(t, chosen, "from the relay", balancers...)
+	publishNote(t, far, "from another zone", balancers...)
 	assert.DeepEqual(t, store.Keys("lotuswing/"), []string{"lotuswing/relays/medina", "lotuswing/relays/tribunal"})
 }
 
-// TestNotesWhileTheStoreIsDown: notes need no store.
+// TestNotesWhileTheStoreIsDown checks that notes are delivered without the store.
 func TestNotesWhileTheStoreIsDown(t *testing.T) {
 	store := platformtest.NewStore()
 	publish(store, 1)
-	all, chosen, others := settled(t, store, 3)
+	all, chosen, others := startZone(t, store, 3)
 	following(t, others...)
 	store.SetFaults(platformtest.Faults{Refuse: true})
-	until(t, "the relay has lost the store", chosen.follower.Lost)
-	tell(t, others[0], "while it is down", all...)
-	tell(t, chosen, "from the relay", all...)
+	waitUntil(t, "the relay has lost the store", chosen.follower.Lost)
+	publishNote(t, others[0], "while it is down", all...)
+	publishNote(t, chosen, "from the relay", all...)
 	store.SetFaults(platformtest.Faults{})
-	inForce(t, store, 2, all...)
+	publishAndWait(t, store, 2, all...)
 }
 
-// TestNotesSurviveTheRelay: a relay that ends keeps nobody from hearing: the next one is told
-// what the last one took, and a balancer that starts hears what was told before.
+// TestNotesSurviveTheRelay checks that notes survive the end of a relay: the publisher delivers
+// them again to the next relay, and a balancer that starts later receives them.
 func TestNotesSurviveTheRelay(t *testing.T) {
 	store := platformtest.NewStore()
 	publish(store, 1)
-	_, chosen, others := settled(t, store, 3)
+	_, chosen, others := startZone(t, store, 3)
 	following(t, others...)
 	assert.NilError(t, others[0].group.Publish("topic", []byte("told to the one that ends")))
 	chosen.kill()
-	until(t, "another relay", func() bool { return len(active(others)) == 1 })
-	until(t, "the other one has heard", func() bool { return others[1].heard.has("topic told to the one that ends") })
-	late := begin(t, store, "medina")
-	until(t, "the late one has heard", func() bool { return late.heard.has("topic told to the one that ends") })
+	waitUntil(t, "another relay", func() bool { return len(settledBalancers(others)) == 1 })
+	waitUntil(t, "note received by the other follower", func() bool { return others[1].heard.has("topic told to the one that ends") })
+	late := startBalancer(t, store, "medina")
+	waitUntil(t, "note received by the late balancer", func() bool { return late.heard.has("topic told to the one that ends") })
 }
 
-// TestNoteTooLong: a note that no balancer would take is refused where it is told.
+// TestNoteTooLong checks that Publish rejects a note that no balancer would accept.
 func TestNoteTooLong(t *testing.T) {
 	store := platformtest.NewStore()
 	publish(store, 1)
-	m := begin(t, store, "medina")
+	m := startBalancer(t, store, "medina")
 	assert.ErrorIs(t, m.group.Publish("topic", []byte(strings.Repeat("x", 2000))), relay.ErrNoteTooLong)
 }
--- a/relay/wait.go
+++ b/relay/wait.go
@@ -7,16 +7,16 @@
 	"github.com/lotuswing/lotuswing/internal/pause"
 )
 
-// waitAfter waits for changes beyond a revision or for other news, at most as long as
-// limit. Who has other news wakes those that wait.
-func (rep *replica) waitAfter(ctx context.Context, after uint64, limit time.Duration, other func() bool) {
+// waitAfter waits for changes after a revision or until otherNews reports true, for at most limit.
+// Whoever makes otherNews true must call wakeWaiters.
+func (rep *replica) waitAfter(ctx context.Context, after uint64, limit time.Duration, otherNews func() bool) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	for {
 		rep.mu.Lock()
-		changed, news := rep.changed, rep.at > after
+		changed, news := rep.changed, rep.knownRevision > after
 		rep.mu.Unlock()
-		if news || other() {
+		if news || otherNews() {
 			return
 		}
 		select {
@@ -29,20 +29,20 @@
 	}
 }
 
-// wake lets those look again that wait for a change.
-func (rep *replica) wake() {
+// wakeWaiters makes all waiting calls check their conditions again.
+func (rep *replica) wakeWaiters() {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
-	rep.noteChange()
+	rep.notifyChange()
 }
 
-// noteChange tells those that wait of a change; rep.mu is held.
-func (rep *replica) noteChange() {
+// notifyChange wakes all waiters for a change; rep.mu must be held.
+func (rep *replica) notifyChange() {
 	close(rep.changed)
 	rep.changed = make(chan struct{})
 }
 
-// waitChange waits until any change is noted, at most as long as limit.
+// waitChange waits for the next change or wake-up, for at most limit.
 func (rep *replica) waitChange(ctx context.Context, limit time.Duration) {
 	rep.mu.Lock()
 	changed := rep.changed
@@ -50,8 +50,8 @@
 	pause.Until(ctx, changed, limit)
 }
 
-// waitRegistration waits until a zone has a relay, at most as long as limit, and
-// reports whether it has one.
+// waitRegistration waits until a zone has a relay, for at most limit, and reports whether it has
+// one.
 func (rep *replica) waitRegistration(ctx context.Context, zone string, limit time.Duration) bool {
 	deadline := time.Now().Add(limit)
 	for {
