--- a/relay/relay.go
+++ b/relay/relay.go
@@ -8,8 +8,8 @@
 // store's records, and the connections to other balancers. It runs two loops: follow.go fetches
 // changes, and registration.go elects and registers the zone's relay. Their rules are in rules.go,
 // and server.go serves other balancers. Balancers broadcast small messages beside the store's
-// records, called notes (notes.go, telling.go), and exchange counts for the whole fleet
-// (counting.go). Package bootstrap obtains the first copy of the store's content (first.go). A
+// records, called notes (notes.go, delivery.go), and exchange counts for the whole fleet
+// (counting.go). Package bootstrap obtains the first copy of the store's content (bootstrap.go). A
 // Group relies on a Follower, which watches the store and which it switches on and off, on a
 // Registry for the lease, and on a Decoder that interprets records.
 //
