--- a/coord/health/health.go
+++ b/coord/health/health.go
@@ -51,11 +51,11 @@
 // State is the health of one endpoint. It is an immutable value.
 type State struct {
 	opts         Options
-	logSlowness  float64 // moving average of the logarithm of the ratio
+	logSlowness  float64 // moving average of the logarithm of latency / usual latency
 	slowness     float64 // exp(logSlowness), cached because it is read far more often than it changes
-	samples      int
-	failures     int // consecutive
-	ejections    int // consecutive ejections
+	samples      int     // completed requests
+	failures     int     // consecutive
+	ejections    int     // consecutive ejections, since the last completed request or WithoutEjection
 	ejectedUntil time.Time
 }
 
--- a/coord/lease/lease.go
+++ b/coord/lease/lease.go
@@ -6,8 +6,8 @@
 // before the request to the store was sent and is shortened by a margin for clock
 // drift. Each use calls Valid with the present time.
 //
-// A Keeper owns its term; the store owns the lease. The Keeper needs a Store
-// with compare-and-swap and times to live.
+// The lease is an entry of the store; a Keeper holds only its Term. The Keeper needs a Store
+// with compare-and-swap and entries with a time to live.
 //
 // # Usage
 //
@@ -44,9 +44,9 @@
 	Deadline time.Time
 }
 
-// Granted returns the term of a lease whose request was sent at sent. first is the revision at
+// NewTerm returns the term of a lease whose request was sent at sent. first is the revision at
 // which the holder acquired the lease, token that of this grant.
-func Granted(sent time.Time, ttl time.Duration, first, token uint64) Term {
+func NewTerm(sent time.Time, ttl time.Duration, first, token uint64) Term {
 	return Term{Token: token, First: first, Deadline: sent.Add(ttl - ttl/marginDivisor)}
 }
 
@@ -55,8 +55,8 @@
 	return t.Token != 0 && now.Before(t.Deadline)
 }
 
-// SameHolding reports whether two terms belong to the same holding, which no other holder and no
-// lapse interrupted.
+// SameHolding reports whether one holder had the lease without interruption from one term to the
+// other: it did not expire, and was neither released nor dropped in between.
 func (t Term) SameHolding(o Term) bool { return t.First == o.First && t.First != 0 }
 
 // Store is the part of a key-value store that a Keeper uses.
@@ -85,8 +85,8 @@
 // Term returns the last term granted, which may no longer be valid.
 func (k *Keeper) Term() Term { return k.term }
 
-// Drop forgets the term without a call to the store, as after a pause. The lease expires in the
-// store.
+// Drop forgets the term without a call to the store, for example after the process was paused. The
+// lease expires in the store.
 func (k *Keeper) Drop() {
 	k.term = Term{}
 	k.lastEntry = store.Entry{}
@@ -117,7 +117,7 @@
 		first = k.term.First
 	}
 	k.lastEntry = entry
-	k.term = Granted(sent, k.ttl, first, entry.Revision)
+	k.term = NewTerm(sent, k.ttl, first, entry.Revision)
 	return k.term, nil
 }
 
--- a/coord/leaving/leaving.go
+++ b/coord/leaving/leaving.go
@@ -1,7 +1,7 @@
 // Package leaving records which endpoints are leaving.
 //
 // A mark names one incarnation of an endpoint by the identity of its VM. It is
-// never taken back: only a newer incarnation, which has another identity,
+// never revoked: only a newer incarnation, which has another identity,
 // gets new requests at the same address. Sets merge by union, so balancers may
 // exchange them in any order and any number of times.
 //
--- a/coord/leaving/leaving_test.go
+++ b/coord/leaving/leaving_test.go
@@ -57,9 +57,9 @@
 	sets[i], _ = sets[i].Merge(sets[j].Marks(), now)
 }
 
-// TestMarksAreNeverTakenBack checks that merging keeps all marks in either set, and that adding a
+// TestMergeKeepsAllMarks checks that merging keeps all marks in either set, and that adding a
 // mark leaves the earlier set unchanged.
-func TestMarksAreNeverTakenBack(t *testing.T) {
+func TestMergeKeepsAllMarks(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	var a, b leaving.Set
 	for i := range 20 {
--- a/directory/apply.go
+++ b/directory/apply.go
@@ -29,8 +29,9 @@
 	f.opts.Observe(changes)
 }
 
-// logStateChanges logs one line for each endpoint whose state changed, or one line for all if
-// a read of everything, or a part of one, changed more than maxEndpointLines.
+// logStateChanges logs one line for each endpoint whose state changed. If the changes are a full
+// read, or a part of a full read, and changed more than maxEndpointLines endpoints, it logs one line
+// with the number of endpoints by state instead.
 func (f *Follower) logStateChanges(stateChanges []Change, changes Changes) {
 	if (changes.Whole || changes.Part) && len(stateChanges) > maxEndpointLines {
 		count := map[State]int{}
@@ -45,6 +46,6 @@
 	}
 }
 
-// maxEndpointLines is how many state changes of a read of everything are logged line by line; more
-// are logged as one line with their number by state.
+// maxEndpointLines is the largest number of state changes of a full read that are logged with a
+// line each.
 const maxEndpointLines = 64
--- a/directory/badversion.go
+++ b/directory/badversion.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// MarkBad records that the version of the rollout order with the given revision was found bad, and
-// reports whether that was new. The order itself may become known later.
-func (d *Directory) MarkBad(service string, order uint64, now time.Time) bool {
+// MarkBad records that the version of a service's rollout order was found bad, and reports whether
+// that was new. orderRevision is the store's revision of the order, which may be read later.
+func (d *Directory) MarkBad(service string, orderRevision uint64, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if order <= d.badOrders[service] {
+	if orderRevision <= d.badOrderRevisions[service] {
 		return false
 	}
-	d.badOrders[service] = order
-	if d.applyBad(service) {
+	d.badOrderRevisions[service] = orderRevision
+	if d.updateBad(service) {
 		d.markAllChanged(service)
 		d.publish(now)
 	}
 	return true
 }
 
-// applyBad sets Bad in a service's rollout and returns it; d.mu is held.
-func (d *Directory) applyBad(service string) bool {
+// updateBad sets the field Bad of a service's rollout and returns its new value; d.mu is held.
+func (d *Directory) updateBad(service string) bool {
 	r, known := d.rollouts[service]
 	if !known {
 		return false
 	}
-	r.Bad = r.Order.Revision == d.badOrders[service]
+	r.Bad = r.Order.Revision == d.badOrderRevisions[service]
 	d.rollouts[service] = r
 	return r.Bad
 }
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -24,9 +24,9 @@
 }
 
 // BenchmarkOneChange applies the change of one of 10,000 endpoints, as a balancer does for
-// each that joins or leaves: 13.8 ms when all lists were rebuilt, 0.83 ms when only the list of its
-// service was, which has a tenth of the endpoints, and 0.11 ms since the change is merged into
-// that list.
+// each that joins or leaves: 13.8 ms if all lists are rebuilt, 0.83 ms if only the list of the
+// endpoint's service is rebuilt, with a tenth of the endpoints, and 0.11 ms if the change is merged
+// into that list.
 func BenchmarkOneChange(b *testing.B) {
 	d := directory.New()
 	var entries []directory.Entry
--- a/directory/changes.go
+++ b/directory/changes.go
@@ -15,8 +15,8 @@
 	Teams    *access.Table // nil where callers need no keys
 }
 
-// withWithdrawnKeys returns the configuration whose Teams also remember which keys of the
-// configuration before it belong to no team any more.
+// withWithdrawnKeys returns the configuration with Teams that also remember which keys of the
+// previous configuration, before, no longer belong to any team.
 func (c *Config) withWithdrawnKeys(before *Config) *Config {
 	if before == nil {
 		return c
@@ -59,9 +59,9 @@
 	Revision uint64
 }
 
-// Record is a key of the store with its value, or the deletion of the key. Only the
-// source interprets it; processes pass it on to one another unchanged, as JSON with the
-// names of its fields.
+// Record is a key of the store with its value, or the deletion of the key. Processes pass the
+// records of Changes.Records on to one another unchanged, as JSON with the names of the fields, and
+// only a Source interprets them.
 type Record struct {
 	Key      string
 	Value    []byte
@@ -83,15 +83,16 @@
 	// that the balancers gave them.
 	Registrations []Record
 	At            uint64   // revision up to which the changes are complete
-	Part          bool     // the changes are one part of a read of everything; the store has entries that are not in it
-	Whole         bool     // the changes are all that the store holds; what is not in them was deleted
+	Part          bool     // the changes are one part of a full read; the store has entries that are not in it
+	Whole         bool     // the changes are a full read, of all that the store holds; what is not in them was deleted
 	Faults        []error  // errors of records that could not be read
 	Records       []Record // the store's records of all of the above
 }
 
-// Outdated reports whether the changes are a read of everything at a revision below known,
-// or a part of one although everything is known already. Applying them would restore keys that
-// were deleted before the read that is in force, because no record of those deletions is kept. It
+// Outdated reports whether the changes are a full read at a revision below known, or a part of a
+// full read that arrives after a complete one. known is the revision up to which all changes are in
+// force; 0 before the first full read. Applying outdated changes would restore keys that were
+// deleted before the read that is in force, because no record of those deletions is kept. It
 // happens when two first copies are read at once and the older one arrives last.
 func (c Changes) Outdated(known uint64) bool { return c.Whole && c.At < known || c.Part && known > 0 }
 
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -3,12 +3,12 @@
 //
 // The package owns that copy. The request path reads an immutable Snapshot through an
 // atomic pointer and takes no lock. A Follower reads everything once,
-// then follows the changes (follow.go, watch.go), and checks by cheap reads whether
-// the watch can be trusted (monitor.go, watchdog.go). A Source makes the
-// store's calls and interprets its records.
+// then follows the changes (follow.go, watch.go), and checks by cheap reads, which may return stale
+// data, whether the watch can be trusted (monitor.go, watchdog.go). A Source calls the store and
+// interprets its records.
 //
-// An operator may evacuate an availability zone: as long as the store says so, its
-// endpoints are known and not usable (evacuation.go).
+// An operator may evacuate an availability zone: until the store records the end of the evacuation,
+// the directory keeps the zone's endpoints, but they are not usable (evacuation.go).
 //
 // Two rules hold whatever the store says. The version of the configuration never
 // decreases within the life of a process. An endpoint that announced that it is
@@ -39,24 +39,24 @@
 type Directory struct {
 	snapshot atomic.Pointer[Snapshot]
 
-	mu        sync.Mutex // held by writers
-	config    *Config
-	endpoints map[string]Endpoint         // by VM identity
-	unlisted  map[string]bool             // identities of endpoints in another state than Listed
-	services  map[string]map[string]bool  // identities of endpoints, by service
-	changed   map[string]changedEndpoints // since the last snapshot, by service
-	zones     evacuations
-	rollouts  rollouts
-	badOrders map[string]uint64 // revision of the latest rollout order whose version was found bad, by service
-	notices   leavingNotices    // about endpoints whose entries are not known yet
-	revision  uint64            // up to which all changes are in force
+	mu                sync.Mutex // held by writers
+	config            *Config
+	endpoints         map[string]Endpoint         // by VM identity
+	unlisted          map[string]bool             // identities of endpoints in another state than Listed
+	services          map[string]map[string]bool  // identities of endpoints, by service
+	changed           map[string]changedEndpoints // since the last snapshot, by service
+	zones             evacuations
+	rollouts          rollouts
+	badOrderRevisions map[string]uint64 // revision of the latest rollout order whose version was found bad, by service
+	notices           leavingNotices    // about endpoints whose entries are not known yet
+	revision          uint64            // up to which all changes are in force
 }
 
 // New returns an empty directory.
 func New() *Directory {
 	d := &Directory{
 		endpoints: map[string]Endpoint{}, unlisted: map[string]bool{}, services: map[string]map[string]bool{}, changed: map[string]changedEndpoints{},
-		zones: evacuations{}, rollouts: rollouts{}, notices: leavingNotices{}, badOrders: map[string]uint64{},
+		zones: evacuations{}, rollouts: rollouts{}, notices: leavingNotices{}, badOrderRevisions: map[string]uint64{},
 	}
 	d.snapshot.Store(&Snapshot{Endpoints: map[string][]Endpoint{}})
 	return d
@@ -83,7 +83,7 @@
 	d.applyEvacuations(c.Evacuations, &applied)
 	if c.Whole {
 		d.applyAbsent(c, now, &applied)
-		d.applyEvacuations(d.zones.endsOfAbsent(c.Evacuations, c.At), &applied)
+		d.applyEvacuations(d.zones.impliedEnds(c.Evacuations, c.At), &applied)
 	}
 	d.applyRollouts(c, &applied)
 	d.revision = max(d.revision, c.At)
@@ -93,7 +93,7 @@
 }
 
 // removeExpired removes the endpoints and leaving notices that need not be remembered any longer.
-// It looks only at endpoints that are not listed: a few of 10,000.
+// It looks only at endpoints that are not listed, which are few even among 10,000 endpoints.
 func (d *Directory) removeExpired(now time.Time) {
 	d.notices.removeExpired(now)
 	for id := range d.unlisted {
@@ -153,7 +153,7 @@
 	}
 }
 
-// applyAbsent treats each endpoint that a read of everything does not name as deleted.
+// applyAbsent treats each endpoint that a full read does not name as deleted.
 func (d *Directory) applyAbsent(c Changes, now time.Time, applied *Applied) {
 	named := make(map[string]bool, len(c.Entries))
 	for _, e := range c.Entries {
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// listed returns the endpoints of service s in the snapshot.
-func listed(d *directory.Directory) []string {
+// snapshotIDs returns the identities of the endpoints of service s in the snapshot.
+func snapshotIDs(d *directory.Directory) []string {
 	var ids []string
 	for _, e := range d.Snapshot().Endpoints["s"] {
 		ids = append(ids, e.VM)
@@ -48,21 +48,21 @@
 	})
 }
 
-// TestLeavingIsNeverTakenBack checks that neither an older entry nor a newer one makes an
+// TestLeavingIsNeverRevoked checks that neither an older entry nor a newer one makes an
 // endpoint usable again after it announced that it is leaving.
-func TestLeavingIsNeverTakenBack(t *testing.T) {
+func TestLeavingIsNeverRevoked(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 1), entry("b", 2)}}, start)
 	draining := entry("a", 5)
 	draining.Leaving = true
 	d.Apply(directory.Changes{Entries: []directory.Entry{draining}}, start)
-	assert.DeepEqual(t, listed(d), []string{"b"})
+	assert.DeepEqual(t, snapshotIDs(d), []string{"b"})
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 3)}}, start)
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 9)}}, start)
-	assert.DeepEqual(t, listed(d), []string{"b"})
+	assert.DeepEqual(t, snapshotIDs(d), []string{"b"})
 	assert.Assert(t, d.MarkLeaving("b", 0, start))
 	assert.Assert(t, !d.MarkLeaving("b", 0, start), "already known")
-	assert.Equal(t, len(listed(d)), 0)
+	assert.Equal(t, len(snapshotIDs(d)), 0)
 }
 
 // TestSnapshotListsMatchDirectory checks that the lists of the snapshot are sorted and hold the
@@ -129,11 +129,11 @@
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 1), entry("b", 2), entry("c", 3)}}, start)
 	d.Apply(directory.Changes{Gone: []directory.Gone{{ID: "a", Revision: 4}}}, start)
-	assert.DeepEqual(t, listed(d), []string{"b", "c"})
+	assert.DeepEqual(t, snapshotIDs(d), []string{"b", "c"})
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 1)}}, start)
-	assert.DeepEqual(t, listed(d), []string{"b", "c"}) // the entry is older than its deletion
+	assert.DeepEqual(t, snapshotIDs(d), []string{"b", "c"}) // the entry is older than its deletion
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 5)}}, start)
-	assert.DeepEqual(t, listed(d), []string{"a", "b", "c"})
+	assert.DeepEqual(t, snapshotIDs(d), []string{"a", "b", "c"})
 }
 
 // TestEntriesLostTogetherStayUsable checks that endpoints whose entries were deleted together are
@@ -143,10 +143,10 @@
 	all := []directory.Entry{entry("a", 1), entry("b", 2), entry("c", 3), entry("d", 4), entry("e", 5)}
 	d.Apply(directory.Changes{Entries: all}, start)
 	d.Apply(directory.Changes{Whole: true, At: 9, Entries: all[4:]}, start)
-	assert.DeepEqual(t, listed(d), []string{"a", "b", "c", "d", "e"})
+	assert.DeepEqual(t, snapshotIDs(d), []string{"a", "b", "c", "d", "e"})
 	later := start.Add(time.Hour)
 	d.Apply(directory.Changes{At: 10}, later)
-	assert.DeepEqual(t, listed(d), []string{"e"}) // missing endpoints expire
+	assert.DeepEqual(t, snapshotIDs(d), []string{"e"}) // missing endpoints expire
 }
 
 // TestRollingReplacementIsNotStoreLoss guards against the last resort taking a release for a loss
@@ -194,18 +194,18 @@
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 1), entry("b", 2)}}, start)
 	d.Apply(directory.Changes{Whole: true, At: 9}, start)
-	assert.DeepEqual(t, listed(d), []string{"a", "b"})
+	assert.DeepEqual(t, snapshotIDs(d), []string{"a", "b"})
 	d.MarkLeaving("a", 0, start)
-	assert.DeepEqual(t, listed(d), []string{"b"})
+	assert.DeepEqual(t, snapshotIDs(d), []string{"b"})
 }
 
-// TestOutdatedReadRestoresNothing checks that a read of everything that arrives late does not
+// TestOutdatedReadRestoresNothing checks that a full read that arrives late does not
 // restore an endpoint whose entry was deleted before the newer read that is in force.
 func TestOutdatedReadRestoresNothing(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Whole: true, At: 6, Entries: []directory.Entry{entry("a", 2)}}, start)
 	d.Apply(directory.Changes{Whole: true, At: 4, Entries: []directory.Entry{entry("a", 2), entry("gone", 3)}}, start)
-	assert.DeepEqual(t, listed(d), []string{"a"})
+	assert.DeepEqual(t, snapshotIDs(d), []string{"a"})
 	assert.Equal(t, d.Snapshot().At, uint64(6))
 }
 
@@ -233,7 +233,7 @@
 // endpoint is cold again.
 func TestWarmupCountsFromFirstReport(t *testing.T) {
 	d := directory.New()
-	tell := func(revision uint64, left, after time.Duration) directory.Endpoint {
+	applyEntry := func(revision uint64, left, after time.Duration) directory.Endpoint {
 		e := entry("a", revision)
 		e.Warmup = left
 		d.Apply(directory.Changes{Entries: []directory.Entry{e}}, start.Add(after))
@@ -256,7 +256,7 @@
 		{"counts down", 10, second, 12 * second, 13 * second},
 		{"cold once more", 11, 2 * second, 13 * second, 15 * second},
 	} {
-		assert.Equal(t, tell(c.revision, c.left, c.after).WarmAt, start.Add(c.warmAt), c.name)
+		assert.Equal(t, applyEntry(c.revision, c.left, c.after).WarmAt, start.Add(c.warmAt), c.name)
 	}
 }
 
@@ -270,7 +270,7 @@
 	for after := 5 * time.Minute; after < time.Hour; after += 5 * time.Minute {
 		d.Apply(directory.Changes{At: revision}, start.Add(after))
 		d.Apply(directory.Changes{Whole: true, At: revision, Entries: []directory.Entry{entry("a", 1), entry("b", 2)}}, start.Add(after))
-		assert.DeepEqual(t, listed(d), []string{"b"})
+		assert.DeepEqual(t, snapshotIDs(d), []string{"b"})
 		revision++
 	}
 	end := start.Add(time.Hour)
@@ -290,12 +290,12 @@
 	for i := range many {
 		assert.Assert(t, d.MarkLeaving(fmt.Sprint("e", i), 1, start.Add(time.Duration(i)*time.Millisecond)))
 	}
-	d.Apply(directory.Changes{Entries: []directory.Entry{startOf("e0", 1), startOf(fmt.Sprint("e", many-1), 1)}}, start.Add(time.Minute))
-	assert.DeepEqual(t, listed(d), []string{"e0"})
+	d.Apply(directory.Changes{Entries: []directory.Entry{entryOfStart("e0", 1), entryOfStart(fmt.Sprint("e", many-1), 1)}}, start.Add(time.Minute))
+	assert.DeepEqual(t, snapshotIDs(d), []string{"e0"})
 }
 
-// startOf returns an entry of one start of an endpoint.
-func startOf(id string, start int64) directory.Entry {
+// entryOfStart returns an entry of one start of an endpoint.
+func entryOfStart(id string, start int64) directory.Entry {
 	e := entry(id, 1)
 	e.Endpoint.Start = start
 	return e
--- a/directory/endpoint.go
+++ b/directory/endpoint.go
@@ -10,10 +10,10 @@
 type State uint8
 
 const (
-	// Listed endpoints get requests.
+	// Listed endpoints have an entry and get requests, unless Usable finds a reason against it.
 	Listed State = iota
-	// Missing endpoints had an entry that was deleted although they had not announced that they
-	// leave.
+	// Missing endpoints had an entry that was deleted, or that can no longer be read, although they
+	// had not announced that they leave.
 	Missing
 	// Leaving endpoints get no new requests.
 	Leaving
@@ -26,8 +26,8 @@
 // immutable value.
 type Endpoint struct {
 	placement.Endpoint
-	// Start distinguishes the successive starts of a server under one identity; a new start
-	// knows nothing of the one before. It is 0 where it is unknown.
+	// Start distinguishes the successive starts of a server under one identity. Nothing that is
+	// known of one start applies to the next. It is 0 where it is unknown.
 	Start    int64
 	Service  string
 	Version  string // of the server's software
@@ -35,7 +35,7 @@
 	Warmup   time.Duration // remaining warm-up that the server stated when it wrote its entry
 	WarmAt   time.Time     // end of the warm-up by that statement
 	WarmTold time.Time     // when that statement was first read
-	Changed  time.Time     // when the state last changed here; for a leaving endpoint whose entry was deleted, when that was learnt
+	Changed  time.Time     // when this process learnt what the state follows from: the latest entry, its deletion or a notice of leaving
 	Revision uint64        // of the store's entry or of its deletion
 
 	Gone      bool // the store has no entry for it
@@ -53,7 +53,7 @@
 	missingUsableFor = 4 * time.Second
 	// lossFactor distinguishes a store that lost its entries from endpoints that left: the endpoints
 	// that went missing within missingUsableFor must be more than lossFactor times the listed ones.
-	// In a release of a small service, half of its endpoints may be missing.
+	// In a release of a small service, half of its endpoints may be missing without such a loss.
 	lossFactor = 3
 	// missingRetention is how long a missing endpoint is remembered, and leavingRetention the same
 	// for one that is leaving, from the deletion of its entry: a late read may repeat the entry.
@@ -78,7 +78,8 @@
 		return now.Sub(e.Changed) > missingRetention
 	case Leaving:
 	}
-	// While the store still lists it, its notice of leaving is recorded nowhere else.
+	// A leaving endpoint is remembered for as long as the store has its entry, since the notice
+	// that it leaves may be recorded nowhere else.
 	return e.Gone && now.Sub(e.Changed) > leavingRetention
 }
 
@@ -96,8 +97,8 @@
 
 // withEntry returns a known endpoint after an entry for it was read. An entry older
 // than the one known changes nothing, and a leaving endpoint stays leaving. The entry of
-// a new start describes a different server: neither the leaving state nor the warm-up of the
-// earlier start applies to it.
+// a new start describes a different server, to which neither the leaving state nor the warm-up of
+// the earlier start applies.
 func (e Endpoint) withEntry(entry Entry, now time.Time) Endpoint {
 	if entry.Revision < e.Revision {
 		return e
--- a/directory/evacuation.go
+++ b/directory/evacuation.go
@@ -2,13 +2,12 @@
 
 import "slices"
 
-// evacuations holds the latest evacuation of each availability zone, by zone, also after it ended.
-// It is never removed, because a late read may repeat an earlier one; zones are
-// few.
+// evacuations holds the latest evacuation of each availability zone, by zone. An evacuation that
+// ended is kept, because a late read may repeat its beginning; zones are few.
 type evacuations map[string]Evacuation
 
-// apply stores an evacuation unless a newer one is known, and reports whether
-// that changed if the zone is evacuated.
+// apply stores an evacuation unless a newer one is known, and reports whether the zone became
+// evacuated, or stopped being so.
 func (z evacuations) apply(e Evacuation) (changed bool) {
 	old, known := z[e.Zone]
 	if known && e.Revision < old.Revision {
@@ -18,9 +17,9 @@
 	return e.Over == (known && !old.Over)
 }
 
-// endsOfAbsent returns the ends of the evacuations that a read of everything, at the given
-// revision, does not name.
-func (z evacuations) endsOfAbsent(named []Evacuation, at uint64) []Evacuation {
+// impliedEnds returns the ends of the evacuations that a full read, at the given revision, does not
+// name.
+func (z evacuations) impliedEnds(named []Evacuation, at uint64) []Evacuation {
 	var over []Evacuation
 	for zone, e := range z {
 		isNamed := slices.ContainsFunc(named, func(n Evacuation) bool { return n.Zone == zone })
--- a/directory/evacuation_test.go
+++ b/directory/evacuation_test.go
@@ -17,8 +17,8 @@
 	return e
 }
 
-// usable returns the endpoints of service s that may get requests.
-func usable(d *directory.Directory, now time.Time) []string {
+// usableIDs returns the identities of the endpoints of service s that may get requests.
+func usableIDs(d *directory.Directory, now time.Time) []string {
 	var ids []string
 	for _, e := range d.Snapshot().Endpoints["s"] {
 		if e.Usable(now) {
@@ -33,8 +33,8 @@
 	return []directory.Evacuation{{Zone: zone, Revision: revision}}
 }
 
-// takeBack returns the end of a zone's evacuation.
-func takeBack(zone string, revision uint64) []directory.Evacuation {
+// evacuationEnd returns the end of a zone's evacuation.
+func evacuationEnd(zone string, revision uint64) []directory.Evacuation {
 	return []directory.Evacuation{{Zone: zone, Revision: revision, Over: true}}
 }
 
@@ -45,29 +45,30 @@
 	d.Apply(directory.Changes{Entries: []directory.Entry{inZone("a", "x", 1), inZone("b", "y", 2)}}, start)
 	applied := d.Apply(directory.Changes{Evacuations: evacuate("x", 3)}, start)
 	assert.DeepEqual(t, applied.Zones, evacuate("x", 3))
-	assert.DeepEqual(t, usable(d, start), []string{"b"})
+	assert.DeepEqual(t, usableIDs(d, start), []string{"b"})
 	assert.DeepEqual(t, d.Snapshot().Evacuated, []string{"x"})
 	assert.Equal(t, d.Snapshot().Known, 2)
 
 	d.Apply(directory.Changes{Entries: []directory.Entry{inZone("c", "x", 4)}}, start)
-	assert.DeepEqual(t, usable(d, start), []string{"b"}) // c joined an evacuated zone
+	assert.DeepEqual(t, usableIDs(d, start), []string{"b"}) // c joined an evacuated zone
 	d.MarkLeaving("b", 0, start)
-	assert.Equal(t, len(usable(d, start)), 0, "the zone stays evacuated although no other endpoint is left")
+	assert.Equal(t, len(usableIDs(d, start)), 0, "the zone stays evacuated although no other endpoint is left")
 
-	d.Apply(directory.Changes{Evacuations: takeBack("x", 5)}, start)
-	assert.DeepEqual(t, usable(d, start), []string{"a", "c"})
+	d.Apply(directory.Changes{Evacuations: evacuationEnd("x", 5)}, start)
+	assert.DeepEqual(t, usableIDs(d, start), []string{"a", "c"})
 	assert.Equal(t, len(d.Snapshot().Evacuated), 0)
 }
 
-// TestTwoZonesAreEvacuatedAtOnce checks that two zones are evacuated and one evacuation ends alone.
+// TestTwoZonesAreEvacuatedAtOnce checks that two zones can be evacuated at the same time, and that
+// the end of one evacuation leaves the other one in force.
 func TestTwoZonesAreEvacuatedAtOnce(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{inZone("a", "x", 1), inZone("b", "y", 2), inZone("c", "z", 3)}}, start)
 	d.Apply(directory.Changes{Evacuations: append(evacuate("y", 4), evacuate("x", 5)...)}, start)
-	assert.DeepEqual(t, usable(d, start), []string{"c"})
+	assert.DeepEqual(t, usableIDs(d, start), []string{"c"})
 	assert.DeepEqual(t, d.Snapshot().Evacuated, []string{"x", "y"})
-	d.Apply(directory.Changes{Evacuations: takeBack("x", 6)}, start)
-	assert.DeepEqual(t, usable(d, start), []string{"a", "c"})
+	d.Apply(directory.Changes{Evacuations: evacuationEnd("x", 6)}, start)
+	assert.DeepEqual(t, usableIDs(d, start), []string{"a", "c"})
 }
 
 // TestLostEntriesDoNotEndEvacuation checks that missing endpoints kept as a last resort
@@ -76,11 +77,11 @@
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{inZone("a", "x", 1), inZone("b", "y", 2)}}, start)
 	d.Apply(directory.Changes{Whole: true, At: 9, Evacuations: evacuate("x", 5)}, start)
-	assert.DeepEqual(t, usable(d, start), []string{"b"})
+	assert.DeepEqual(t, usableIDs(d, start), []string{"b"})
 }
 
 // TestEvacuationMatchesLastStoreState checks that the store's last state is in force after
-// changes and reads of everything that arrive late, repeatedly or out of order.
+// changes and full reads that arrive late, repeatedly or out of order.
 func TestEvacuationMatchesLastStoreState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// In the history of the zone, evacuations begin at even revisions and end at odd ones.
@@ -89,7 +90,7 @@
 			if revision%2 == 0 {
 				return directory.Changes{At: revision, Evacuations: evacuate("x", revision)}
 			}
-			return directory.Changes{At: revision, Evacuations: takeBack("x", revision)}
+			return directory.Changes{At: revision, Evacuations: evacuationEnd("x", revision)}
 		}
 		whole := func(revision uint64) directory.Changes {
 			c := directory.Changes{At: revision, Whole: true}
@@ -116,15 +117,15 @@
 	})
 }
 
-// TestFullReadWithoutEvacuationEndsIt checks that a read of everything that does not name an
-// evacuation ends it, unless the read is older.
+// TestFullReadWithoutEvacuationEndsIt checks that a full read that does not name an evacuation ends
+// it, unless the read is older than the evacuation.
 func TestFullReadWithoutEvacuationEndsIt(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{At: 7, Evacuations: evacuate("x", 7)}, start)
 	d.Apply(directory.Changes{At: 6, Whole: true}, start)
 	assert.DeepEqual(t, d.Snapshot().Evacuated, []string{"x"})
 	applied := d.Apply(directory.Changes{At: 8, Whole: true}, start)
-	assert.DeepEqual(t, applied.Zones, takeBack("x", 8))
+	assert.DeepEqual(t, applied.Zones, evacuationEnd("x", 8))
 	d.Apply(directory.Changes{At: 8, Evacuations: evacuate("x", 7)}, start)
 	assert.Equal(t, len(d.Snapshot().Evacuated), 0, "the evacuation arrived after its end")
 }
--- a/directory/follow.go
+++ b/directory/follow.go
@@ -32,9 +32,9 @@
 
 // PagedSource is a Source that can hand over each page of a read before the read is complete.
 type PagedSource interface {
-	// ReadPages is ReadAll that also passes each page to one, in the order of keys, until one
+	// ReadPages is ReadAll that also passes each page to onPage, in the order of keys, until onPage
 	// returns false. It returns everything it read.
-	ReadPages(ctx context.Context, exact bool, one func(Changes) bool) (Changes, error)
+	ReadPages(ctx context.Context, exact bool, onPage func(Changes) bool) (Changes, error)
 }
 
 // Follower keeps a directory up to date from a store. In standby it does not follow the
@@ -81,7 +81,7 @@
 }
 
 // Active reports whether the store is followed.
-func (f *Follower) Active() bool { return f.active.open() }
+func (f *Follower) Active() bool { return f.active.isOpen() }
 
 // SetServing says whether other processes rely on this follower. If they do, it
 // shortens its pauses.
@@ -92,7 +92,7 @@
 func (f *Follower) Settled(now time.Time) bool {
 	answeredAt := f.answeredAt.Load()
 	age := now.Sub(f.startedAt) - time.Duration(answeredAt)
-	return answeredAt > 0 && f.active.open() && f.failures.Load() < unsettledFailures &&
+	return answeredAt > 0 && f.active.isOpen() && f.failures.Load() < unsettledFailures &&
 		age < f.shortened(f.opts.CheckEvery)+f.opts.CheckWait+settledSlack
 }
 
@@ -128,7 +128,7 @@
 }
 
 const (
-	unsettledFailures = 2                      // consecutive failed reads and watches from which a follower is not settled
+	unsettledFailures = 2                      // number of consecutive failed reads and watches at which a follower is no longer settled
 	settledSlack      = 150 * time.Millisecond // how much older than a check period and its timeout the last answer may be
 )
 
@@ -167,10 +167,10 @@
 			f.compacted.Store(true)
 			f.opts.Log.Info("store has compacted its history; reading everything again", "revision", f.directory.Snapshot().At)
 			return
-		case errors.Is(err, errMissesChanges):
+		case errors.Is(err, errWatchMissesChanges):
 			f.opts.Log.Info("watch misses changes; reading everything again", "revision", f.directory.Snapshot().At)
 			return
-		case errors.Is(err, errMayBeLost):
+		case errors.Is(err, errWatchMayBeLost):
 			f.opts.Log.Info("watch may be lost; starting a new one", "revision", f.directory.Snapshot().At)
 		case err != nil:
 			f.pauseAfterFailure(ctx, "watch", err)
@@ -182,9 +182,9 @@
 	}
 }
 
-// pauseForBatch pauses after changes, so that the next answer brings several at once. A
-// relay does not delay registrations: a balancer that does not know of one
-// would register too.
+// pauseForBatch pauses after changes, so that the next answer brings several at once. A follower
+// that other processes rely on does not pause for registrations alone: a balancer that does not
+// know of one would register too.
 func (f *Follower) pauseForBatch(ctx context.Context, changes Changes) {
 	n := changes.count()
 	if f.serving.Load() {
@@ -195,9 +195,9 @@
 	}
 }
 
-// backlogThreshold is the number of changes in one answer from which more are assumed to be
-// waiting. A store bounds its answers, and a configuration may come after thousands of entries, so
-// there is no pause then.
+// backlogThreshold is the number of changes in one answer at which more are assumed to be waiting,
+// so that there is no pause. A store bounds its answers, and a configuration may come after
+// thousands of entries.
 const backlogThreshold = 100
 
 // recordAnswer records that the store has answered, and ends the pause after a failure.
@@ -235,6 +235,6 @@
 		f.opts.Log.Warn("store lost", "call", call, "error", err)
 	}
 	f.opts.OnFailure()
-	longest := f.shortened(f.opts.retryPause(failures))
+	longest := f.shortened(f.opts.maxPauseAfter(failures))
 	pause.Until(ctx, f.retry, longest/2+rand.N(longest/2+1))
 }
--- a/directory/follow_test.go
+++ b/directory/follow_test.go
@@ -18,13 +18,13 @@
 // fakeSource is an in-memory store with one configuration, whose faults can be
 // switched on.
 type fakeSource struct {
-	mu       sync.Mutex
-	revision uint64
-	version  uint64
-	lost     uint64 // history up to this revision was compacted
-	down     bool
-	mute     bool // watches bring no changes
-	changed  chan struct{}
+	mu          sync.Mutex
+	revision    uint64
+	version     uint64
+	compactedTo uint64 // history up to this revision was compacted
+	down        bool
+	mute        bool // watches bring no changes
+	changed     chan struct{}
 }
 
 func newFakeSource() *fakeSource { return &fakeSource{changed: make(chan struct{})} }
@@ -74,7 +74,7 @@
 		case s.down:
 			s.mu.Unlock()
 			return directory.Changes{}, errDown
-		case after < s.lost:
+		case after < s.compactedTo:
 			s.mu.Unlock()
 			return directory.Changes{}, directory.ErrCompacted
 		case s.revision > after && !s.mute:
@@ -199,7 +199,7 @@
 	s.publish(1)
 	d, _ := follow(t, s)
 	waitVersion(t, d, 1)
-	s.set(func(s *fakeSource) { s.version, s.revision, s.lost = 5, 9, 9 })
+	s.set(func(s *fakeSource) { s.version, s.revision, s.compactedTo = 5, 9, 9 })
 	waitVersion(t, d, 5)
 }
 
@@ -261,9 +261,9 @@
 	return uint64(s.entries) + 1, nil
 }
 
-// TestConfigurationBehindABacklog checks that a configuration after many entries is not delayed by
+// TestConfigurationAfterBacklogIsNotDelayed checks that a configuration after many entries is not delayed by
 // the pause in which changes are batched, which never ends in this test.
-func TestConfigurationBehindABacklog(t *testing.T) {
+func TestConfigurationAfterBacklogIsNotDelayed(t *testing.T) {
 	d := directory.New()
 	f := directory.NewFollower(d, &boundedSource{entries: 3000, most: 500}, directory.Options{Gather: 1000 * time.Hour, CheckEvery: 1000 * time.Hour})
 	ctx, stop := context.WithCancel(context.Background())
@@ -275,7 +275,7 @@
 // countingSource counts the calls to a store by kind.
 type countingSource struct {
 	*fakeSource
-	cheap, exact, watches, questions atomic.Int64
+	cheap, exact, watches, revisionReads atomic.Int64
 }
 
 func (s *countingSource) ReadAll(ctx context.Context, exact bool) (directory.Changes, error) {
@@ -293,7 +293,7 @@
 }
 
 func (s *countingSource) Revision(ctx context.Context, exact bool) (uint64, error) {
-	s.questions.Add(1)
+	s.revisionReads.Add(1)
 	return s.fakeSource.Revision(ctx, exact)
 }
 
@@ -313,7 +313,7 @@
 	assert.Assert(t, !f.Settled(time.Now()))
 	s.publish(2)
 	f.Apply(directory.Changes{Config: &directory.Config{Version: 2}, At: 2}) // as a relay brings it
-	assert.DeepEqual(t, []int64{s.cheap.Load(), s.exact.Load(), s.watches.Load(), s.questions.Load()}, []int64{1, 0, 0, 0})
+	assert.DeepEqual(t, []int64{s.cheap.Load(), s.exact.Load(), s.watches.Load(), s.revisionReads.Load()}, []int64{1, 0, 0, 0})
 	f.SetActive(true)
 	s.publish(3)
 	waitVersion(t, d, 3)
--- a/directory/gate.go
+++ b/directory/gate.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// gate makes wait block until the gate is open.
+// gate blocks the callers of wait while it is closed. It can be opened and closed repeatedly.
 type gate struct {
-	mu     sync.Mutex
-	opened chan struct{} // closed while the gate is open
-	isOpen bool
+	mu      sync.Mutex
+	opened  chan struct{} // closed while the gate is open
+	openNow bool
 }
 
 // newGate returns a gate that is open or closed.
@@ -23,10 +23,10 @@
 func (g *gate) set(open bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.isOpen == open {
+	if g.openNow == open {
 		return false
 	}
-	g.isOpen = open
+	g.openNow = open
 	if open {
 		close(g.opened)
 	} else {
@@ -35,11 +35,11 @@
 	return true
 }
 
-// open reports whether the gate is open.
-func (g *gate) open() bool {
+// isOpen reports whether the gate is open.
+func (g *gate) isOpen() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.isOpen
+	return g.openNow
 }
 
 // wait waits until the gate is open, and returns false if ctx ends first.
--- a/directory/leaving.go
+++ b/directory/leaving.go
@@ -66,9 +66,9 @@
 	return all
 }
 
-// MarkLeaving records that one start of an endpoint announced that it is leaving, or that another
-// incarnation answers at its address, and reports whether that was new. If the endpoint's entry is
-// not known yet, the endpoint is marked as leaving when its entry is read.
+// MarkLeaving marks one start of an endpoint as leaving, and reports whether that was new. The start
+// either announced that it is leaving, or a different server answers at its address. If the
+// endpoint's entry is not known yet, the endpoint is marked when its entry is read.
 func (d *Directory) MarkLeaving(id string, start int64, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/directory/lists.go
+++ b/directory/lists.go
@@ -19,9 +19,9 @@
 
 // markChanged marks an endpoint of a service as changed since the last snapshot; d.mu is held.
 func (d *Directory) markChanged(service, id string) {
-	t := d.changed[service]
-	t.ids = append(t.ids, id)
-	d.changed[service] = t
+	marks := d.changed[service]
+	marks.ids = append(marks.ids, id)
+	d.changed[service] = marks
 }
 
 // markAllChanged marks all endpoints of a service as changed; d.mu is held.
@@ -42,10 +42,10 @@
 		}
 	}
 	for service, ids := range d.services {
-		if t, ok := d.changed[service]; !ok {
+		if marks, ok := d.changed[service]; !ok {
 			s.Endpoints[service] = before.Endpoints[service]
 			s.setShare(service, before.Shares[service])
-		} else if list := d.updatedList(t, before.Endpoints[service], ids, now); len(list) > 0 {
+		} else if list := d.updatedList(marks, before.Endpoints[service], ids, now); len(list) > 0 {
 			s.Endpoints[service] = list
 			s.setShare(service, d.setEvacuatedAndSide(service, list))
 		}
@@ -57,7 +57,8 @@
 	d.snapshot.Store(s)
 }
 
-// setShare sets the share of a service's requests that goes to the version being rolled out.
+// setShare sets the share of a service's requests that goes to the version being rolled out, if
+// there is such a share.
 func (s *Snapshot) setShare(service string, share float64) {
 	if share > 0 {
 		s.Shares[service] = share
@@ -87,22 +88,24 @@
 	return n
 }
 
-// updatedList returns the endpoints of a service that may be used, sorted by identity, given the
-// list of the last snapshot and what has changed since; d.mu is held.
-func (d *Directory) updatedList(t changedEndpoints, before []Endpoint, ids map[string]bool, now time.Time) []Endpoint {
-	if t.all || len(t.ids) > len(before)/mergeDivisor {
-		return d.usableEndpoints(ids, now)
+// updatedList returns a service's list for the next snapshot, sorted by identity. before is the
+// list of the last snapshot, changed says what has changed since, and ids are the identities of the
+// service's endpoints; d.mu is held.
+func (d *Directory) updatedList(changed changedEndpoints, before []Endpoint, ids map[string]bool, now time.Time) []Endpoint {
+	if changed.all || len(changed.ids) > len(before)/mergeDivisor {
+		return d.rebuiltList(ids, now)
 	}
-	slices.Sort(t.ids)
-	return d.mergeChanges(before, slices.Compact(t.ids), ids)
+	slices.Sort(changed.ids)
+	return d.mergeChanges(before, slices.Compact(changed.ids), ids)
 }
 
 // mergeDivisor bounds the changes that are merged into a list: at most one in mergeDivisor of its
 // endpoints. Merging more costs about as much as rebuilding the list.
 const mergeDivisor = 4
 
-// mergeChanges returns the list before with some endpoints replaced, added or removed. Both
-// arguments are sorted by identity; d.mu is held. No endpoint of the service may be missing.
+// mergeChanges returns a copy of before in which the changed endpoints are replaced, added or
+// removed. before and changed are sorted by identity, and ids are the identities of the service's
+// endpoints, none of which may be in state Missing; d.mu is held.
 func (d *Directory) mergeChanges(before []Endpoint, changed []string, ids map[string]bool) []Endpoint {
 	list := make([]Endpoint, 0, len(before)+len(changed))
 	for _, id := range changed {
@@ -119,9 +122,10 @@
 	return append(list, before...)
 }
 
-// usableEndpoints returns, sorted by identity, the listed endpoints of a service and those
-// that went missing together because the store lost their entries; d.mu is held.
-func (d *Directory) usableEndpoints(ids map[string]bool, now time.Time) []Endpoint {
+// rebuiltList returns, sorted by identity, the listed endpoints of a service and those
+// that went missing together because the store lost their entries. ids are the identities of the
+// service's endpoints; d.mu is held.
+func (d *Directory) rebuiltList(ids map[string]bool, now time.Time) []Endpoint {
 	used := make([]Endpoint, 0, len(ids))
 	var missing []Endpoint
 	for id := range ids {
--- a/directory/monitor.go
+++ b/directory/monitor.go
@@ -13,16 +13,16 @@
 	var w watchdog
 	checked := time.Now()
 	for ctx.Err() == nil {
-		if !f.active.open() {
+		if !f.active.isOpen() {
 			f.active.wait(ctx)
 			checked, w = time.Time{}, watchdog{} // so that the first check comes at once
 		}
 		w.stuckAfter, w.exactEvery, w.checkEvery = f.shortened(f.opts.StuckAfter), f.opts.ExactCheckEvery, f.shortened(f.opts.CheckEvery)
 		// The period counts from the start of a check to that of the next, however long an
-		// answer takes: while a store compacts its history, cheap reads show a change for
-		// little more than a second.
+		// answer takes. While a store compacts its history, cheap reads show a change for
+		// little more than a second, so a longer period could miss it.
 		pause.For(ctx, time.Until(checked.Add(w.untilNextCheck())))
-		if !f.active.open() {
+		if !f.active.isOpen() {
 			continue
 		}
 		checked = time.Now()
@@ -30,8 +30,8 @@
 			w.lastFailed = false // the retries of the watch show what a check would
 			continue
 		}
-		if do := f.check(ctx, &w); do != trustWatch {
-			f.abandonWatch(do)
+		if action := f.check(ctx, &w); action != trustWatch {
+			f.abandonWatch(action)
 		}
 	}
 }
@@ -44,14 +44,14 @@
 		return trustWatch
 	}
 	if err == nil {
-		f.checkAnswered(time.Now())
+		f.recordCheckAnswer(time.Now())
 	}
 	if f.compacted.Swap(false) {
 		w.observeCompaction()
 	}
-	do := w.observe(time.Now(), revision, f.directory.Snapshot().At, f.watchingSince.Load() != 0, err)
-	if do != checkExactly {
-		return do
+	action := w.observe(time.Now(), revision, f.directory.Snapshot().At, f.watchingSince.Load() != 0, err)
+	if action != checkExactly {
+		return action
 	}
 	if revision, err = f.revision(ctx, true); err != nil {
 		return trustWatch // the next cheap check shows whether the store answers
@@ -76,13 +76,13 @@
 	}
 }
 
-// watchAccepted is how long a watch must have waited to be assumed accepted by the store.
-const watchAccepted = 200 * time.Millisecond
+// watchAcceptedAfter is how long a watch must have waited to be assumed accepted by the store.
+const watchAcceptedAfter = 200 * time.Millisecond
 
-// checkAnswered records the answer to a cheap check. The answer shows that the store can be
+// recordCheckAnswer records the answer to a cheap check. The answer shows that the store can be
 // reached; only a waiting watch shows that it also accepts watches.
-func (f *Follower) checkAnswered(now time.Time) {
-	if f.Watching(now) > watchAccepted {
+func (f *Follower) recordCheckAnswer(now time.Time) {
+	if f.Watching(now) > watchAcceptedAfter {
 		f.recordAnswer()
 		return
 	}
--- a/directory/options.go
+++ b/directory/options.go
@@ -38,8 +38,8 @@
 	// OnFailure when a watch fails, or a read that the follower retries; they may be nil.
 	OnAnswer  func()
 	OnFailure func()
-	// Standby makes a follower that makes no calls to the store but its first
-	// read, until SetActive activates it.
+	// Standby keeps the follower from all calls to the store, except its first read, until SetActive
+	// activates it.
 	Standby bool
 }
 
@@ -47,14 +47,14 @@
 const (
 	// watchWait is how long one watch waits at the store.
 	watchWait = 25 * time.Second
-	// readWait is the timeout of a read of everything.
-	readWait = 3 * time.Second
-	// exactCheckEvery limits exact reads, which cost ten times as much as cheap ones.
-	exactCheckEvery = time.Second
-	// retryPause and maxRetryPause limit the retries while the store does not answer, because each
+	// readTimeout is the timeout of a full read.
+	readTimeout = 3 * time.Second
+	// defaultExactCheckEvery limits exact reads, which cost ten times as much as cheap ones.
+	defaultExactCheckEvery = time.Second
+	// defaultRetryPause and maxRetryPause limit the retries while the store does not answer, because each
 	// call is paid for.
-	retryPause    = 500 * time.Millisecond
-	maxRetryPause = 2 * time.Second
+	defaultRetryPause = 500 * time.Millisecond
+	maxRetryPause     = 2 * time.Second
 	// defaultBound is the bound that the defaults are for.
 	defaultBound = 2 * time.Second
 )
@@ -87,7 +87,7 @@
 	maxCheckEvery = 850 * time.Millisecond
 	maxCheckWait  = 600 * time.Millisecond
 	// servingShare is the share of its pauses that a follower keeps while other processes rely on
-	// it, because their own delays add to it.
+	// it. Their own delays add to those of the follower.
 	servingShare = 0.5
 )
 
@@ -98,8 +98,8 @@
 	o.CheckEvery = cmp.Or(o.CheckEvery, defaults.CheckEvery)
 	o.CheckWait = cmp.Or(o.CheckWait, defaults.CheckWait)
 	o.StuckAfter = cmp.Or(o.StuckAfter, defaults.StuckAfter)
-	o.ExactCheckEvery = cmp.Or(o.ExactCheckEvery, exactCheckEvery)
-	o.RetryPause = cmp.Or(o.RetryPause, retryPause)
+	o.ExactCheckEvery = cmp.Or(o.ExactCheckEvery, defaultExactCheckEvery)
+	o.RetryPause = cmp.Or(o.RetryPause, defaultRetryPause)
 	if o.Observe == nil {
 		o.Observe = func(Changes) {}
 	}
@@ -115,8 +115,8 @@
 	return o
 }
 
-// retryPause returns the longest pause after the given number of consecutive failures.
-func (o Options) retryPause(failures int64) time.Duration {
+// maxPauseAfter returns the longest pause after the given number of consecutive failures.
+func (o Options) maxPauseAfter(failures int64) time.Duration {
 	return min(o.RetryPause<<min(failures-1, maxDoublings), maxRetryPause)
 }
 
--- a/directory/read.go
+++ b/directory/read.go
@@ -6,7 +6,7 @@
 )
 
 // Read reads everything cheaply and brings it into force. What it reads may be seconds
-// old; following the store brings the rest. The first read of a PagedSource brings its pages into
+// old; the watch brings later changes. The first read of a PagedSource brings its pages into
 // force as they arrive, up to PartEntries endpoints, so that a balancer can serve early.
 func (f *Follower) Read(ctx context.Context) error {
 	paged, ok := f.source.(PagedSource)
@@ -14,7 +14,7 @@
 		return f.readAll(ctx, false)
 	}
 	entries := 0
-	return f.read(ctx, readWait, func(ctx context.Context) (Changes, error) {
+	return f.read(ctx, readTimeout, func(ctx context.Context) (Changes, error) {
 		return paged.ReadPages(ctx, false, func(page Changes) bool {
 			entries += len(page.Entries)
 			page.Part = true
@@ -54,12 +54,12 @@
 
 // readAll reads everything, exactly or cheaply, and brings it into force.
 func (f *Follower) readAll(ctx context.Context, exact bool) error {
-	return f.read(ctx, readWait, func(ctx context.Context) (Changes, error) { return f.source.ReadAll(ctx, exact) })
+	return f.read(ctx, readTimeout, func(ctx context.Context) (Changes, error) { return f.source.ReadAll(ctx, exact) })
 }
 
 // read makes a reading call with the given timeout and brings its result into force.
-func (f *Follower) read(ctx context.Context, within time.Duration, call func(context.Context) (Changes, error)) error {
-	ctx, cancel := context.WithTimeout(ctx, within)
+func (f *Follower) read(ctx context.Context, timeout time.Duration, call func(context.Context) (Changes, error)) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	f.calls.Add(1)
 	changes, err := call(ctx)
--- a/directory/rollout.go
+++ b/directory/rollout.go
@@ -29,11 +29,11 @@
 	Out     []string      `json:"out,omitempty"` // versions of earlier orders that were not completed
 }
 
-// maxHeldVersions bounds how many versions are held back: the oldest are dropped.
+// maxHeldVersions bounds how many versions are kept from requests by Out, which drops the oldest.
 const maxHeldVersions = 8
 
-// Out returns the versions that are held back besides the one that is rolled out: those
-// of earlier orders that were rolled back, withdrawn or replaced before they were completed.
+// Out returns the versions, besides the one that is rolled out, whose endpoints get no requests:
+// those of earlier orders that were rolled back, withdrawn or replaced before they were completed.
 func (r Rollout) Out() []string {
 	out := slices.Clone(r.Record.Out)
 	if r.Revision > 0 && r.Record.State != rollout.Completed {
@@ -174,9 +174,8 @@
 	return list
 }
 
-// endsOfAbsent returns the ends of the orders that a read of everything, at the given revision,
-// does not name.
-func (all rollouts) endsOfAbsent(named []RolloutOrder, at uint64) []RolloutOrder {
+// impliedEnds returns the ends of the orders that a full read, at the given revision, does not name.
+func (all rollouts) impliedEnds(named []RolloutOrder, at uint64) []RolloutOrder {
 	var over []RolloutOrder
 	for service, r := range all {
 		isNamed := slices.ContainsFunc(named, func(o RolloutOrder) bool { return o.Service == service })
@@ -237,11 +236,11 @@
 func (d *Directory) applyRollouts(c Changes, applied *Applied) {
 	orders := c.Rollouts
 	if c.Whole {
-		orders = append(slices.Clone(orders), d.rollouts.endsOfAbsent(c.Rollouts, c.At)...)
+		orders = append(slices.Clone(orders), d.rollouts.impliedEnds(c.Rollouts, c.At)...)
 	}
 	for _, o := range orders {
 		if d.rollouts.applyOrder(o) {
-			d.applyBad(o.Service)
+			d.updateBad(o.Service)
 			d.markAllChanged(o.Service)
 			applied.Rollouts = append(applied.Rollouts, d.rollouts[o.Service])
 		}
--- a/directory/start_test.go
+++ b/directory/start_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// started returns an entry of one start of the endpoint "a".
-func started(start int64, revision uint64) directory.Entry {
+// entryOfA returns an entry of one start of the endpoint "a".
+func entryOfA(start int64, revision uint64) directory.Entry {
 	return directory.Entry{
 		Endpoint: directory.Endpoint{Endpoint: placement.Endpoint{VM: "a", Addr: "a:1", Zone: "z", Slots: 3}, Service: "s", Start: start},
 		Revision: revision,
@@ -38,7 +38,7 @@
 // TestAnotherStartIsAnotherServer checks that nothing known of the earlier start applies to a new start
 // under the same identity, whatever the state of the earlier one was.
 func TestAnotherStartIsAnotherServer(t *testing.T) {
-	leaving := started(1, 2)
+	leaving := entryOfA(1, 2)
 	leaving.Leaving = true
 	for name, before := range map[string]func(*directory.Directory){
 		"in use":                   func(*directory.Directory) {},
@@ -56,14 +56,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := directory.New()
-			cold := started(1, 1)
+			cold := entryOfA(1, 1)
 			cold.Warmup = time.Hour
 			apply(d, start, cold)
 			before(d)
-			apply(d, start, started(2, 3))
+			apply(d, start, entryOfA(2, 3))
 			assert.Equal(t, startInUse(d, start), int64(2))
 			assert.Assert(t, !d.Snapshot().Endpoints["s"][0].WarmAt.After(start), "the warm-up of the earlier start does not apply")
-			apply(d, start, started(1, 1))
+			apply(d, start, entryOfA(1, 1))
 			assert.Equal(t, startInUse(d, start), int64(2), "an older entry was read late")
 			assert.Assert(t, !d.MarkLeaving("a", 1, start), "a late notice about the earlier start")
 			assert.Equal(t, startInUse(d, start), int64(2))
@@ -76,9 +76,9 @@
 func TestSameStartStaysLeaving(t *testing.T) {
 	for _, again := range []int64{1, 0} {
 		d := directory.New()
-		leaving := started(1, 2)
+		leaving := entryOfA(1, 2)
 		leaving.Leaving = true
-		apply(d, start, started(1, 1), leaving, started(again, 3))
+		apply(d, start, entryOfA(1, 1), leaving, entryOfA(again, 3))
 		assert.Equal(t, startInUse(d, start), int64(0))
 	}
 }
@@ -87,32 +87,32 @@
 // even as a last resort, until its server writes the entry again.
 func TestUnreadableEntryIsNotUsed(t *testing.T) {
 	d := directory.New()
-	apply(d, start, started(1, 1))
+	apply(d, start, entryOfA(1, 1))
 	d.Apply(directory.Changes{Gone: []directory.Gone{{ID: "a", Revision: 2, Spoiled: true}}}, start)
 	assert.Equal(t, startInUse(d, start), int64(0))
-	apply(d, start, started(1, 3))
+	apply(d, start, entryOfA(1, 3))
 	assert.Equal(t, startInUse(d, start), int64(1))
 }
 
 // TestUnconfiguredServiceIsNotCounted checks that Known does not count endpoints of services that
-// are not configured.
+// are not configured: they get no requests, so a balancer that knows only them cannot serve.
 func TestUnconfiguredServiceIsNotCounted(t *testing.T) {
 	d := directory.New()
-	apply(d, start, started(1, 1))
+	apply(d, start, entryOfA(1, 1))
 	d.Apply(directory.Changes{Config: &directory.Config{Version: 1, Services: map[string]tenant.Service{"other": {}}}}, start)
 	assert.Equal(t, d.Snapshot().Known, 0)
 	d.Apply(directory.Changes{Config: &directory.Config{Version: 2, Services: map[string]tenant.Service{"s": {}}}}, start)
 	assert.Equal(t, d.Snapshot().Known, 1)
 }
 
-// pagedSource is a store whose read of everything hands over its pages.
+// pagedSource is a store whose full read hands over its pages one by one.
 type pagedSource struct {
 	*fakeSource
 	pages []directory.Changes
 	seen  func(page int)
 }
 
-func (s *pagedSource) ReadPages(_ context.Context, _ bool, one func(directory.Changes) bool) (directory.Changes, error) {
+func (s *pagedSource) ReadPages(_ context.Context, _ bool, onPage func(directory.Changes) bool) (directory.Changes, error) {
 	all := directory.Changes{Whole: true, At: 9}
 	more := true
 	for i, p := range s.pages {
@@ -120,14 +120,15 @@
 		if p.Config != nil {
 			all.Config = p.Config
 		}
-		more = more && one(p)
+		more = more && onPage(p)
 		s.seen(i)
 	}
 	return all, nil
 }
 
-// TestFirstPagesAreAppliedDuringRead checks that the first pages come into force while the read goes
-// on, until enough endpoints to serve with are known, and everything does when it ends.
+// TestFirstPagesAreAppliedDuringRead checks that during a paged read, pages come into force as they
+// arrive until enough endpoints to serve with are known, and that the rest comes into force when
+// the read ends.
 func TestFirstPagesAreAppliedDuringRead(t *testing.T) {
 	d := directory.New()
 	source := &pagedSource{fakeSource: newFakeSource()}
--- a/directory/watch.go
+++ b/directory/watch.go
@@ -8,18 +8,19 @@
 )
 
 var (
-	// errMissesChanges is returned for a watch that was abandoned because it seems to miss
+	// errWatchMissesChanges is returned for a watch that was abandoned because it seems to miss
 	// changes.
-	errMissesChanges = errors.New("directory: watch misses changes")
-	// errMayBeLost is returned for a watch that was abandoned because the store did not answer
+	errWatchMissesChanges = errors.New("directory: watch misses changes")
+	// errWatchMayBeLost is returned for a watch that was abandoned because the store did not answer
 	// for a time, so that the watch may have been lost.
-	errMayBeLost = errors.New("directory: watch may be lost")
+	errWatchMayBeLost = errors.New("directory: watch may be lost")
 )
 
 // watch waits for changes until they come, the wait is over or the monitor abandons
-// the watch. In the last case it returns errMissesChanges or errMayBeLost.
+// the watch. In the last case it returns errWatchMissesChanges or
+// errWatchMayBeLost.
 func (f *Follower) watch(ctx context.Context) (Changes, error) {
-	ctx, cancel := context.WithTimeout(ctx, watchWait+readWait)
+	ctx, cancel := context.WithTimeout(ctx, watchWait+readTimeout)
 	defer cancel()
 	select {
 	case <-f.watchAdvice: // discards advice about an earlier watch
@@ -43,9 +44,9 @@
 	switch {
 	case err == nil:
 	case advice(reason.Load()) == readAgain:
-		err = errMissesChanges
+		err = errWatchMissesChanges
 	case advice(reason.Load()) == watchAgain:
-		err = errMayBeLost
+		err = errWatchMayBeLost
 	}
 	return changes, err
 }
--- a/directory/watchdog.go
+++ b/directory/watchdog.go
@@ -9,7 +9,7 @@
 	// trustWatch means that nothing indicates a fault of the watch.
 	trustWatch advice = iota
 	// checkExactly means that the store's revision should be read exactly, because cheap reads
-	// lag.
+	// lag: they return a lower revision than earlier ones did.
 	checkExactly
 	// watchAgain means that the store did not answer for a time, so the watch may be lost;
 	// a new watch brings what it has missed.
@@ -28,9 +28,9 @@
 
 	lastFailed     bool      // the last cheap check was not answered
 	highest        uint64    // highest revision seen
-	aheadSince     time.Time // when a check first saw a revision that the watch had not brought; zero for none
+	aheadSince     time.Time // when a check first saw a revision that the watch has not brought yet; zero for none
 	exactCheckedAt time.Time // time of the last exact check
-	compacted      bool      // the store compacted its history, so the watch is new; until cheap reads no longer lag
+	compacted      bool      // the store compacted its history, so the watch began after that; reset once cheap reads no longer lag
 }
 
 // observe judges the watch after a cheap check that returned revision or err. at is the
--- a/directory/watchdog_test.go
+++ b/directory/watchdog_test.go
@@ -13,12 +13,12 @@
 	after    time.Duration
 	revision uint64
 	at       uint64
-	gather   bool // no watch waits, because changes are being batched
+	batching bool // no watch waits, because changes are being batched
 	err      error
 	want     advice
 }
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
 // TestWatchdog checks which observations count as signs that a watch misses changes.
 func TestWatchdog(t *testing.T) {
@@ -32,7 +32,7 @@
 		{"a change that the watch does not bring", []step{{0, 6, 5, false, nil, trustWatch}, {800 * ms, 6, 5, false, nil, readAgain}}},
 		{"the same, seen once before the reads lag", []step{{0, 6, 5, false, nil, trustWatch}, {800 * ms, 5, 5, false, nil, readAgain}}},
 		{"no watch waits while changes are batched", []step{{0, 6, 5, true, nil, trustWatch}, {800 * ms, 6, 5, true, nil, trustWatch}}},
-		{"the store answers again", []step{{0, 0, 5, false, errSilent, trustWatch}, {800 * ms, 5, 5, false, nil, watchAgain}, {800 * ms, 5, 5, false, nil, trustWatch}}},
+		{"the store answers again", []step{{0, 0, 5, false, errNoAnswer, trustWatch}, {800 * ms, 5, 5, false, nil, watchAgain}, {800 * ms, 5, 5, false, nil, trustWatch}}},
 		{"reads return an older revision", []step{{0, 5, 5, false, nil, trustWatch}, {800 * ms, 4, 5, false, nil, checkExactly}}},
 		{"reads keep lagging", []step{
 			{0, 5, 5, false, nil, trustWatch},
@@ -46,13 +46,13 @@
 		now := time.Unix(1000, 0)
 		for i, s := range c.steps {
 			now = now.Add(s.after)
-			assert.Equal(t, w.observe(now, s.revision, s.at, !s.gather, s.err), s.want, "%s: step %d", c.name, i)
+			assert.Equal(t, w.observe(now, s.revision, s.at, !s.batching, s.err), s.want, "%s: step %d", c.name, i)
 		}
 	}
 }
 
-// TestNewWatchIsTrusted checks that after a compaction, reads that lag are no sign against
-// the watch that began after it.
+// TestNewWatchIsTrusted checks that after a compaction, the new watch is trusted even though cheap
+// reads lag.
 func TestNewWatchIsTrusted(t *testing.T) {
 	w := watchdog{stuckAfter: time.Second, exactEvery: time.Second}
 	now := time.Unix(1000, 0)
@@ -63,9 +63,9 @@
 	assert.Equal(t, w.observe(now.Add(6*time.Second), 4, 9, true, nil), checkExactly, "the next time they lag")
 }
 
-// TestExactRevisionDecides checks that an exact revision above the known one has everything read
-// again.
-func TestExactRevisionDecides(t *testing.T) {
+// TestHigherExactRevisionCausesFullRead checks that an exact revision above the one up to which
+// all changes are known leads to a full read.
+func TestHigherExactRevisionCausesFullRead(t *testing.T) {
 	var w watchdog
 	assert.Equal(t, w.observeExact(7, 7), trustWatch)
 	assert.Equal(t, w.observeExact(8, 7), readAgain)
