--- a/directory/apply.go
+++ b/directory/apply.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Apply brings changes into force, whether the store or another process sent them, and logs
+// Apply applies changes to the directory, whether the store or another process sent them, and logs
 // what they did.
 func (f *Follower) Apply(changes Changes) {
 	applied := f.directory.Apply(changes, time.Now())
--- a/directory/changes.go
+++ b/directory/changes.go
@@ -90,10 +90,10 @@
 }
 
 // Outdated reports whether the changes are a full read at a revision below known, or a part of a
-// full read that arrives after a complete one. known is the revision up to which all changes are in
-// force; 0 before the first full read. Applying outdated changes would restore keys that were
-// deleted before the read that is in force, because no record of those deletions is kept. It
-// happens when two first copies are read at once and the older one arrives last.
+// full read that arrives after a complete one. known is the revision up to which all changes are
+// applied; 0 before the first full read. Applying outdated changes would restore keys that were
+// deleted before the latest full read, because no record of those deletions is kept. Changes are
+// outdated when two first copies are read at once and the older one arrives last.
 func (c Changes) Outdated(known uint64) bool { return c.Whole && c.At < known || c.Part && known > 0 }
 
 // count returns the number of changes.
@@ -107,8 +107,8 @@
 
 // Applied says what the changes did to the directory.
 type Applied struct {
-	Version      uint64       // of a configuration that came into force, 0 for none
-	Ignored      uint64       // of a configuration that is older than the one in force, 0 for none
+	Version      uint64       // of a configuration that was applied, 0 for none
+	Ignored      uint64       // of a configuration that is older than the present one, 0 for none
 	StateChanges []Change     // new states of endpoints
 	Zones        []Evacuation // zones whose evacuation began or ended
 
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -49,7 +49,7 @@
 	rollouts          rollouts
 	badOrderRevisions map[string]uint64 // revision of the latest rollout order whose version was found bad, by service
 	notices           leavingNotices    // about endpoints whose entries are not known yet
-	revision          uint64            // up to which all changes are in force
+	revision          uint64            // up to which all changes are applied
 }
 
 // New returns an empty directory.
@@ -65,7 +65,7 @@
 // Snapshot returns the directory's present content.
 func (d *Directory) Snapshot() *Snapshot { return d.snapshot.Load() }
 
-// Apply brings changes into force. Outdated changes are ignored.
+// Apply applies changes and publishes a new snapshot. Outdated changes are ignored.
 func (d *Directory) Apply(c Changes, now time.Time) Applied {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,7 +108,7 @@
 	}
 }
 
-// applyConfig brings a configuration into force if its version is higher than the present one.
+// applyConfig applies a configuration if its version is higher than the present one.
 func (d *Directory) applyConfig(c *Config, applied *Applied) {
 	switch {
 	case c == nil:
@@ -202,7 +202,7 @@
 	return e, known
 }
 
-// isConfigured reports whether the configuration in force has the service; it returns true while
+// isConfigured reports whether the present configuration has the service; it returns true while
 // there is no configuration. d.mu is held.
 func (d *Directory) isConfigured(service string) bool {
 	if d.config == nil {
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -32,7 +32,7 @@
 	return ids
 }
 
-// TestVersionNeverGoesBack checks that the version in force is the highest one applied, whatever
+// TestVersionNeverGoesBack checks that the present version is the highest one applied, whatever
 // the order in which configurations arrive.
 func TestVersionNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -200,7 +200,7 @@
 }
 
 // TestOutdatedReadRestoresNothing checks that a full read that arrives late does not
-// restore an endpoint whose entry was deleted before the newer read that is in force.
+// restore an endpoint whose entry was deleted before a newer full read.
 func TestOutdatedReadRestoresNothing(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Whole: true, At: 6, Entries: []directory.Entry{entry("a", 2)}}, start)
--- a/directory/endpoint.go
+++ b/directory/endpoint.go
@@ -48,7 +48,7 @@
 const (
 	// missingUsableFor is how long endpoints that went missing together may still be
 	// used. The platform's servers that are alive have written their entries again within two
-	// seconds of the store's return, and these are in force within the pause in which
+	// seconds of the store's return, and these entries are applied within the pause in which
 	// changes are batched, at most 1.75 s.
 	missingUsableFor = 4 * time.Second
 	// lossFactor distinguishes a store that lost its entries from endpoints that left: the endpoints
--- a/directory/evacuation_test.go
+++ b/directory/evacuation_test.go
@@ -60,7 +60,7 @@
 }
 
 // TestTwoZonesAreEvacuatedAtOnce checks that two zones can be evacuated at the same time, and that
-// the end of one evacuation leaves the other one in force.
+// the end of one evacuation does not end the other one.
 func TestTwoZonesAreEvacuatedAtOnce(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{inZone("a", "x", 1), inZone("b", "y", 2), inZone("c", "z", 3)}}, start)
@@ -80,7 +80,7 @@
 	assert.DeepEqual(t, usableIDs(d, start), []string{"b"})
 }
 
-// TestEvacuationMatchesLastStoreState checks that the store's last state is in force after
+// TestEvacuationMatchesLastStoreState checks that the store's last state is what applies after
 // changes and full reads that arrive late, repeatedly or out of order.
 func TestEvacuationMatchesLastStoreState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/directory/follow.go
+++ b/directory/follow.go
@@ -88,7 +88,7 @@
 func (f *Follower) SetServing(serving bool) { f.serving.Store(serving) }
 
 // Settled reports whether the store is followed and has answered recently, so
-// that what is in force may be passed on as the store's present state.
+// that the directory's content may be passed on as the store's present state.
 func (f *Follower) Settled(now time.Time) bool {
 	answeredAt := f.answeredAt.Load()
 	age := now.Sub(f.startedAt) - time.Duration(answeredAt)
@@ -105,8 +105,8 @@
 	return f.startedAt.Add(time.Duration(answeredAt))
 }
 
-// Resume accounts for a suspension of the VM of the given length: what is in force is that much
-// older, and the connection of a waiting watch may have been lost.
+// Resume accounts for a suspension of the VM of the given length: the store's last answer is that
+// much older, and the connection of a waiting watch may have been lost.
 func (f *Follower) Resume(suspended time.Duration) {
 	if answeredAt := f.answeredAt.Load(); answeredAt > 0 {
 		f.answeredAt.Store(answeredAt - int64(suspended))
--- a/directory/follow_test.go
+++ b/directory/follow_test.go
@@ -120,12 +120,12 @@
 		if c := d.Snapshot().Config; c != nil && c.Version == version {
 			return poll.Success()
 		}
-		return poll.Continue("version %d is not in force", version)
+		return poll.Continue("version %d is not applied", version)
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-// TestChangesComeIntoForce checks that successive configurations come into force.
-func TestChangesComeIntoForce(t *testing.T) {
+// TestChangesAreApplied checks that successive configurations are applied.
+func TestChangesAreApplied(t *testing.T) {
 	s := newFakeSource()
 	d, _ := follow(t, s)
 	for version := uint64(3); version < 8; version += 2 {
@@ -135,7 +135,7 @@
 }
 
 // TestRecoveredStoreIsRead checks that Lost is true while the store is down, and that its changes
-// come into force afterwards.
+// are applied afterwards.
 func TestRecoveredStoreIsRead(t *testing.T) {
 	s := newFakeSource()
 	s.set(func(s *fakeSource) { s.down = true })
@@ -203,8 +203,8 @@
 	waitVersion(t, d, 5)
 }
 
-// TestSilentWatchIsNotTrusted checks that changes that a waiting watch does not bring come
-// into force nevertheless.
+// TestSilentWatchIsNotTrusted checks that changes that a waiting watch does not bring are
+// applied nevertheless.
 func TestSilentWatchIsNotTrusted(t *testing.T) {
 	s := newFakeSource()
 	s.publish(1)
--- a/directory/options.go
+++ b/directory/options.go
@@ -8,7 +8,7 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// Options of a Follower. Zero fields take the defaults, which bring a change into force within
+// Options of a Follower. Zero fields take the defaults, with which a change is applied within
 // two seconds (see OptionsWithin).
 type Options struct {
 	Log hclog.Logger
@@ -28,9 +28,9 @@
 	// RetryPause is the longest pause after a first failed call, doubled with each consecutive
 	// failure up to maxRetryPause; default 500 ms.
 	RetryPause time.Duration
-	// Observe is called with all changes after they are in force; may be nil.
+	// Observe is called with all changes after they are applied; may be nil.
 	Observe func(Changes)
-	// Begin brings a first copy of everything into force and returns when it has, or
+	// Begin applies a first copy of everything and returns when it has, or
 	// when ctx has ended. If it is nil, the follower reads the copy from the store; when a
 	// whole fleet starts at once, all its processes would do so at the same time.
 	Begin func(ctx context.Context)
@@ -59,7 +59,7 @@
 	defaultBound = 2 * time.Second
 )
 
-// OptionsWithin returns options that bring a change into force within a bound
+// OptionsWithin returns options with which a change is applied within a bound
 // after the store has accepted it, even if the watch does not bring it: the next
 // revision check notices it, and after StuckAfter everything is read again.
 func OptionsWithin(bound time.Duration) Options {
--- a/directory/read.go
+++ b/directory/read.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Read reads everything cheaply and brings it into force. What it reads may be seconds
-// old; the watch brings later changes. The first read of a PagedSource brings its pages into
-// force as they arrive, up to PartEntries endpoints, so that a balancer can serve early.
+// Read reads everything cheaply and applies it. What it reads may be seconds
+// old; the watch brings later changes. The first read of a PagedSource applies its pages as
+// they arrive, up to PartEntries endpoints, so that a balancer can serve early.
 func (f *Follower) Read(ctx context.Context) error {
 	paged, ok := f.source.(PagedSource)
 	if !ok || f.directory.Snapshot().At > 0 {
@@ -29,8 +29,8 @@
 // endpoints get the whole copy at once.
 const PartEntries = 1024
 
-// ReadRegistrations reads only the registrations of balancers, cheaply, and brings
-// them into force.
+// ReadRegistrations reads only the registrations of balancers, cheaply, and applies
+// them.
 func (f *Follower) ReadRegistrations(ctx context.Context) error {
 	return f.read(ctx, f.opts.CheckWait, f.source.ReadRegistrations)
 }
@@ -52,12 +52,12 @@
 	}
 }
 
-// readAll reads everything, exactly or cheaply, and brings it into force.
+// readAll reads everything, exactly or cheaply, and applies it.
 func (f *Follower) readAll(ctx context.Context, exact bool) error {
 	return f.read(ctx, readTimeout, func(ctx context.Context) (Changes, error) { return f.source.ReadAll(ctx, exact) })
 }
 
-// read makes a reading call with the given timeout and brings its result into force.
+// read makes a reading call with the given timeout and applies its result.
 func (f *Follower) read(ctx context.Context, timeout time.Duration, call func(context.Context) (Changes, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/directory/rollout.go
+++ b/directory/rollout.go
@@ -80,7 +80,8 @@
 	return rollout.Status{State: r.Record.State, Stage: r.Record.Stage}
 }
 
-// Begun reports whether a balancer has begun to carry out the order in force.
+// Begun reports whether a balancer has begun to carry out the latest order, unless
+// that was withdrawn.
 func (r Rollout) Begun() bool {
 	return r.Revision > 0 && !r.Order.Over && r.Record.Order == r.Order.Revision
 }
--- a/directory/start_test.go
+++ b/directory/start_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// apply brings entries into force.
+// apply applies entries to a directory.
 func apply(d *directory.Directory, now time.Time, entries ...directory.Entry) {
 	d.Apply(directory.Changes{Entries: entries}, now)
 }
@@ -126,8 +126,8 @@
 	return all, nil
 }
 
-// TestFirstPagesAreAppliedDuringRead checks that during a paged read, pages come into force as they
-// arrive until enough endpoints to serve with are known, and that the rest comes into force when
+// TestFirstPagesAreAppliedDuringRead checks that during a paged read, pages are applied as they
+// arrive until enough endpoints to serve with are known, and that the rest is applied when
 // the read ends.
 func TestFirstPagesAreAppliedDuringRead(t *testing.T) {
 	d := directory.New()
