--- a/coord/admission/admission.go
+++ b/coord/admission/admission.go
@@ -5,8 +5,8 @@
 // how many requests per second it accepts, and the outcome of the requests since its last backoff.
 // Decide combines them. A State holds what one incarnation of an endpoint has said.
 //
-// After a backoff an endpoint starts slowly: it gets one request at a time until one has run, and
-// a share of its usual requests that grows to all of them.
+// After a backoff an endpoint starts slowly: it gets one request at a time until it has run
+// one, and a share of its usual requests that grows to all of them.
 //
 // The package has no global state and reads no clock; times and random numbers are arguments.
 //
@@ -90,8 +90,8 @@
 	return f.decideFromState(now)
 }
 
-// decideFromState decides if the endpoint has asked for a backoff or is leaving, or another
-// balancer has sent a hint.
+// decideFromState returns the decision for an endpoint whose state is not empty: it has asked for
+// a backoff, is leaving, or a hint about it has arrived.
 func (f *Facts) decideFromState(now time.Time) Decision {
 	admitsAt, trialDeadline := f.State.own.admitsAt(f.Lot, f.Priority), f.State.trialDeadline(now)
 	switch {
@@ -109,7 +109,7 @@
 	return d
 }
 
-// decideFromLimit decides by the limit of the endpoint alone.
+// decideFromLimit returns the decision that follows from the limit of the endpoint alone.
 func (f *Facts) decideFromLimit() Decision {
 	switch f.Limit {
 	case limit.Withheld:
@@ -121,8 +121,8 @@
 	return Decision{Held: f.Limit == limit.Held}
 }
 
-// Willing reports whether an endpoint that was chosen for a request before may still get it: it is
-// usable, not leaving and not backing off.
+// Willing reports whether an endpoint may still get a request for which it was chosen earlier: it
+// is usable, not leaving and not backing off.
 func Willing(usable bool, s State, now time.Time) bool {
 	return usable && !s.Leaving() && !s.BackingOff(now)
 }
--- a/coord/admission/admission_test.go
+++ b/coord/admission/admission_test.go
@@ -14,14 +14,14 @@
 // after returns the time d after testStart.
 func after(d time.Duration) time.Time { return testStart.Add(d) }
 
-// asked is the state of an endpoint that asked for a backoff at testStart.
-var asked = admission.State{}.With(admission.Word{Backoff: backoff}, testStart)
+// backingOff is the state of an endpoint that asked for a backoff at testStart.
+var backingOff = admission.State{}.With(admission.Word{Backoff: backoff}, testStart)
 
 // TestDecide checks the decision for each combination of facts.
 func TestDecide(t *testing.T) {
-	left := admission.State{}.With(admission.Word{Leaving: true}, testStart)
-	proved := asked.WithRun(after(backoff + time.Millisecond))
-	tried := asked.WithSent(after(backoff))
+	leaving := admission.State{}.With(admission.Word{Leaving: true}, testStart)
+	recovered := backingOff.WithRun(after(backoff + time.Millisecond))
+	onTrial := backingOff.WithSent(after(backoff))
 	for _, c := range []struct {
 		name  string
 		facts admission.Facts
@@ -30,43 +30,43 @@
 	}{
 		{"nothing said", admission.Facts{Usable: true}, 0, admission.Decision{}},
 		{"not listed", admission.Facts{}, 0, admission.Decision{Access: admission.Never, Cause: admission.Unusable}},
-		{"leaving", admission.Facts{Usable: true, State: left}, 0, admission.Decision{Access: admission.Never, Cause: admission.Leaving}},
-		{"leaving and backing off", admission.Facts{Usable: true, State: asked.With(admission.Word{Leaving: true}, testStart)}, time.Hour, admission.Decision{Access: admission.Never, Cause: admission.Leaving}},
-		{"backing off", admission.Facts{Usable: true, State: asked}, time.Second, admission.Decision{Access: admission.Shut, Cause: admission.BackingOff, OpensIn: 2 * time.Second}},
-		{"just before the backoff ends", admission.Facts{Usable: true, State: asked}, backoff - 1, admission.Decision{Access: admission.Shut, Cause: admission.BackingOff, OpensIn: 1}},
-		{"the backoff has ended", admission.Facts{Usable: true, State: asked}, backoff, admission.Decision{}},
-		{"the backoff has ended, lot of 0.5", admission.Facts{Usable: true, State: asked, Lot: 0.5}, backoff, admission.Decision{Access: admission.Shut, Cause: admission.SlowStart, OpensIn: time.Second}},
-		{"half of the slow start, lot of 0.5", admission.Facts{Usable: true, State: asked, Lot: 0.5}, backoff + time.Second, admission.Decision{}},
-		{"trial in flight", admission.Facts{Usable: true, State: tried}, backoff + 400*time.Millisecond, admission.Decision{Access: admission.Shut, Cause: admission.SlowStart, OpensIn: 600 * time.Millisecond}},
-		{"trial timed out", admission.Facts{Usable: true, State: tried}, backoff + time.Second, admission.Decision{}},
-		{"after the slow start", admission.Facts{Usable: true, State: tried, Lot: 0.999}, backoff + 2*time.Second, admission.Decision{}},
-		{"recovered", admission.Facts{Usable: true, State: proved.WithSent(after(backoff + 10*time.Millisecond))}, backoff + 20*time.Millisecond, admission.Decision{}},
-		{"recovered, lot of 0.5", admission.Facts{Usable: true, State: proved, Lot: 0.5}, backoff + 20*time.Millisecond, admission.Decision{Access: admission.Shut, Cause: admission.SlowStart, OpensIn: 980 * time.Millisecond}},
+		{"leaving", admission.Facts{Usable: true, State: leaving}, 0, admission.Decision{Access: admission.Never, Cause: admission.Leaving}},
+		{"leaving and backing off", admission.Facts{Usable: true, State: backingOff.With(admission.Word{Leaving: true}, testStart)}, time.Hour, admission.Decision{Access: admission.Never, Cause: admission.Leaving}},
+		{"backing off", admission.Facts{Usable: true, State: backingOff}, time.Second, admission.Decision{Access: admission.Shut, Cause: admission.BackingOff, OpensIn: 2 * time.Second}},
+		{"just before the backoff ends", admission.Facts{Usable: true, State: backingOff}, backoff - 1, admission.Decision{Access: admission.Shut, Cause: admission.BackingOff, OpensIn: 1}},
+		{"the backoff has ended", admission.Facts{Usable: true, State: backingOff}, backoff, admission.Decision{}},
+		{"the backoff has ended, lot of 0.5", admission.Facts{Usable: true, State: backingOff, Lot: 0.5}, backoff, admission.Decision{Access: admission.Shut, Cause: admission.SlowStart, OpensIn: time.Second}},
+		{"half of the slow start, lot of 0.5", admission.Facts{Usable: true, State: backingOff, Lot: 0.5}, backoff + time.Second, admission.Decision{}},
+		{"trial in flight", admission.Facts{Usable: true, State: onTrial}, backoff + 400*time.Millisecond, admission.Decision{Access: admission.Shut, Cause: admission.SlowStart, OpensIn: 600 * time.Millisecond}},
+		{"trial timed out", admission.Facts{Usable: true, State: onTrial}, backoff + time.Second, admission.Decision{}},
+		{"after the slow start", admission.Facts{Usable: true, State: onTrial, Lot: 0.999}, backoff + 2*time.Second, admission.Decision{}},
+		{"recovered", admission.Facts{Usable: true, State: recovered.WithSent(after(backoff + 10*time.Millisecond))}, backoff + 20*time.Millisecond, admission.Decision{}},
+		{"recovered, lot of 0.5", admission.Facts{Usable: true, State: recovered, Lot: 0.5}, backoff + 20*time.Millisecond, admission.Decision{Access: admission.Shut, Cause: admission.SlowStart, OpensIn: 980 * time.Millisecond}},
 		{"no permit under its limit", admission.Facts{Usable: true, Limit: limit.Withheld, LimitOpens: 7}, 0, admission.Decision{Access: admission.Shut, Cause: admission.Limited, OpensIn: 7}},
 		{"owner may grant a permit", admission.Facts{Usable: true, Limit: limit.Askable}, 0, admission.Decision{Access: admission.Askable, Cause: admission.Limited}},
 		{"owner has granted a permit", admission.Facts{Usable: true, Limit: limit.Held}, 0, admission.Decision{Held: true}},
-		{"permit, and backing off", admission.Facts{Usable: true, State: asked, Limit: limit.Held}, time.Second, admission.Decision{Access: admission.Shut, Cause: admission.BackingOff, OpensIn: 2 * time.Second}},
+		{"permit, and backing off", admission.Facts{Usable: true, State: backingOff, Limit: limit.Held}, time.Second, admission.Decision{Access: admission.Shut, Cause: admission.BackingOff, OpensIn: 2 * time.Second}},
 	} {
 		assert.Equal(t, admission.Decide(c.facts, after(c.at)), c.want, c.name)
 	}
 }
 
-// TestLeavingAndBackoffAreNotShortened checks that later answers, and answers to earlier requests,
+// TestLeavingAndBackoffAreNotRevoked checks that later answers, and answers to earlier requests,
 // neither shorten a backoff nor revoke that an endpoint is leaving.
-func TestLeavingAndBackoffAreNotShortened(t *testing.T) {
-	shorter := asked.With(admission.Word{Backoff: time.Second}, after(time.Second))
+func TestLeavingAndBackoffAreNotRevoked(t *testing.T) {
+	shorter := backingOff.With(admission.Word{Backoff: time.Second}, after(time.Second))
 	assert.Equal(t, shorter.Until(), after(backoff), "a shorter backoff")
-	assert.Equal(t, asked.With(admission.Word{}, after(time.Second)).Until(), after(backoff), "no backoff")
-	assert.Equal(t, asked.WithRun(after(-time.Second)).Until(), after(backoff), "an answer to an earlier request")
-	longer := asked.With(admission.Word{Backoff: backoff}, after(time.Second))
+	assert.Equal(t, backingOff.With(admission.Word{}, after(time.Second)).Until(), after(backoff), "no backoff")
+	assert.Equal(t, backingOff.WithRun(after(-time.Second)).Until(), after(backoff), "an answer to an earlier request")
+	longer := backingOff.With(admission.Word{Backoff: backoff}, after(time.Second))
 	assert.Equal(t, longer.Until(), after(backoff+time.Second), "a longer backoff")
-	assert.Assert(t, asked.With(admission.Word{Leaving: true}, testStart).With(admission.Word{}, after(time.Hour)).Leaving())
+	assert.Assert(t, backingOff.With(admission.Word{Leaving: true}, testStart).With(admission.Word{}, after(time.Hour)).Leaving())
 }
 
 // TestSuspensionShortensBackoff checks that the time for which the VM was suspended counts towards
 // a backoff, although its clock stood still.
 func TestSuspensionShortensBackoff(t *testing.T) {
-	assert.Equal(t, asked.WithSuspension(time.Second).Until(), after(backoff-time.Second))
+	assert.Equal(t, backingOff.WithSuspension(time.Second).Until(), after(backoff-time.Second))
 	assert.Equal(t, admission.State{}.WithSuspension(time.Second), admission.State{})
 }
 
@@ -76,7 +76,7 @@
 	at := after(backoff + time.Second) // in the middle of the slow start
 	admitted := func(priority int) (n int) {
 		for lot := range 100 {
-			if admission.Decide(admission.Facts{Usable: true, State: asked, Lot: float64(lot) / 100, Priority: priority}, at).Admits() {
+			if admission.Decide(admission.Facts{Usable: true, State: backingOff, Lot: float64(lot) / 100, Priority: priority}, at).Admits() {
 				n++
 			}
 		}
@@ -85,12 +85,12 @@
 	assert.Assert(t, admitted(0) > admitted(1) && admitted(1) > admitted(2) && admitted(2) > 0, "%d, %d, %d", admitted(0), admitted(1), admitted(2))
 }
 
-// TestWilling checks that a request for an endpoint that was chosen before is sent only if the
+// TestWilling checks that a request for which an endpoint was chosen earlier is sent only if the
 // endpoint is neither leaving nor backing off.
 func TestWilling(t *testing.T) {
 	assert.Assert(t, admission.Willing(true, admission.State{}, testStart))
 	assert.Assert(t, !admission.Willing(false, admission.State{}, testStart))
-	assert.Assert(t, !admission.Willing(true, asked, after(time.Second)))
-	assert.Assert(t, admission.Willing(true, asked, after(backoff)))
-	assert.Assert(t, !admission.Willing(true, asked.With(admission.Word{Leaving: true}, testStart), after(time.Hour)))
+	assert.Assert(t, !admission.Willing(true, backingOff, after(time.Second)))
+	assert.Assert(t, admission.Willing(true, backingOff, after(backoff)))
+	assert.Assert(t, !admission.Willing(true, backingOff.With(admission.Word{Leaving: true}, testStart), after(time.Hour)))
 }
--- a/coord/admission/fleet_test.go
+++ b/coord/admission/fleet_test.go
@@ -63,13 +63,13 @@
 	until time.Time
 }
 
-func (a immediate) backedOff(d time.Duration, now time.Time) strategy {
+func (s immediate) backedOff(d time.Duration, now time.Time) strategy {
 	return immediate{until: now.Add(d)}
 }
-func (a immediate) sent(time.Time) strategy                         { return a }
-func (a immediate) ran(time.Time, time.Time) strategy               { return a }
-func (a immediate) hinted(time.Duration, time.Time) strategy        { return a }
-func (a immediate) admitsAt(_ float64, now time.Time) (t time.Time) { return latest(now, a.until) }
+func (s immediate) sent(time.Time) strategy                         { return s }
+func (s immediate) ran(time.Time, time.Time) strategy               { return s }
+func (s immediate) hinted(time.Duration, time.Time) strategy        { return s }
+func (s immediate) admitsAt(_ float64, now time.Time) (t time.Time) { return latest(now, s.until) }
 
 // doubling allows one request in flight after the backoff, and twice as many after each that has
 // run.
@@ -79,21 +79,21 @@
 	maxInFlight, inFlight int
 }
 
-func (g doubling) backedOff(d time.Duration, now time.Time) strategy {
-	return doubling{until: now.Add(d), maxInFlight: 1, inFlight: max(0, g.inFlight-1)}
+func (s doubling) backedOff(d time.Duration, now time.Time) strategy {
+	return doubling{until: now.Add(d), maxInFlight: 1, inFlight: max(0, s.inFlight-1)}
 }
-func (g doubling) sent(time.Time) strategy                  { g.inFlight++; return g }
-func (g doubling) hinted(time.Duration, time.Time) strategy { return g }
-func (g doubling) ran(time.Time, time.Time) strategy {
-	g.maxInFlight, g.inFlight = min(2*g.maxInFlight, 1<<10), max(0, g.inFlight-1)
-	return g
+func (s doubling) sent(time.Time) strategy                  { s.inFlight++; return s }
+func (s doubling) hinted(time.Duration, time.Time) strategy { return s }
+func (s doubling) ran(time.Time, time.Time) strategy {
+	s.maxInFlight, s.inFlight = min(2*s.maxInFlight, 1<<10), max(0, s.inFlight-1)
+	return s
 }
 
-func (g doubling) admitsAt(_ float64, now time.Time) time.Time {
-	if !g.until.IsZero() && g.inFlight >= g.maxInFlight {
-		return latest(now.Add(step), g.until)
+func (s doubling) admitsAt(_ float64, now time.Time) time.Time {
+	if !s.until.IsZero() && s.inFlight >= s.maxInFlight {
+		return latest(now.Add(step), s.until)
 	}
-	return latest(now, g.until)
+	return latest(now, s.until)
 }
 
 func latest(a, b time.Time) time.Time {
@@ -106,10 +106,10 @@
 // fleet simulates balancers that send to the endpoints of one service.
 type fleet struct {
 	rng            *rand.Rand
-	strategies     [][]strategy // by balancer and endpoint
-	inFlight       []int        // by endpoint
-	completions    map[int64][]running
-	retries        map[int64]int // refused requests to retry, by step
+	strategies     [][]strategy        // by balancer and endpoint
+	inFlight       []int               // by endpoint
+	completions    map[int64][]running // requests that complete, by step
+	retries        map[int64]int       // refused requests to retry, by step
 	backoffOf      scenario
 	load           float64 // offered load, as a fraction of the capacity
 	sharesHints    bool    // balancers send hints about backoffs
@@ -140,7 +140,7 @@
 
 var testStart = time.Unix(1000, 0)
 
-func newFleet(balancers, endpoints int, first strategy, load float64, backoffOf scenario) *fleet {
+func newFleet(balancers, endpoints int, initial strategy, load float64, backoffOf scenario) *fleet {
 	f := &fleet{
 		rng: rand.New(rand.NewPCG(uint64(balancers), 7)), inFlight: make([]int, endpoints), completions: map[int64][]running{}, retries: map[int64]int{},
 		backoffOf: backoffOf, load: load, hints: map[int64][]hint{}, hintedAt: make([]time.Duration, endpoints),
@@ -148,7 +148,7 @@
 	for range balancers {
 		strategies := make([]strategy, endpoints)
 		for i := range strategies {
-			strategies[i] = first
+			strategies[i] = initial
 		}
 		f.strategies = append(f.strategies, strategies)
 	}
@@ -283,7 +283,7 @@
 
 // scenario returns the backoff with which an endpoint with that many requests in flight answers a
 // further one; 0 if it accepts the request.
-type scenario func(endpoint, holds int, at time.Duration) time.Duration
+type scenario func(endpoint, inFlight int, at time.Duration) time.Duration
 
 // scenarios are the simulated scenarios.
 var scenarios = map[string]scenario{
@@ -303,8 +303,8 @@
 	},
 	// All endpoints refuse all requests for a second, and accept only one request at a time for
 	// another two seconds after their backoff.
-	"all-weak": func(_, holds int, at time.Duration) time.Duration {
-		if at >= 2*time.Second && at < 3*time.Second || at < 7*time.Second && at >= 3*time.Second && holds > 0 {
+	"all-weak": func(_, inFlight int, at time.Duration) time.Duration {
+		if at >= 2*time.Second && at < 3*time.Second || at < 7*time.Second && at >= 3*time.Second && inFlight > 0 {
 			return 2 * time.Second
 		}
 		return 0
@@ -316,8 +316,8 @@
 
 // simulate runs a fleet for 20 seconds, and returns the counts of the whole run and of the time
 // after the backoffs.
-func simulate(size [2]int, name string, first strategy, sharesHints bool) (all, afterwards counts) {
-	f := newFleet(size[0], size[1], first, 0.6, scenarios[name])
+func simulate(size [2]int, name string, initial strategy, sharesHints bool) (all, afterwards counts) {
+	f := newFleet(size[0], size[1], initial, 0.6, scenarios[name])
 	f.sharesHints = sharesHints
 	f.run(0, 11*time.Second)
 	before := f.counts
@@ -353,11 +353,11 @@
 // wasted attempts, and of requests that were refused.
 func BenchmarkReturnAfterBackoff(b *testing.B) {
 	for scenario := range scenarios {
-		for name, first := range map[string]strategy{"slow-start": slowStarting{}, "immediate": immediate{}, "doubling": doubling{}, "slow-start-hints": slowStarting{}} {
+		for name, initial := range map[string]strategy{"slow-start": slowStarting{}, "immediate": immediate{}, "doubling": doubling{}, "slow-start-hints": slowStarting{}} {
 			for _, size := range sizes {
 				b.Run(fmt.Sprintf("%s/%s/%d", scenario, name, size[0]), func(b *testing.B) {
 					for b.Loop() {
-						all, afterwards := simulate(size, scenario, first, name == "slow-start-hints")
+						all, afterwards := simulate(size, scenario, initial, name == "slow-start-hints")
 						b.ReportMetric(100*float64(all.wasted)/float64(all.requests), "wasted%")
 						b.ReportMetric(100*float64(all.refused)/float64(all.requests), "refused%")
 						b.ReportMetric(float64(afterwards.wasted), "wasted-afterwards")
--- a/coord/admission/hints.go
+++ b/coord/admission/hints.go
@@ -7,8 +7,9 @@
 
 const (
 	// maxHints is how many hints all balancers together may send within hintWindow, counted by
-	// each balancer from those it has received. If many endpoints are backing off there are no
-	// others to prefer, and each hint goes to every balancer.
+	// each balancer from those that it has sent and received. The number is bounded because each
+	// hint goes to every balancer, and because hints do not help while many endpoints are backing
+	// off: there are no others to prefer.
 	maxHints = 20
 	// maxOwnHints is how many of these one balancer may send. It bounds the total before balancers
 	// have received the hints of each other.
--- a/coord/admission/model_test.go
+++ b/coord/admission/model_test.go
@@ -63,13 +63,13 @@
 		m.state = m.state.WithRun(sent)
 		m.recovered = m.recovered || !m.until.IsZero() && !sent.Before(m.until)
 	case 5:
-		slept := time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "slept"))
-		m.state = m.state.WithSuspension(slept)
+		suspended := time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "slept"))
+		m.state = m.state.WithSuspension(suspended)
 		if !m.until.IsZero() {
-			m.until = m.until.Add(-slept)
+			m.until = m.until.Add(-suspended)
 		}
 		if !m.trialSent.IsZero() {
-			m.trialSent = m.trialSent.Add(-slept)
+			m.trialSent = m.trialSent.Add(-suspended)
 		}
 	case 6:
 		m.state = admission.Restore(m.state.Snapshot()).With(admission.Word{Leaving: m.leaving}, m.now).WithHint(0, m.now)
--- a/coord/admission/state.go
+++ b/coord/admission/state.go
@@ -19,10 +19,10 @@
 // nothing.
 type State struct {
 	leaving   bool
-	own       backoff   // the longest backoff that the endpoint has asked this balancer for
-	recovered bool      // it has run a request since own
+	own       backoff   // the backoff that ends last of those that it has asked this balancer for
+	recovered bool      // it has run a request that was sent after the end of own
 	trialSent time.Time // when the last trial request was sent in the slow start; zero for none
-	hinted    backoff   // the longest backoff that it has asked another balancer for
+	hinted    backoff   // the backoff that ends last of those that it has asked other balancers for
 }
 
 // backoff is a time without requests and the slow start after it.
@@ -45,8 +45,8 @@
 // backoff lasts until the latest end that was asked for.
 func (s State) With(w Word, heard time.Time) State {
 	s.leaving = s.leaving || w.Leaving
-	if p := newBackoff(w.Backoff, heard); w.Backoff > 0 && p.until.After(s.own.until) {
-		s.own, s.recovered, s.trialSent = p, false, time.Time{}
+	if b := newBackoff(w.Backoff, heard); w.Backoff > 0 && b.until.After(s.own.until) {
+		s.own, s.recovered, s.trialSent = b, false, time.Time{}
 	}
 	return s
 }
@@ -55,8 +55,8 @@
 // of d. The hint does not forbid requests, but the endpoint is likely to refuse this balancer as
 // well.
 func (s State) WithHint(d time.Duration, heard time.Time) State {
-	if p := newBackoff(d, heard); d > 0 && p.until.After(s.hinted.until) {
-		s.hinted = p
+	if b := newBackoff(d, heard); d > 0 && b.until.After(s.hinted.until) {
+		s.hinted = b
 	}
 	return s
 }
@@ -79,10 +79,10 @@
 
 // WithSuspension returns the state after the VM was suspended for the given time, during which its
 // clock stood still.
-func (s State) WithSuspension(slept time.Duration) State {
+func (s State) WithSuspension(suspended time.Duration) State {
 	for _, at := range []*time.Time{&s.own.until, &s.hinted.until, &s.trialSent} {
 		if !at.IsZero() {
-			*at = at.Add(-slept)
+			*at = at.Add(-suspended)
 		}
 	}
 	return s
@@ -109,14 +109,15 @@
 // admitsAt returns when a request may be sent to the endpoint as far as the backoff is concerned;
 // zero if there was none. During the slow start the share of requests that may be sent grows to
 // all of them. lot, a random number in [0,1) for the request and the endpoint, is the position of
-// the request among them. A share of the usual requests suits any number of balancers. More urgent
-// requests, which have lower priority numbers, are admitted earlier.
-func (p backoff) admitsAt(lot float64, priority int) time.Time {
-	if p.until.IsZero() {
+// the request among them. Each balancer applies the share to its own requests, so it need not know
+// how many balancers there are. More urgent requests, which have lower priority numbers, are
+// admitted earlier.
+func (b backoff) admitsAt(lot float64, priority int) time.Time {
+	if b.until.IsZero() {
 		return time.Time{}
 	}
-	rank := 1 / float64(1+max(0, priority))
-	return p.until.Add(time.Duration(float64(p.slowStart) * math.Pow(lot, rank)))
+	exponent := 1 / float64(1+max(0, priority))
+	return b.until.Add(time.Duration(float64(b.slowStart) * math.Pow(lot, exponent)))
 }
 
 // HintedUntil returns when the hinted backoff ends; zero if there was no hint.
@@ -134,21 +135,22 @@
 	return s.trialSent.Add(trialTimeout)
 }
 
-// Snapshot is the part of a State that matters to a ledger through which all requests to an
-// endpoint pass, as it is written to a trace. It contains neither leaving nor hints.
+// Snapshot is the part of a State that is written to a trace of all requests to an endpoint. It
+// contains neither hints, since the trace covers all balancers, nor whether the endpoint is
+// leaving, which the trace records separately.
 type Snapshot struct {
-	Until  time.Time     `json:"until"`
-	Slow   time.Duration `json:"slow_start"`
-	Proved bool          `json:"proved"`
-	Trial  time.Time     `json:"trial"`
+	Until     time.Time     `json:"until"`
+	SlowStart time.Duration `json:"slow_start"`
+	Recovered bool          `json:"proved"`
+	TrialSent time.Time     `json:"trial"`
 }
 
 // Snapshot returns the state in a form that can be stored.
 func (s State) Snapshot() Snapshot {
-	return Snapshot{Until: s.own.until, Slow: s.own.slowStart, Proved: s.recovered, Trial: s.trialSent}
+	return Snapshot{Until: s.own.until, SlowStart: s.own.slowStart, Recovered: s.recovered, TrialSent: s.trialSent}
 }
 
 // Restore returns the state from which a snapshot was taken.
 func Restore(s Snapshot) State {
-	return State{own: backoff{until: s.Until, slowStart: s.Slow}, recovered: s.Proved, trialSent: s.Trial}
+	return State{own: backoff{until: s.Until, slowStart: s.SlowStart}, recovered: s.Recovered, trialSent: s.TrialSent}
 }
--- a/coord/budget/account_test.go
+++ b/coord/budget/account_test.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	ttl   = 5 * time.Second
-	renew = ttl / 9
-	cost  = 7 * time.Millisecond
-	step  = 50 * time.Millisecond
+	ttl           = 5 * time.Second
+	renewInterval = ttl / 9
+	cost          = 7 * time.Millisecond
+	step          = 50 * time.Millisecond
 
 	seeds = 10000
 	steps = 400
@@ -30,7 +30,7 @@
 type holder struct {
 	keeper            *lease.Keeper
 	account           budget.Account
-	renewed           time.Time
+	renewedAt         time.Time // when the lease was last renewed; in the future after a release
 	pausedUntil       time.Time
 	pausedBeforeSend  bool // paused between the last check and sending
 	pausedBeforeCheck bool // paused between charging and the last check
@@ -125,11 +125,11 @@
 	if h.account.Holds(w.now) && w.rng.IntN(100) == 0 { // planned shutdown
 		h.account = budget.Account{}
 		_ = h.keeper.Release(context.Background())
-		h.renewed = w.now.Add(ttl)
+		h.renewedAt = w.now.Add(ttl)
 		return
 	}
-	if w.now.Sub(h.renewed) >= renew {
-		h.renewed = w.now
+	if w.now.Sub(h.renewedAt) >= renewInterval {
+		h.renewedAt = w.now
 		if term, err := h.keeper.Renew(context.Background(), func() time.Time { return w.now }); err == nil {
 			h.account = h.account.WithTerm(term, limit, w.now)
 		}
@@ -162,6 +162,8 @@
 	w.send()
 }
 
+// maybePause pauses the holder for up to 200 steps with a probability of 1/oneIn, and reports
+// whether it did.
 func (w *simulation) maybePause(h *holder, oneIn int) bool {
 	if w.rng.IntN(oneIn) != 0 {
 		return false
--- a/coord/budget/budget.go
+++ b/coord/budget/budget.go
@@ -15,9 +15,9 @@
 // # Usage
 //
 //	b := budget.New(limit, now)
-//	b, ok := b.Spend(now, limit.ProbeCost)
+//	b, ok := b.Spend(now, cost)
 //	if ok {
-//		// send the probe
+//		// send the measurement
 //	}
 package budget
 
@@ -100,8 +100,8 @@
 	return b
 }
 
-// scale returns rate*d per second, rounded down, without overflow for rates
-// below an hour per second.
+// scale returns the endpoint time that rate, in endpoint time per second, allows in d, rounded
+// down. It does not overflow for rates below an hour per second.
 func scale(rate, d time.Duration) time.Duration {
 	return time.Duration(rate.Seconds() * float64(d))
 }
--- a/coord/limit/allowance.go
+++ b/coord/limit/allowance.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// permitTTL is how long a permit may be used. The endpoint keeps capacity free for each permit
-	// that was granted and not yet used.
+	// permitTTL is how long a permit may be used. While it is unused, capacity of the endpoint that
+	// other balancers could use stays idle.
 	permitTTL = 500 * time.Millisecond
 	// fallbackShare is the fraction of a limit that all balancers without a reply from the owner
 	// use together. The owner may be granting the whole limit to others.
@@ -25,7 +25,7 @@
 type allowance struct {
 	permits    int
 	expires    time.Time // when the permits expire
-	retryAt    time.Time // no ask before this time: the owner has no capacity until then, or did not reply
+	retryAt    time.Time // no ask before this time: the owner has no tokens until then, or did not reply
 	askers     int       // number of balancers that ask the owner, as it last reported
 	askersAt   time.Time // when askers was reported
 	fallbackAt time.Time // send time drawn while the owner does not reply; zero for none
--- a/coord/limit/ask.go
+++ b/coord/limit/ask.go
@@ -10,7 +10,7 @@
 // incarnation with the same ID has no limit until it names one.
 type Target struct {
 	ID    string
-	Start int64
+	Start int64 // identifies the start, as listed in the directory
 }
 
 // Ask is a balancer's request to the owner of an endpoint: it asks for permits and reports what
--- a/coord/limit/bench_test.go
+++ b/coord/limit/bench_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// BenchmarkAsked measures the cost of an ask at an owner. It uses the balancers of one of six
-// zones in a fleet of 7,257, and the limited endpoints of such a zone, a tenth of 23,000 in six
-// zones. It was 36 us while each ask scanned all askers, and is 0.6 us since they are pruned
-// rarely.
-func BenchmarkAsked(b *testing.B) {
+// BenchmarkHandleAsks measures the cost of an ask at an owner. The sizes are those
+// of one of six equal zones in a fleet of 7,257 balancers and 23,000 endpoints, of which a tenth
+// has a limit. The cost was 36 us while each ask scanned all askers, and is 0.6 us since expired
+// askers are removed only every askerTTL/10.
+func BenchmarkHandleAsks(b *testing.B) {
 	const balancers, endpoints = 1210, 384
 	limiter := NewLimiter(1)
 	addrs := make([]string, balancers)
--- a/coord/limit/bucket.go
+++ b/coord/limit/bucket.go
@@ -6,25 +6,26 @@
 )
 
 const (
-	// burstWindow is the time over which a bucket accumulates unused permits, and minBurst the
+	// burstWindow is the time over which a bucket accumulates unused tokens, and minBurst the
 	// smallest capacity of a bucket. With a capacity of 1, tokens that accrue before the next ask
 	// would be lost.
 	burstWindow = 500 * time.Millisecond
 	minBurst    = 3
-	// minTrialRate is the rate, in requests per second, at which an endpoint gets requests even if
-	// its limit is lower or 0. If its answers to probes do not name the limit, only an answer to a
-	// request shows that the limit is lifted.
+	// minTrialRate is the lowest rate, in requests per second, at which the owner grants permits
+	// for an endpoint whose answers to probes do not name the limit, even if the limit is lower or
+	// 0: only an answer to a request shows that it is lifted. Balancers whose owner does not reply
+	// assume at least this rate, too.
 	minTrialRate = 0.1
 	// probeInterval is the minimum time between probes that check whether a low limit still holds.
 	// probeBelowRate is the limit, in requests per second, below which such probes are sent; above
-	// it, answers to requests show often enough.
+	// it, requests are frequent enough for their answers to show it.
 	probeInterval  = time.Second
 	probeBelowRate = 1
 	// targetAsksPerPermit is the number of asks that the owner aims to get for each permit: enough
 	// that a free permit is asked for soon, and few enough that few asks are denied.
 	targetAsksPerPermit = 4
 	// minRetrySpread and maxRetrySpread bound the random delay after which denied askers retry.
-	// Each ask multiplies or divides that delay by retrySpreadFactor.
+	// Each ask multiplies or divides the upper bound of that delay by retrySpreadFactor.
 	minRetrySpread    = 20 * time.Millisecond
 	maxRetrySpread    = 5 * time.Second
 	retrySpreadFactor = 1.1
@@ -97,9 +98,9 @@
 	return b.askRate * math.Exp(-now.Sub(b.askedAt).Seconds()/askRateTimeConstant.Seconds())
 }
 
-// withAskCounted returns the bucket with one more ask in the ask rate. It lengthens the retry
-// delay of denied askers if there are more than targetAsksPerPermit asks for each permit, and
-// shortens it otherwise.
+// withAskCounted returns the bucket with one more ask in the ask rate. It raises
+// retrySpread if there are more than targetAsksPerPermit asks for each permit, and lowers it
+// otherwise.
 func (b bucket) withAskCounted(rate float64, now time.Time) bucket {
 	b.askRate = b.askRateAt(now) + 1/askRateTimeConstant.Seconds()
 	b.askedAt = now
--- a/coord/limit/faults_test.go
+++ b/coord/limit/faults_test.go
@@ -19,23 +19,23 @@
 	assert.Check(t, float64(all) <= toleratedFor(rate), name)
 }
 
-// forEachFleet runs a simulation for fleets and limits of all sizes.
-func forEachFleet(t *testing.T, play func(f *fleet, rate float64, name string)) {
+// forEachFleet calls simulate for fleets and limits of all sizes, with two seeds each.
+func forEachFleet(t *testing.T, simulate func(f *fleet, rate float64, name string)) {
 	t.Helper()
 	for _, s := range sizes {
 		for _, rate := range testedLimits {
 			for seed := range uint64(2) {
 				f := newFleet(seed, s.nodes, s.zones)
 				f.setHeaderAt(limitNamed, fmt.Sprint(rate))
-				play(f, rate, fmt.Sprintf("%d balancers, limit %v, seed %d", s.nodes, rate, seed))
+				simulate(f, rate, fmt.Sprintf("%d balancers, limit %v, seed %d", s.nodes, rate, seed))
 			}
 		}
 	}
 }
 
-// TestPartitionKeepsLimit separates a third of the balancers, with or without the owner of the
-// endpoint, from the others for nine seconds.
-func TestPartitionKeepsLimit(t *testing.T) {
+// TestLimitHoldsDuringPartition separates a third of the balancers, with or without the owner of
+// the endpoint, from the others for nine seconds.
+func TestLimitHoldsDuringPartition(t *testing.T) {
 	for _, third := range []int{0, 2} {
 		forEachFleet(t, func(f *fleet, rate float64, name string) {
 			isCut := func(n *node) bool { return n.index%3 == third }
@@ -43,16 +43,16 @@
 				at := f.Elapsed()
 				return at > 8*time.Second && at < 17*time.Second && isCut(a) != isCut(b)
 			}
-			f.generateLoad(pressure(rate), 0, 25*time.Second, f.randomNode(len(f.nodes)))
+			f.generateLoad(offeredRate(rate), 0, 25*time.Second, f.randomNode(len(f.nodes)))
 			f.Run(25 * time.Second)
 			f.checkBound(t, rate, limitKnown, 25*time.Second, fmt.Sprint(name, ", cut ", third))
 		})
 	}
 }
 
-// TestOwnerRestartsKeepLimit stops the relays of all zones several times and restarts them without
-// state, while 3% of the messages are lost.
-func TestOwnerRestartsKeepLimit(t *testing.T) {
+// TestLimitHoldsAcrossOwnerRestarts stops the relays of all zones several times and restarts them
+// without state, while 3% of the messages are lost.
+func TestLimitHoldsAcrossOwnerRestarts(t *testing.T) {
 	forEachFleet(t, func(f *fleet, rate float64, name string) {
 		f.loss = 0.03
 		for k := range 4 {
@@ -65,7 +65,7 @@
 				}
 			})
 		}
-		f.generateLoad(pressure(rate), 0, 22*time.Second, f.randomNode(len(f.nodes)))
+		f.generateLoad(offeredRate(rate), 0, 22*time.Second, f.randomNode(len(f.nodes)))
 		f.Run(22 * time.Second)
 		f.checkBound(t, rate, limitKnown, 22*time.Second, name)
 	})
@@ -75,30 +75,30 @@
 // must not have saved up permits.
 func TestIdleFleetAccumulatesNoBurst(t *testing.T) {
 	forEachFleet(t, func(f *fleet, rate float64, name string) {
-		f.generateLoad(pressure(rate), 0, 6*time.Second, f.randomNode(len(f.nodes)))
-		f.generateLoad(10*pressure(rate), 26*time.Second, 32*time.Second, f.randomNode(len(f.nodes)))
+		f.generateLoad(offeredRate(rate), 0, 6*time.Second, f.randomNode(len(f.nodes)))
+		f.generateLoad(10*offeredRate(rate), 26*time.Second, 32*time.Second, f.randomNode(len(f.nodes)))
 		f.Run(32 * time.Second)
 		f.checkBound(t, rate, limitKnown, 32*time.Second, name)
 	})
 }
 
-// TestSlowBalancersKeepLimit adds latency to a third of the balancers, among them the owner.
-func TestSlowBalancersKeepLimit(t *testing.T) {
+// TestLimitHoldsWithSlowBalancers adds latency to a third of the balancers, among them the owner.
+func TestLimitHoldsWithSlowBalancers(t *testing.T) {
 	forEachFleet(t, func(f *fleet, rate float64, name string) {
 		for i, n := range f.nodes {
 			if i%3 == 0 {
 				n.slow = time.Duration(f.rng.IntN(150)) * time.Millisecond
 			}
 		}
-		f.generateLoad(pressure(rate), 0, 25*time.Second, f.randomNode(len(f.nodes)))
+		f.generateLoad(offeredRate(rate), 0, 25*time.Second, f.randomNode(len(f.nodes)))
 		f.Run(25 * time.Second)
 		f.checkBound(t, rate, limitNamed+time.Second, 25*time.Second, name)
 	})
 }
 
-// TestRestartOfAllKeepsLimit restarts all balancers at the same time. Each may send one or two
+// TestLimitHoldsAfterRestartOfAll restarts all balancers at the same time. Each may send one or two
 // requests before it learns the limit; after that the limit must hold.
-func TestRestartOfAllKeepsLimit(t *testing.T) {
+func TestLimitHoldsAfterRestartOfAll(t *testing.T) {
 	forEachFleet(t, func(f *fleet, rate float64, name string) {
 		f.After(8*time.Second, func() {
 			for _, n := range f.nodes {
@@ -110,7 +110,7 @@
 				f.start(n)
 			}
 		})
-		f.generateLoad(pressure(rate), 0, 25*time.Second, f.randomNode(len(f.nodes)))
+		f.generateLoad(offeredRate(rate), 0, 25*time.Second, f.randomNode(len(f.nodes)))
 		f.Run(25 * time.Second)
 		f.checkBound(t, rate, limitKnown, 8*time.Second, name+", before")
 		f.checkBound(t, rate, 9*time.Second+500*time.Millisecond, 25*time.Second, name+", after")
--- a/coord/limit/fleet_test.go
+++ b/coord/limit/fleet_test.go
@@ -47,7 +47,7 @@
 	incarnation int
 	limiter     *Limiter
 	down        bool
-	told        time.Time // when the first answer with a limit arrived in this incarnation
+	toldAt      time.Time // when the first answer with a limit arrived in this incarnation
 	slow        time.Duration
 }
 
@@ -66,7 +66,7 @@
 
 // start starts or restarts a node, with no state from before.
 func (f *fleet) start(n *node) {
-	n.limiter, n.down, n.told = NewLimiter(f.rng.Uint64()), false, time.Time{}
+	n.limiter, n.down, n.toldAt = NewLimiter(f.rng.Uint64()), false, time.Time{}
 	n.incarnation++
 }
 
@@ -103,6 +103,7 @@
 	return d + a.slow + b.slow
 }
 
+// delivered reports whether a message from a to b arrives; messages are lost at random.
 func (f *fleet) delivered(a, b *node) bool {
 	return !a.down && !b.down && !f.partitioned(a, b) && f.rng.Float64() >= f.loss
 }
@@ -150,7 +151,7 @@
 
 // publishNote sends the note of the owner to all other nodes, if there is one.
 func (f *fleet) publishNote(owner *node) {
-	told, ok := owner.limiter.TakeNote(f.target, f.Now())
+	observation, ok := owner.limiter.TakeNote(f.target, f.Now())
 	if !ok {
 		if after, due := owner.limiter.NoteDelay(f.target, f.Now()); due {
 			f.After(after, func() { f.publishNote(owner) })
@@ -164,7 +165,7 @@
 			incarnation := n.incarnation
 			f.After(2*f.latency(owner, n)+5*time.Millisecond, func() {
 				if n.incarnation == incarnation && !n.down {
-					aged := told
+					aged := observation
 					aged.AskedAge += f.Now().Sub(sent)
 					aged.HeardAge += f.Now().Sub(sent)
 					n.limiter.MergeRemote(f.target, aged, f.Now())
@@ -176,19 +177,19 @@
 
 // answer delivers to a node an answer with the present header of the endpoint.
 func (f *fleet) answer(n *node, asked time.Time, probe bool) {
-	arrivalRate, said := Parse(headerValues(f.header))
+	rate, said := Parse(headerValues(f.header))
 	if probe && !f.probesHaveHeader {
-		arrivalRate, said = 0, Nothing
+		rate, said = 0, Nothing
 	}
 	target, incarnation := f.target, n.incarnation
 	f.After(time.Millisecond, func() {
 		if n.incarnation != incarnation || n.down {
 			return
 		}
-		if said == Named && n.told.IsZero() && !probe {
-			n.told = f.Now()
+		if said == Named && n.toldAt.IsZero() && !probe {
+			n.toldAt = f.Now()
 		}
-		n.limiter.ObserveAnswer(target, Answer{Said: said, Rate: arrivalRate, Asked: asked, Heard: f.Now()}, probe)
+		n.limiter.ObserveAnswer(target, Answer{Said: said, Rate: rate, Asked: asked, Heard: f.Now()}, probe)
 		if a, ok := n.limiter.Report(target, f.Now()); ok {
 			f.call(n, a)
 		}
@@ -208,8 +209,8 @@
 	f.After(2*time.Millisecond, func() { f.answer(n, asked, true) })
 }
 
-// request handles a request that may go to the endpoint; it is dropped if the limit does not admit
-// it, as if another endpoint had got it.
+// request has a node send a request to the endpoint if the limit allows it. Otherwise the request
+// is dropped, as if another endpoint had got it.
 func (f *fleet) request(n *node) {
 	if n.down {
 		return
@@ -247,7 +248,7 @@
 	}
 	asked := f.Now()
 	f.After(time.Millisecond, func() {
-		f.arrivals = append(f.arrivals, arrival{at: f.Now(), told: !n.told.IsZero() && f.Now().Sub(n.told) >= 500*time.Millisecond})
+		f.arrivals = append(f.arrivals, arrival{at: f.Now(), told: !n.toldAt.IsZero() && f.Now().Sub(n.toldAt) >= 500*time.Millisecond})
 		f.After(simServiceTime, func() { f.answer(n, asked, false) })
 	})
 }
@@ -318,7 +319,6 @@
 // testedLimits are limits of the endpoint, in requests per second.
 var testedLimits = []float64{0, 0.1, 0.5, 2.5, 20}
 
-// limitNamed is when the endpoint names its limit, limitKnown from when on everybody keeps it.
 const (
 	// limitNamed is when the endpoint first names its limit, and limitKnown when all balancers
 	// know it.
@@ -326,8 +326,8 @@
 	limitKnown = limitNamed + 500*time.Millisecond
 )
 
-// pressure returns the rate of requests per second offered to an endpoint with a limit.
-func pressure(rate float64) float64 { return max(12, 6*rate) }
+// offeredRate returns the rate of requests per second offered to an endpoint with a limit.
+func offeredRate(rate float64) float64 { return max(12, 6*rate) }
 
 // The used part of a limit is measured between usedFrom and usedTo. oneRequest is the rate of one
 // request in that time, which is within random variation.
@@ -345,7 +345,7 @@
 			for seed := range uint64(3) {
 				f := newFleet(seed, s.nodes, s.zones)
 				f.setHeaderAt(limitNamed, fmt.Sprint(rate))
-				f.generateLoad(pressure(rate), 0, usedTo, f.randomNode(s.nodes))
+				f.generateLoad(offeredRate(rate), 0, usedTo, f.randomNode(s.nodes))
 				f.Run(usedTo)
 				all, _ := f.mostInWindow(limitKnown, usedTo)
 				used := f.rate(usedFrom, usedTo)
--- a/coord/limit/limit.go
+++ b/coord/limit/limit.go
@@ -1,5 +1,5 @@
-// Package limit enforces, across all balancers, the requests per second that an overloaded
-// endpoint names in its answers as the most that it takes from all of them together.
+// Package limit enforces the limits that overloaded endpoints name in their answers: the most
+// requests per second that an endpoint takes from all balancers together.
 //
 // An Observation is what an endpoint last said about its limit. Answers may arrive out of order,
 // so observations are ordered by when the request was sent and when its answer arrived
@@ -44,7 +44,7 @@
 
 // Parse parses the values of the limit header. A valid header is a single non-negative decimal
 // number, such as 12 or 2.5, in requests per second. Signs, exponents, names such as NaN and a
-// repeated header are unreadable, because the meaning of an ambiguous header is unknown.
+// repeated header are unreadable: a header that can be understood in two ways is ignored.
 func Parse(values []string) (perSecond float64, s Said) {
 	switch len(values) {
 	case 0:
--- a/coord/limit/limit_test.go
+++ b/coord/limit/limit_test.go
@@ -66,11 +66,14 @@
 // at returns the time that is ms milliseconds after testStart.
 func at(ms int) time.Time { return testStart.Add(time.Duration(ms) * time.Millisecond) }
 
+// named returns an answer that names a limit. asked and heard are in milliseconds after testStart,
+// as for withoutLimit.
 func named(rate float64, asked, heard int) Answer {
 	return Answer{Said: Named, Rate: rate, Asked: at(asked), Heard: at(heard)}
 }
 
-func without(asked, heard int) Answer { return Answer{Asked: at(asked), Heard: at(heard)} }
+// withoutLimit returns an answer without a limit header.
+func withoutLimit(asked, heard int) Answer { return Answer{Asked: at(asked), Heard: at(heard)} }
 
 // TestOutOfOrderAnswers checks that the newest answer is in force, and that the lower limit is in
 // force if two requests overlapped.
@@ -85,12 +88,12 @@
 		"raised":                              {answers: []Answer{named(3, 0, 10), named(5, 10, 20)}, rate: 5},
 		"raised, overlapping":                 {answers: []Answer{named(3, 0, 10), named(5, 5, 20)}, rate: 3},
 		"an older, higher one comes late":     {answers: []Answer{named(3, 10, 20), named(5, 0, 30)}, rate: 3},
-		"lifted":                              {answers: []Answer{named(3, 0, 10), without(10, 20)}, rate: 3, lifted: true},
-		"sent before it was named":            {answers: []Answer{named(3, 5, 10), without(0, 20)}, rate: 3},
-		"sent while its answer was under way": {answers: []Answer{named(3, 5, 10), without(7, 20)}, rate: 3},
-		"lifted, and an old answer names it":  {answers: []Answer{named(3, 0, 10), without(10, 20), named(3, 15, 25)}, rate: 3},
-		"named again":                         {answers: []Answer{named(3, 0, 10), without(10, 20), named(4, 20, 30)}, rate: 4},
-		"lifted after a late one":             {answers: []Answer{named(3, 0, 10), without(10, 20), named(3, 15, 25), without(25, 30)}, rate: 3, lifted: true},
+		"lifted":                              {answers: []Answer{named(3, 0, 10), withoutLimit(10, 20)}, rate: 3, lifted: true},
+		"sent before it was named":            {answers: []Answer{named(3, 5, 10), withoutLimit(0, 20)}, rate: 3},
+		"sent while its answer was under way": {answers: []Answer{named(3, 5, 10), withoutLimit(7, 20)}, rate: 3},
+		"lifted, and an old answer names it":  {answers: []Answer{named(3, 0, 10), withoutLimit(10, 20), named(3, 15, 25)}, rate: 3},
+		"named again":                         {answers: []Answer{named(3, 0, 10), withoutLimit(10, 20), named(4, 20, 30)}, rate: 4},
+		"lifted after a late one":             {answers: []Answer{named(3, 0, 10), withoutLimit(10, 20), named(3, 15, 25), withoutLimit(25, 30)}, rate: 3, lifted: true},
 		"unreadable":                          {answers: []Answer{named(3, 0, 10), {Said: Unreadable, Asked: at(10), Heard: at(20)}}, rate: 3},
 		"a mute answer":                       {answers: []Answer{named(3, 0, 10), {Asked: at(10), Heard: at(20), Mute: true}}, rate: 3},
 	} {
@@ -103,13 +106,13 @@
 			assert.Equal(t, w.Lifted(), c.lifted)
 		})
 	}
-	assert.Assert(t, !Observation{}.With(without(0, 10)).Known(), "an endpoint without a header has no limit")
+	assert.Assert(t, !Observation{}.With(withoutLimit(0, 10)).Known(), "an endpoint without a header has no limit")
 }
 
 // TestRateRampsUpAfterLift checks that the rate doubles every 500 ms after a limit is lifted, and
 // is unlimited after 2 s.
 func TestRateRampsUpAfterLift(t *testing.T) {
-	w := Observation{}.With(named(2, 0, 10)).With(without(10, 20))
+	w := Observation{}.With(named(2, 0, 10)).With(withoutLimit(10, 20))
 	for _, c := range []struct {
 		ms      int
 		rate    float64
@@ -119,7 +122,7 @@
 		assert.Equal(t, limited, c.limited, "%d ms", c.ms)
 		assert.Assert(t, math.Abs(rate-c.rate) < 0.1, "%d ms: %v", c.ms, rate)
 	}
-	rate, limited := Observation{}.With(named(0, 0, 10)).With(without(10, 20)).RateAt(at(20))
+	rate, limited := Observation{}.With(named(0, 0, 10)).With(withoutLimit(10, 20)).RateAt(at(20))
 	assert.Assert(t, limited && rate == minRampRate, "%v", rate)
 }
 
@@ -131,9 +134,9 @@
 	assert.Assert(t, w.With(named(2.6, 10, 20)).IsNewsTo(w))
 	assert.Assert(t, w.With(named(1.5, 10, 20)).IsNewsTo(w))
 	assert.Assert(t, w.With(named(0, 10, 20)).IsNewsTo(w))
-	lifted := w.With(without(10, 20))
+	lifted := w.With(withoutLimit(10, 20))
 	assert.Assert(t, lifted.IsNewsTo(w))
-	assert.Assert(t, !lifted.With(without(20, 30)).IsNewsTo(lifted))
+	assert.Assert(t, !lifted.With(withoutLimit(20, 30)).IsNewsTo(lifted))
 }
 
 // TestWireObservationsKeepTheirOrder checks that observations from other balancers are ordered
--- a/coord/limit/limiter.go
+++ b/coord/limit/limiter.go
@@ -12,9 +12,10 @@
 	// entryTTL is how long a limit is remembered after the last observation of it, also if that
 	// observation lifted it.
 	entryTTL = 10 * time.Minute
-	// minNoteInterval is the minimum time between two notes about one endpoint.
-	// noteRefreshInterval is when a note is repeated for balancers that have started since,
-	// because notes expire.
+	// With a note, the owner of an endpoint publishes an observation to all balancers.
+	// minNoteInterval is the minimum time between two notes about one endpoint, and
+	// noteRefreshInterval the time after which a note is repeated for balancers that have started
+	// since, because notes expire.
 	minNoteInterval     = time.Second
 	noteRefreshInterval = 4 * time.Minute
 )
@@ -82,28 +83,28 @@
 // MergeRemote merges an observation received from another balancer into the entry of the endpoint.
 // An invalid one is ignored.
 func (l *Limiter) MergeRemote(t Target, received WireObservation, now time.Time) {
-	w := received.Observation(now)
-	if !w.Known() {
+	o := received.Observation(now)
+	if !o.Known() {
 		return
 	}
 	e, ok := l.known[t]
 	switch {
 	case !ok:
 		e = l.addEntry(t, now)
-	case e.observed.isEchoOf(w):
+	case e.observed.isEchoOf(o):
 		return
 	}
-	l.setObserved(e, e.observed.Merge(w), now)
+	l.setObserved(e, e.observed.Merge(o), now)
 }
 
 // setObserved replaces the observation of an entry. If the limit was raised significantly or
 // lifted, delays that were based on the old limit are cleared.
-func (l *Limiter) setObserved(e *entry, w Observation, now time.Time) {
+func (l *Limiter) setObserved(e *entry, o Observation, now time.Time) {
 	e.updatedAt = now
-	if e.observed.stricterThan(w) && w.IsNewsTo(e.observed) {
+	if e.observed.stricterThan(o) && o.IsNewsTo(e.observed) {
 		e.allowance = e.allowance.withLimitRaised()
 	}
-	e.observed = w
+	e.observed = o
 }
 
 // addEntry adds and returns an empty entry for an endpoint, evicting old ones first.
@@ -240,9 +241,9 @@
 	e.allowance = e.allowance.withoutReply(rate, l.rng.Float64(), now)
 }
 
-// Resume drops all permits. It is called after the VM was suspended, when the age of a permit is
-// unknown.
-func (l *Limiter) Resume() {
+// DropPermits drops all permits. It is called after the VM was suspended, when the age of a permit
+// is unknown.
+func (l *Limiter) DropPermits() {
 	for _, e := range l.known {
 		e.allowance.permits = 0
 	}
--- a/coord/limit/observation.go
+++ b/coord/limit/observation.go
@@ -97,8 +97,8 @@
 	return o.rate < other.rate
 }
 
-// echoTolerance bounds how much later an observation may seem to be when it returns from another
-// balancer, because the transmitted ages do not include the time in transit.
+// echoTolerance bounds how much later than the original an observation seems to be after another
+// balancer has sent it back, because the transmitted ages do not include the time in transit.
 const echoTolerance = 250 * time.Millisecond
 
 // isEchoOf reports whether o and other, which was received from another balancer, are the same
@@ -124,9 +124,9 @@
 	return max(minRampRate, o.rate) * math.Exp2(float64(since)/float64(rampDoublingTime)), true
 }
 
-// IsNewsTo reports whether o should be sent at once to balancers that have the observation known:
-// a limit was named for the first time, lifted or named again, or its rate has changed by more
-// than the factor significantChange.
+// IsNewsTo reports whether o should be sent at once to balancers whose latest observation is the
+// argument known: a limit was named for the first time, lifted or named again, or its rate has
+// changed by more than the factor significantChange.
 func (o Observation) IsNewsTo(known Observation) bool {
 	switch {
 	case o.Known() != known.Known() || o.lifted != known.lifted:
--- a/coord/limit/owner.go
+++ b/coord/limit/owner.go
@@ -64,15 +64,15 @@
 
 // TakeNote returns the observation that the owner should publish to all balancers now, and records
 // it as published. ok is false if minNoteInterval has not passed since the last note, or there is
-// no news and noteRefreshInterval has not passed.
+// no news and noteRefreshInterval has not passed. A note about a lifted limit is not repeated.
 func (l *Limiter) TakeNote(t Target, now time.Time) (news WireObservation, ok bool) {
 	e, known := l.known[t]
 	if !known {
 		return WireObservation{}, false
 	}
 	since := now.Sub(e.notedAt)
-	renew := !e.observed.Lifted() && since >= noteRefreshInterval
-	if !e.notedAt.IsZero() && since < minNoteInterval || !e.observed.IsNewsTo(e.lastNoted) && !renew {
+	refresh := !e.observed.Lifted() && since >= noteRefreshInterval
+	if !e.notedAt.IsZero() && since < minNoteInterval || !e.observed.IsNewsTo(e.lastNoted) && !refresh {
 		return WireObservation{}, false
 	}
 	e.lastNoted, e.notedAt = e.observed, now
--- a/coord/limit/status.go
+++ b/coord/limit/status.go
@@ -16,7 +16,7 @@
 	Denied    int64         // asks of this balancer that got fewer permits than they wanted
 	Alone     bool          // the owner does not reply
 	Given     int64         // permits that this balancer has granted as the owner
-	Asks      float64       // asks per second that this balancer gets as the owner, averaged over the last seconds
+	Asks      float64       // asks per second that this balancer gets as the owner, an exponentially decaying average
 }
 
 // Targets returns the endpoints with an entry, ordered by ID and start.
--- a/limits/fleet_test.go
+++ b/limits/fleet_test.go
@@ -21,9 +21,9 @@
 	mu             sync.Mutex
 	keepers        map[string]*limits.Keeper
 	relays         []limit.Relay
-	cut            map[string]bool
+	isCut          map[string]bool // balancers that no message reaches or leaves
 	earlierVersion map[string]bool // balancers that run an earlier version
-	notes          int
+	published      int             // number of published notes
 }
 
 // testCarrier is the Carrier of one keeper.
@@ -52,7 +52,7 @@
 func (p testCarrier) Ask(_ context.Context, addr string, asks []limit.Ask) (limit.Reply, error) {
 	time.Sleep(time.Millisecond)
 	p.net.mu.Lock()
-	k, cut, earlierVersion := p.net.keepers[addr], p.net.cut[addr] || p.net.cut[p.addr], p.net.earlierVersion[addr]
+	k, cut, earlierVersion := p.net.keepers[addr], p.net.isCut[addr] || p.net.isCut[p.addr], p.net.earlierVersion[addr]
 	p.net.mu.Unlock()
 	switch {
 	case cut:
@@ -67,9 +67,9 @@
 func (p testCarrier) Publish(topic string, data []byte) error {
 	p.net.mu.Lock()
 	defer p.net.mu.Unlock()
-	p.net.notes++
+	p.net.published++
 	for addr, k := range p.net.keepers {
-		if addr != p.addr && !p.net.cut[addr] && !p.net.cut[p.addr] {
+		if addr != p.addr && !p.net.isCut[addr] && !p.net.isCut[p.addr] {
 			go func() { _ = k.Hear(relay.Note{Origin: p.addr, Topic: topic, Data: data}) }()
 		}
 	}
@@ -87,14 +87,14 @@
 func (n *network) noteCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.notes
+	return n.published
 }
 
 // newNetwork returns keepers in two zones, "a" and "b", whose relays are a0 and b0.
 func newNetwork() *network {
 	n := &network{
 		keepers: map[string]*limits.Keeper{}, relays: []limit.Relay{{Zone: "a", Addr: "a0"}, {Zone: "b", Addr: "b0"}},
-		cut: map[string]bool{}, earlierVersion: map[string]bool{},
+		isCut: map[string]bool{}, earlierVersion: map[string]bool{},
 	}
 	for _, addr := range []string{"a0", "a1", "a2", "b0", "b1"} {
 		k := limits.New(limits.Config{Addr: addr, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
@@ -182,10 +182,10 @@
 // limit at most, and all balancers together the whole limit once the owner replies again.
 func TestOwnerDoesNotReply(t *testing.T) {
 	for name, c := range map[string]struct {
-		fail func(*network)
-		most float64 // of the limit
+		fail     func(*network)
+		maxShare float64 // most requests sent, as a fraction of those that the limit allows
 	}{
-		"cut off":            {func(n *network) { n.cut["a0"] = true }, 1.5}, // the owner itself still uses the whole limit
+		"cut off":            {func(n *network) { n.isCut["a0"] = true }, 1.5}, // the owner itself still uses the whole limit
 		"an earlier version": {func(n *network) { n.earlierVersion["a0"] = true }, 1.5},
 		"no relay":           {func(n *network) { n.relays = nil }, 0.6},
 	} {
@@ -200,10 +200,10 @@
 				n.update(func() { c.fail(n) })
 				n.sendAll(time.Second) // permits granted before expire
 				sent := n.sendAll(20 * time.Second)
-				assert.Assert(t, float64(sent) <= 4*20*c.most, "%d", sent)
+				assert.Assert(t, float64(sent) <= 4*20*c.maxShare, "%d", sent)
 				assert.Assert(t, sent > 4, "%d: the fallback sends nothing", sent)
 				n.update(func() {
-					clear(n.cut)
+					clear(n.isCut)
 					clear(n.earlierVersion)
 					n.relays = relays
 				})
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -68,8 +68,8 @@
 type Keeper struct {
 	cfg      Config
 	counters counters
-	// knownCount is the number of endpoints with an entry in limiter. It is usually 0, which then
-	// costs one atomic load for each decision.
+	// knownCount is the number of endpoints with an entry in limiter. While it is 0, as usual, the
+	// limits cost one atomic load for each decision.
 	knownCount atomic.Int64
 
 	mu            sync.Mutex
@@ -82,14 +82,14 @@
 
 // counters are the metrics of a Keeper.
 type counters struct {
-	asked, denied, unanswered, sent, unread metrics.Counter
+	asked, denied, unanswered, sent, unreadable metrics.Counter
 }
 
 func newCounters(r metrics.Registry) counters {
 	return counters{
 		asked: metrics.GetOrRegisterCounter("limit_asks", r), denied: metrics.GetOrRegisterCounter("limit_denials", r),
 		unanswered: metrics.GetOrRegisterCounter("limit_unanswered", r), sent: metrics.GetOrRegisterCounter("limit_sent", r),
-		unread: metrics.GetOrRegisterCounter("limits_unread", r),
+		unreadable: metrics.GetOrRegisterCounter("limits_unread", r),
 	}
 }
 
@@ -112,7 +112,7 @@
 func (k *Keeper) Resume() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.limiter.Resume()
+	k.limiter.DropPermits()
 }
 
 // Quiet reports whether no limit is known for any endpoint.
@@ -145,9 +145,9 @@
 }
 
 // Seek asks the owner of an endpoint for a permit and waits for the reply until within has passed
-// or ctx is done. A later reply is still applied, for use by other requests. look reports whether
-// the endpoint may be probed to check whether its limit still holds.
-func (k *Keeper) Seek(ctx context.Context, e Endpoint, within time.Duration) (look bool) {
+// or ctx is done. A later reply is still applied, for use by other requests. mayProbe reports
+// whether the endpoint may be probed to check whether its limit still holds.
+func (k *Keeper) Seek(ctx context.Context, e Endpoint, within time.Duration) (mayProbe bool) {
 	k.mu.Lock()
 	a, ok := k.limiter.Ask(e.target(), time.Now())
 	k.mu.Unlock()
@@ -165,9 +165,9 @@
 	return allowed.Load()
 }
 
-// ask sends an ask to the owner of the endpoint and applies the reply or the failure. look
+// ask sends an ask to the owner of the endpoint and applies the reply or the failure. mayProbe
 // reports whether the endpoint may be probed.
-func (k *Keeper) ask(ctx context.Context, e Endpoint, a limit.Ask) (look bool) {
+func (k *Keeper) ask(ctx context.Context, e Endpoint, a limit.Ask) (mayProbe bool) {
 	r, err := k.askOwner(ctx, e, a)
 	now := time.Now()
 	k.mu.Lock()
@@ -183,9 +183,9 @@
 		k.counters.denied.Inc(1)
 	}
 	before := k.limiter.Observation(a.Target)
-	look = k.limiter.HandleReply(a, g, r.Askers, now)
+	mayProbe = k.limiter.HandleReply(a, g, r.Askers, now)
 	k.logObservation(e, before, fromOwner, now)
-	return look
+	return mayProbe
 }
 
 // Asked replies to asks of the balancer at address from, if this balancer is a relay; otherwise
@@ -218,8 +218,8 @@
 	return r
 }
 
-// endpointOf returns the endpoint of a target; without service and zone if this balancer has not
-// got an answer from it. k.mu must be held.
+// endpointOf returns the endpoint of a target; without service and zone if this balancer has
+// got no answer from the endpoint. k.mu must be held.
 func (k *Keeper) endpointOf(t limit.Target) Endpoint {
 	if e, ok := k.endpoints[t]; ok {
 		return e
--- a/limits/notes.go
+++ b/limits/notes.go
@@ -15,7 +15,7 @@
 // limit.
 const Topic = "limit"
 
-// note is the data of a note, written as JSON.
+// note is the data of a relay.Note with topic Topic, written as JSON.
 type note struct {
 	Target limit.Target
 	Word   limit.WireObservation
--- a/limits/observe.go
+++ b/limits/observe.go
@@ -42,8 +42,9 @@
 	k.reportToOwner(e, a)
 }
 
-// trackEndpoint records which endpoint a target is, and removes endpoints that the limiter no
-// longer knows. k.mu must be held.
+// trackEndpoint records the service and zone of an endpoint. Once there are more than twice as many
+// records as endpoints that the limiter knows, it removes those of unknown endpoints. k.mu must be
+// held.
 func (k *Keeper) trackEndpoint(e Endpoint) {
 	k.endpoints[e.target()] = e
 	k.knownCount.Store(int64(k.limiter.Len()))
@@ -92,7 +93,7 @@
 // recordUnreadable counts a limit header that cannot be parsed, and logs it at most once per
 // minWarnInterval and endpoint. k.mu must be held.
 func (k *Keeper) recordUnreadable(e Endpoint, now time.Time) {
-	k.counters.unread.Inc(1)
+	k.counters.unreadable.Inc(1)
 	if at, ok := k.lastWarned[e.target()]; ok && now.Sub(at) < minWarnInterval {
 		return
 	}
