--- a/coord/reason/reason.go
+++ b/coord/reason/reason.go
@@ -1,16 +1,16 @@
-// Package reason lists the reason codes of answers that the balancer makes
-// itself, each with its documentation as data.
+// Package reason lists the reason codes of responses that the balancer generates itself, with the
+// documentation of each code.
 //
-// Callers, operators and their searches rely on the codes: they never change their
-// meaning. A new one goes at the end of its group.
+// Callers, operators and their tools rely on the codes, so a code never changes its meaning. A new
+// code goes at the end of its group.
 //
 // # Usage
 //
 //	doc, ok := reason.Lookup(reason.QueueFull)
 //	fmt.Println(doc.Title, doc.Action)
 //
-// The command "lotusctl explain CODE" prints an entry; docs/REASONS.md is
-// generated from the same table.
+// The command "lotusctl explain CODE" prints an entry; docs/REASONS.md is generated from the same
+// table.
 package reason
 
 import (
@@ -18,7 +18,7 @@
 	"strings"
 )
 
-// Code names a reason, for example "LW2001".
+// Code identifies a reason, for example "LW2001".
 type Code string
 
 // Severity tells an operator how urgent a reason is.
@@ -34,15 +34,15 @@
 // Doc documents one reason code.
 type Doc struct {
 	Code     Code
-	Title    string
-	Text     string
-	Action   string
-	Status   int // HTTP status of the answer
-	Since    string
+	Title    string // short summary
+	Text     string // what happened
+	Action   string // what the caller or operator should do
+	Status   int    // HTTP status of the response
+	Since    string // first release that has the code
 	Severity Severity
 }
 
-// Lookup returns the documentation of code.
+// Lookup returns the documentation of code, or false if there is none.
 func Lookup(code Code) (Doc, bool) {
 	for _, doc := range Table {
 		if doc.Code == code {
@@ -52,7 +52,8 @@
 	return Doc{}, false
 }
 
-// MustLookup is Lookup for codes named in this package.
+// MustLookup is Lookup for the codes declared in this package. It panics if code has no
+// documentation.
 func MustLookup(code Code) Doc {
 	doc, ok := Lookup(code)
 	if !ok {
@@ -67,7 +68,7 @@
 		d.Code, d.Title, d.Severity, d.Status, d.Since, d.Text, d.Action)
 }
 
-// Markdown renders the whole table as a page.
+// Markdown renders the documentation of all codes as a Markdown page.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("# Reason codes\n\nGenerated from package coord/reason by `lotusctl explain --markdown`; a test compares the two.\n")
--- a/coord/reason/reason_test.go
+++ b/coord/reason/reason_test.go
@@ -8,21 +8,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPageIsGenerated: docs/REASONS.md is what the table says.
-func TestPageIsGenerated(t *testing.T) {
+// TestPageMatchesTable: docs/REASONS.md is up to date with Table.
+func TestPageMatchesTable(t *testing.T) {
 	page, err := os.ReadFile("../../docs/REASONS.md")
 	assert.NilError(t, err)
 	assert.Equal(t, string(page), reason.Markdown())
 }
 
-// TestTableIsComplete: every code is documented once, in order.
+// TestTableIsComplete: Table has each code once, in ascending order, completely documented and with
+// an error status.
 func TestTableIsComplete(t *testing.T) {
-	last := reason.Code("")
+	previous := reason.Code("")
 	for _, d := range reason.Table {
-		assert.Assert(t, d.Code > last, "%s after %s", d.Code, last)
+		assert.Assert(t, d.Code > previous, "%s after %s", d.Code, previous)
 		assert.Assert(t, d.Title != "" && d.Text != "" && d.Action != "" && d.Since != "" && d.Severity != "", d.Code)
 		assert.Assert(t, d.Status >= 400 && d.Status < 600, d.Code)
-		last = d.Code
+		previous = d.Code
 	}
 	_, ok := reason.Lookup("LW0000")
 	assert.Assert(t, !ok)
--- a/coord/reason/table.go
+++ b/coord/reason/table.go
@@ -1,8 +1,8 @@
 package reason
 
-// Codes of requests that match no route or are malformed (1xxx), that were
-// refused or expired before they were sent (2xxx), and whose exchange with an
-// endpoint failed (3xxx).
+// Codes of requests that cannot be routed, or are malformed, too long or without a valid key
+// (1xxx), that were refused or expired before they were sent (2xxx), and whose exchange with an
+// endpoint failed (3xxx). Table describes each code.
 const (
 	NoTeam           Code = "LW1001"
 	NoKind           Code = "LW1002"
@@ -40,6 +40,7 @@
 	Withdrawn           Code = "LW3011"
 )
 
+// firstRelease is the version of the first release.
 const firstRelease = "0.1.0"
 
 // Table holds the documentation of each code, in the order of the codes.
