--- a/coord/crash/crash.go
+++ b/coord/crash/crash.go
@@ -1,25 +1,28 @@
-// Package crash decides what becomes of a request under which endpoints have ended: a
-// request that crashes whoever runs it, or one that was at work beside it.
+// Package crash decides how to handle a request during whose processing endpoints have crashed. The
+// request may have caused the crashes, or it may only have been on those endpoints at the time.
 //
-// A Case is what a fleet knows of one request, told from others by its Fingerprint: which
-// endpoints ended while they ran it, and whether one has run it to an end since. Any end
-// may be chance, and one run proves that the request is sound: it voids all ends before it.
-// A wide case is the same of all requests that differ in their query alone. It decides
-// nothing before endpoints ended under two of them: then the query is not what matters.
-// From the second end on the request is on trial: one balancer of the fleet at a time may
-// send it, once. It is refused when it has ended endpoints on trial as well, two of them or
-// three. So a sound request is not refused for the ends of others: on trial it is run.
+// A History is what the fleet knows of one request, identified by its Fingerprint: which endpoints
+// crashed while they were processing it, and whether an endpoint has completed it since. Any crash
+// may be coincidence. One completion proves that the request is safe, and discards all earlier
+// crashes. An any-query history covers all requests that differ only in their query. It has no
+// effect until endpoints have crashed under two different queries: crashes under a single query say
+// nothing about the others.
 //
-// The package owns no state: a Case is an immutable value. It has no clock and does no
-// input or output. Cases of several processes that have been told the same ends and runs,
-// in any order and however often, decide alike.
+// From the second crash on, the request is on trial: one balancer of the fleet at a time may send
+// it, once. It is refused after two or three crashes on trial, depending on whether the endpoints
+// were processing other requests as well. A safe request is therefore not refused for crashes that
+// other requests cause: on trial it completes.
+//
+// The package keeps no state: a History is an immutable value. It reads no clock and does no input
+// or output. Histories of several processes that have received the same crashes and completions, in
+// any order and any number of times, lead to the same decisions.
 //
 // # Usage
 //
-//	c := crash.Case{}.WithEnd(end)
-//	switch c.Decide(now).Do {
+//	h := crash.History{}.WithCrash(event)
+//	switch h.Decide(now).Action {
 //	case crash.Send:
-//	case crash.Try: // alone in the fleet
+//	case crash.Try: // as the only balancer of the fleet
 //	case crash.Refuse:
 //	}
 package crash
@@ -31,156 +34,165 @@
 )
 
 const (
-	// trialAfter is the number of ends from which a request is on trial. With one, each
-	// request at work beside another one that crashes would ask the store for a trial.
-	trialAfter = 2
-	// guilty is the weight of ends on trial from which a request is refused: of two endpoints
-	// that held nothing else, or three. One is not enough: where other requests crash one
-	// endpoint in twenty while a trial lasts, each twentieth sound request on trial was
-	// refused; in soaks of 25 crashing requests in 20 s on ten endpoints three of four refused
-	// sound ones.
-	guilty = 6
-	// aloneWeight is the weight of the end of an endpoint that held nothing else, and
-	// besideWeight of one that did: what it held may have ended it.
-	aloneWeight  = 3
-	besideWeight = 2
-	// variants is how many queries must have ended endpoints before a wide case decides.
-	variants = 2
-	// keptEnds is how many ends of a request are kept; more change no decision.
-	keptEnds = 16
-	// probationFor is how long after its refusal ended a request is on trial from the start.
-	probationFor = time.Hour
+	// trialThreshold is the number of crashes from which a request is on trial. With 1, each
+	// request that was on an endpoint together with one that crashes it would ask the store for a
+	// trial.
+	trialThreshold = 2
+	// refusalWeight is the total weight of crashes on trial from which a request is refused: two
+	// crashes of endpoints that were processing nothing else, or any three. One crash is not
+	// enough: where other requests crashed one endpoint in twenty during a trial, one in twenty
+	// safe requests on trial was refused. In soak tests with 25 crashing requests within 20 s on
+	// ten endpoints, three of four runs refused safe requests.
+	refusalWeight = 6
+	// onlyRequestWeight is the weight of the crash of an endpoint that was processing no other
+	// request. sharedEndpointWeight is that of one that was: another request may have caused the
+	// crash.
+	onlyRequestWeight    = 3
+	sharedEndpointWeight = 2
+	// minQueries is the number of different queries under which endpoints must have crashed before
+	// an any-query history has an effect.
+	minQueries = 2
+	// maxEvents is the number of crash reports kept for a request; more would change no decision.
+	maxEvents = 16
+	// probationPeriod is how long after the end of its refusal a request is still on trial from the
+	// first attempt.
+	probationPeriod = time.Hour
 )
 
-// HoldFor is how long a request is refused after the last end under it.
-const HoldFor = 10 * time.Minute
+// RefusalPeriod is how long a request is refused after the last crash during its processing.
+const RefusalPeriod = 10 * time.Minute
 
-// End says that an endpoint ended while it ran a request.
-type End struct {
-	Endpoint string    // its identity
-	Start    int64     // which start of it, as it tells itself; 0 where it does not
-	At       time.Time // when that was seen
-	SeenBy   string    // the balancer that saw it
-	Trial    bool      // the request was on trial there
-	Alone    bool      // the endpoint held nothing else when the request was sent
-	// Of is the exact fingerprint of the request; a wide case has ends of several.
-	Of Fingerprint
+// Event reports that an endpoint crashed while it was processing a request.
+type Event struct {
+	Endpoint string    // ID of the endpoint
+	Start    int64     // identifies the incarnation, as reported by the endpoint; 0 if it reports none
+	At       time.Time // when the crash was observed
+	SeenBy   string    // ID of the balancer that observed it
+	Trial    bool      // the request was on trial
+	Alone    bool      // the endpoint was processing no other request when this one was sent
+	// RequestFingerprint is the exact fingerprint of the request. The events of an any-query
+	// history have different ones.
+	RequestFingerprint Fingerprint
 }
 
-// again reports whether two ends are one, told twice.
-func (e End) again(o End) bool {
-	return e.Same(o) && e.Of == o.Of && e.At.Equal(o.At) && e.SeenBy == o.SeenBy && e.Trial == o.Trial && e.Alone == o.Alone
+// equal reports whether both events are the same report, received twice.
+func (e Event) equal(o Event) bool {
+	return e.SameIncarnation(o) && e.RequestFingerprint == o.RequestFingerprint && e.At.Equal(o.At) && e.SeenBy == o.SeenBy && e.Trial == o.Trial && e.Alone == o.Alone
 }
 
-// Same reports whether two ends are of one start of one endpoint, which ends once, whoever
-// saw it.
-func (e End) Same(o End) bool { return e.Endpoint == o.Endpoint && e.Start == o.Start }
+// SameIncarnation reports whether both events are about the same incarnation of an endpoint. It
+// crashes only once, so both report the same crash, whichever balancers observed it.
+func (e Event) SameIncarnation(o Event) bool { return e.Endpoint == o.Endpoint && e.Start == o.Start }
 
-// weight returns what the end counts for a refusal.
-func (e End) weight() int {
+// weight returns how much the crash counts towards a refusal; 0 if the request was not on trial.
+func (e Event) weight() int {
 	switch {
 	case e.Trial && e.Alone:
-		return aloneWeight
+		return onlyRequestWeight
 	case e.Trial:
-		return besideWeight
+		return sharedEndpointWeight
 	}
 	return 0
 }
 
-// Case is what is known of one request. It is an immutable value; the zero value knows
-// nothing.
-type Case struct {
-	wide     bool
-	ends     []End     // as they were seen since the last run, the earliest first; never changed in place
-	ran      time.Time // when an endpoint last ran it to an end
-	released time.Time // when an operator released it last
-	ordered  time.Time // when an operator ordered that it is refused; zero where none did
+// History is what is known of one request, or of all requests that differ only in their query. It
+// is an immutable value. The zero value is the empty history of one request.
+type History struct {
+	anyQuery      bool      // it covers all requests that differ only in their query
+	events        []Event   // crash reports since the last completion, the earliest first; never modified in place
+	lastCompleted time.Time // when an endpoint last completed the request; zero if none did
+	releasedAt    time.Time // when an operator last released the request; zero if none did
+	orderedAt     time.Time // when an operator ordered the refusal that is in force; zero if there is none
 }
 
-// NewWide returns a case of requests that differ in their query, of which nothing is known.
-func NewWide() Case { return Case{wide: true} }
+// NewAnyQueryHistory returns an empty history of all requests that differ only in their query.
+func NewAnyQueryHistory() History { return History{anyQuery: true} }
 
-// Wide reports whether it is a case of requests that differ in their query.
-func (c Case) Wide() bool { return c.wide }
+// AnyQuery reports whether the history covers all requests that differ only in their query.
+func (h History) AnyQuery() bool { return h.anyQuery }
 
-// WithEnd returns the case after an end. One from before the last run is void.
-func (c Case) WithEnd(e End) Case {
-	if !e.At.After(c.ran) || slices.ContainsFunc(c.ends, e.again) {
-		return c
+// WithCrash returns the history with a crash added. Duplicate reports, and crashes up to the last
+// completion, are ignored.
+func (h History) WithCrash(e Event) History {
+	if !e.At.After(h.lastCompleted) || slices.ContainsFunc(h.events, e.equal) {
+		return h
 	}
-	c.ends = kept(append(slices.Clone(c.ends), e))
-	return c
+	h.events = limitEvents(append(slices.Clone(h.events), e))
+	return h
 }
 
-// kept returns the ends that are kept, in order: all that were on trial, and of the others
-// the earliest.
-func kept(ends []End) []End {
-	slices.SortFunc(ends, func(a, b End) int {
+// limitEvents sorts events by time and returns at most maxEvents of them. It drops the latest ones
+// outside trials first, and trials, the earliest first, only if nothing else is left.
+func limitEvents(events []Event) []Event {
+	slices.SortFunc(events, func(a, b Event) int {
 		return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Endpoint, b.Endpoint), cmp.Compare(a.Start, b.Start))
 	})
-	for len(ends) > keptEnds {
-		last := len(ends) - 1
-		for last > 0 && ends[last].Trial {
+	for len(events) > maxEvents {
+		last := len(events) - 1
+		for last > 0 && events[last].Trial {
 			last--
 		}
-		ends = slices.Delete(ends, last, last+1)
+		events = slices.Delete(events, last, last+1)
 	}
-	return ends
+	return events
 }
 
-// WithRun returns the case after an endpoint ran the request to an end at a time: what it
-// ended before that was chance. An operator's order stays.
-func (c Case) WithRun(at time.Time) Case {
-	if !at.After(c.ran) {
-		return c
+// WithCompletion returns the history after an endpoint completed the request at the given time.
+// Crashes up to then are discarded as coincidence. A refusal that an operator ordered stays.
+func (h History) WithCompletion(at time.Time) History {
+	if !at.After(h.lastCompleted) {
+		return h
 	}
-	c.ran = at
-	c.ends = slices.DeleteFunc(slices.Clone(c.ends), func(e End) bool { return !e.At.After(at) })
-	return c
+	h.lastCompleted = at
+	h.events = slices.DeleteFunc(slices.Clone(h.events), func(e Event) bool { return !e.At.After(at) })
+	return h
 }
 
-// WithRelease returns the case after an operator released it: the request is on trial
-// again, and what it ended on earlier trials counts as an end like any other.
-func (c Case) WithRelease(at time.Time) Case {
-	if at.After(c.released) {
-		c.released, c.ordered = at, time.Time{}
+// WithRelease returns the history after an operator released the request at the given time. It
+// cancels an ordered refusal. Crashes on trial up to then count only as crashes outside trials, so
+// that a refused request is on trial again.
+func (h History) WithRelease(at time.Time) History {
+	if at.After(h.releasedAt) {
+		h.releasedAt, h.orderedAt = at, time.Time{}
 	}
-	return c
+	return h
 }
 
-// WithOrder returns the case after an operator ordered that the request is refused.
-func (c Case) WithOrder(at time.Time) Case {
-	if at.After(c.released) && at.After(c.ordered) {
-		c.ordered = at
+// WithRefusalOrder returns the history after an operator ordered at the given time that the request
+// is refused. An order that is not later than the last release is ignored.
+func (h History) WithRefusalOrder(at time.Time) History {
+	if at.After(h.releasedAt) && at.After(h.orderedAt) {
+		h.orderedAt = at
 	}
-	return c
+	return h
 }
 
-// Ends returns the ends since the last run, the earliest first, each one once.
-func (c Case) Ends() []End {
-	var ends []End
-	for _, e := range c.ends {
-		i := slices.IndexFunc(ends, e.Same)
+// Crashes returns the crashes since the last completion, the earliest first. Several reports of one
+// crash are merged.
+func (h History) Crashes() []Event {
+	var events []Event
+	for _, e := range h.events {
+		i := slices.IndexFunc(events, e.SameIncarnation)
 		if i < 0 {
-			ends = append(ends, e)
+			events = append(events, e)
 			continue
 		}
-		ends[i].Trial = ends[i].Trial || e.Trial
-		ends[i].Alone = ends[i].Alone || e.Alone
+		events[i].Trial = events[i].Trial || e.Trial
+		events[i].Alone = events[i].Alone || e.Alone
 	}
-	return ends
+	return events
 }
 
-// Ordered reports whether an operator has ordered the refusal.
-func (c Case) Ordered() bool { return !c.ordered.IsZero() }
+// RefusalOrdered reports whether an operator has ordered that the request is refused.
+func (h History) RefusalOrdered() bool { return !h.orderedAt.IsZero() }
 
-// HasRun reports whether an endpoint is known to have run the request to an end.
-func (c Case) HasRun() bool { return !c.ran.IsZero() }
+// HasCompleted reports whether any endpoint is known to have completed the request.
+func (h History) HasCompleted() bool { return !h.lastCompleted.IsZero() }
 
-// Last returns when the latest end was seen; zero where none was.
-func (c Case) Last() time.Time {
+// LastCrash returns when the latest crash was observed; zero if there was none.
+func (h History) LastCrash() time.Time {
 	var latest time.Time
-	for _, e := range c.ends {
+	for _, e := range h.events {
 		if e.At.After(latest) {
 			latest = e.At
 		}
@@ -188,77 +200,80 @@
 	return latest
 }
 
-// decides reports whether the ends say anything of the requests that the case is of.
-func (c Case) decides() bool {
-	if !c.wide {
+// conclusive reports whether the crashes are evidence about all requests that the history covers:
+// those of an any-query history must have occurred under at least minQueries queries.
+func (h History) conclusive() bool {
+	if !h.anyQuery {
 		return true
 	}
-	of := map[Fingerprint]bool{}
-	for _, e := range c.ends {
-		of[e.Of] = true
+	queries := map[Fingerprint]bool{}
+	for _, e := range h.events {
+		queries[e.RequestFingerprint] = true
 	}
-	return len(of) >= variants
+	return len(queries) >= minQueries
 }
 
-// found reports whether the request ended endpoints on trial.
-func (c Case) found() bool {
+// reachesRefusalWeight reports whether the crashes on trial since the last release suffice to
+// refuse the request.
+func (h History) reachesRefusalWeight() bool {
 	weight := 0
-	for _, e := range c.Ends() {
-		if e.At.After(c.released) {
+	for _, e := range h.Crashes() {
+		if e.At.After(h.releasedAt) {
 			weight += e.weight()
 		}
 	}
-	return weight >= guilty && c.decides()
+	return weight >= refusalWeight && h.conclusive()
 }
 
-// Step is what is to be done with a request.
-type Step uint8
+// Action is how a request is to be handled.
+type Action uint8
 
 // The steps.
 const (
-	Send   Step = iota // as any other
-	Try                // if no other balancer tries it now
-	Refuse             // at once
+	Send   Action = iota // like any other request
+	Try                  // on trial, if no other balancer has it on trial now
+	Refuse               // without sending it
 )
 
-// String returns the word used in logs.
-func (s Step) String() string { return [...]string{"send", "try", "refuse"}[s] }
+// String returns the action's name in logs and in the admin API.
+func (a Action) String() string { return [...]string{"send", "try", "refuse"}[a] }
 
-// Decision is a step, and until when a refusal holds.
+// Decision is the result of History.Decide.
 type Decision struct {
-	Do    Step
-	Until time.Time // of a refusal; the least, where an operator ordered it
+	Action Action
+	Until  time.Time // end of a refusal; the earliest possible one if an operator ordered it
 }
 
-// Decide is the rule for a request that comes, again or for the first time.
-func (c Case) Decide(now time.Time) Decision {
-	until := c.Last().Add(HoldFor)
+// Decide returns how to handle the request when it arrives, for the first time or again.
+func (h History) Decide(now time.Time) Decision {
+	until := h.LastCrash().Add(RefusalPeriod)
 	switch {
-	case c.Ordered():
-		return Decision{Do: Refuse, Until: now.Add(HoldFor)} // or later: until it is released
-	case c.found() && now.Before(until):
-		return Decision{Do: Refuse, Until: until}
-	case c.found(), len(c.Ends()) >= trialAfter && c.decides():
-		return Decision{Do: Try}
+	case h.RefusalOrdered():
+		return Decision{Action: Refuse, Until: now.Add(RefusalPeriod)} // extended until an operator releases it
+	case h.reachesRefusalWeight() && now.Before(until):
+		return Decision{Action: Refuse, Until: until}
+	case h.reachesRefusalWeight(), len(h.Crashes()) >= trialThreshold && h.conclusive():
+		return Decision{Action: Try}
 	}
-	return Decision{Do: Send}
+	return Decision{Action: Send}
 }
 
-// Suspected reports whether the next end decides something: what the request does at an
-// endpoint is then waited for before it is sent anywhere else.
-func (c Case) Suspected() bool { return len(c.ends) > 0 }
+// Suspected reports whether any crash is known since the last completion. If so, the caller finds
+// out after a broken attempt whether the endpoint crashed before it sends the request elsewhere,
+// since the next crash may change the decision.
+func (h History) Suspected() bool { return len(h.events) > 0 }
 
-// Forgotten reports whether nothing has to be known of the request any more.
-func (c Case) Forgotten(now time.Time) bool {
-	if c.Ordered() {
+// Expired reports whether the history no longer affects any decision and can be dropped.
+func (h History) Expired(now time.Time) bool {
+	if h.RefusalOrdered() {
 		return false
 	}
-	last := c.Last()
-	if c.ran.After(last) {
-		last = c.ran
+	latest := h.LastCrash()
+	if h.lastCompleted.After(latest) {
+		latest = h.lastCompleted
 	}
-	if c.found() {
-		return now.Sub(last) > HoldFor+probationFor
+	if h.reachesRefusalWeight() {
+		return now.Sub(latest) > RefusalPeriod+probationPeriod
 	}
-	return now.Sub(last) > HoldFor
+	return now.Sub(latest) > RefusalPeriod
 }
--- a/coord/crash/fingerprint.go
+++ b/coord/crash/fingerprint.go
@@ -9,46 +9,45 @@
 	"strconv"
 )
 
-// Fingerprint tells a request from all others, the same in all processes and versions. It
-// tells nothing of what it was made of.
+// Fingerprint identifies a request. Equal requests have the same fingerprint in all processes and
+// versions. It does not reveal what it was computed from.
 type Fingerprint string
 
-// fingerprintBytes is the length of a fingerprint: half of a SHA-256, so that nobody finds
-// a second request with the fingerprint of another one.
+// fingerprintBytes is the length of a fingerprint in bytes: half of a SHA-256 hash, which makes it
+// infeasible to construct a second request with the fingerprint of another one.
 const fingerprintBytes = 16
 
-// Subject is what makes two requests the same: what is asked for, with which body. What
-// else stands in headers (identity, deadline, trace) changes from one try to the next, and
-// so may the address that it comes from: a caller has several, and a request that ends
-// endpoints ends them whoever sends it.
+// Subject holds the parts of a request that identify it: what is requested, and with which body.
+// Other headers (identity, deadline, trace) change from one attempt to the next. The address of the
+// caller is left out too: a caller has several, and a request that crashes endpoints does so
+// whoever sends it.
 type Subject struct {
-	Team   string // whose request it is: what ends endpoints for one is suspected for that one; empty where callers have no teams
+	Team   string // team of the caller, so that crashes under one team's request do not affect another team's; empty where callers have no teams
 	Method string
 	Host   string
-	Path   string // as it was sent
+	Path   string // as sent
 	Query  string
-	Body   []byte // as far as it was read before the request is sent
-	Length int64  // of the body as announced; -1 where it is not known
+	Body   []byte // the part that is read before the request is sent
+	Length int64  // length of the body in bytes, as announced; -1 if unknown
 }
 
-// Prints are the fingerprints of a request: of itself, and of all that differ from it in
-// their query alone.
+// Prints are the fingerprints of a request.
 type Prints struct {
-	Exact Fingerprint
-	Wide  Fingerprint
+	Exact Fingerprint // of the request itself
+	Wide  Fingerprint // the same for all requests that differ only in their query
 }
 
-// Prints returns the subject's fingerprints. Of a body that is not read before it is sent,
-// only the announced length tells it from others.
+// Prints returns the fingerprints of the subject. A body that is not read before the request is
+// sent is represented only by its announced length.
 func (s Subject) Prints() Prints {
 	return Prints{
-		Exact: fingerprint(s.ofTeam("exact", s.Method, s.Host, s.Path, s.Query, s.length(), string(s.Body))...),
-		Wide:  fingerprint(s.ofTeam("wide", s.Method, s.Host, s.Path, s.length(), string(s.Body))...),
+		Exact: fingerprint(s.withTeam("exact", s.Method, s.Host, s.Path, s.Query, s.length(), string(s.Body))...),
+		Wide:  fingerprint(s.withTeam("wide", s.Method, s.Host, s.Path, s.length(), string(s.Body))...),
 	}
 }
 
-// ofTeam returns fields with the team behind them, where there is one.
-func (s Subject) ofTeam(fields ...string) []string {
+// withTeam returns fields with the team appended, if there is one.
+func (s Subject) withTeam(fields ...string) []string {
 	if s.Team == "" {
 		return fields
 	}
@@ -57,7 +56,7 @@
 
 func (s Subject) length() string { return strconv.FormatInt(s.Length, 10) }
 
-// fingerprint returns the fingerprint of some fields.
+// fingerprint returns the fingerprint of a sequence of fields.
 func fingerprint(fields ...string) Fingerprint {
 	h := sha256.New()
 	for _, field := range fields {
@@ -66,14 +65,14 @@
 	return Fingerprint(hex.EncodeToString(h.Sum(nil)[:fingerprintBytes]))
 }
 
-// writeField writes a field with its length before it, so that no two subjects are written
-// alike.
+// writeField writes a field preceded by its length, so that different sequences of fields never
+// have the same encoding.
 func writeField(h hash.Hash, field string) {
-	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(field)))) // a hash never fails
+	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(field)))) // writing to a hash never fails
 	_, _ = io.WriteString(h, field)
 }
 
-// Valid reports whether a text can be a fingerprint.
+// Valid reports whether f has the form of a fingerprint: 32 lower-case hexadecimal digits.
 func (f Fingerprint) Valid() bool {
 	raw, err := hex.DecodeString(string(f))
 	return err == nil && len(raw) == fingerprintBytes && string(f) == hex.EncodeToString(raw)
--- a/quarantine/admit.go
+++ b/quarantine/admit.go
@@ -12,206 +12,213 @@
 	"github.com/lotuswing/lotuswing/relay"
 )
 
-// Request is what a keeper needs to know of a request.
+// Request describes a request to a Keeper.
 type Request struct {
 	ID      string // for the log
 	Prints  crash.Prints
 	Service string
 	Kind    string
-	// Patience is how long it may wait for the end of another balancer's trial, and Target
-	// the latency objective of its kind; 0 for none.
+	// Patience is how long the request may wait for the end of another balancer's trial. Target is
+	// the latency objective of its kind, 0 for none.
 	Patience time.Duration
 	Target   time.Duration
 }
 
-// Pass says how a request may be sent.
+// Pass says how an admitted request may be sent.
 type Pass struct {
-	// Trial: this balancer alone tries the request. It is sent once, and to an endpoint that
-	// holds nothing else, if there is one.
+	// Trial: the request is on trial at this balancer. It is sent once, to an endpoint that
+	// processes nothing else if there is one.
 	Trial bool
-	// Suspected: an endpoint has ended under it already. Whether another one ends is to be
-	// known before it is sent again.
+	// Suspected: an endpoint has already crashed while it was processing this request. After a
+	// broken attempt, the balancer must learn whether the endpoint crashed before it sends the
+	// request again.
 	Suspected bool
-	// Ended are the incarnations of endpoints that ended under a request on trial. The store may list
-	// them for a while after that: whatever has taken their place would end unnoticed, as the same end
-	// once more.
+	// Ended are the incarnations of endpoints that crashed while processing the request. The store
+	// may list them for a while longer. If the request were sent to one, the crash of its successor
+	// at the same address would go unnoticed, as a second report of the same crash.
 	Ended []placement.Incarnation
 }
 
-// Refusal says why a request is not sent.
+// Refusal says why a request must not be sent.
 type Refusal struct {
-	RetryAfter time.Duration
-	Evidence   string // which endpoints ended, seen by whom, how long ago
+	RetryAfter time.Duration // when the caller may try again
+	Evidence   string        // which endpoints crashed, how long ago, and which balancer observed it
 }
 
-// trialPrefix begins the names of the store's records of trials; the fingerprint follows.
-const trialPrefix = "trials/"
+// trialKeyPrefix precedes the fingerprint in the store keys of trials.
+const trialKeyPrefix = "trials/"
 
-// Admit says whether a request may be sent now. It waits while another balancer tries it, as
-// long as the request has patience.
+// Admit decides whether a request may be sent now. While another balancer has it on trial, Admit
+// waits for the end of the trial, for at most r.Patience.
 func (k *Keeper) Admit(ctx context.Context, r Request) (Pass, *Refusal) {
 	giveUp := time.Now().Add(r.Patience)
 	for {
 		now := k.opts.Now()
-		f, is, trial, changed := k.look(r.Prints, now)
-		decision := is.Decide(now)
+		f, history, trialUntil, changed := k.decidingHistory(r.Prints, now)
+		decision := history.Decide(now)
 		switch {
-		case decision.Do == crash.Send:
+		case decision.Action == crash.Send:
 			return Pass{Suspected: k.suspected(r.Prints)}, nil
-		case decision.Do == crash.Refuse:
-			return Pass{}, k.refuse(f, is, decision.Until.Sub(now), now)
-		case now.Before(trial):
+		case decision.Action == crash.Refuse:
+			return Pass{}, k.newRefusal(f, history, decision.Until.Sub(now), now)
+		case now.Before(trialUntil):
 			left := time.Until(giveUp)
 			if left <= 0 || ctx.Err() != nil {
-				return Pass{}, k.refuse(f, is, min(trial.Sub(now), trialRetry), now)
+				return Pass{}, k.newRefusal(f, history, min(trialUntil.Sub(now), trialRetryAfter), now)
 			}
-			pause.Until(ctx, changed, min(left, trial.Sub(now)))
+			pause.Until(ctx, changed, min(left, trialUntil.Sub(now)))
 		default:
-			if pass, refused, done := k.try(ctx, r, f, is); done {
+			if pass, refused, done := k.acquireTrial(ctx, r, f, history); done {
 				return pass, refused
 			}
 		}
 	}
 }
 
-// trialRetry is when a caller comes back for whose request the patience ended while another
-// balancer tried it: trials take as long as a request does.
-const trialRetry = 250 * time.Millisecond
+// trialRetryAfter is the longest Retry-After for a request whose patience ended during another
+// trial: a trial takes about as long as a request does.
+const trialRetryAfter = 250 * time.Millisecond
 
-// look returns the case that decides about a request, with its fingerprint, until when
-// another balancer may try it, and what is closed when a case changes.
-func (k *Keeper) look(p crash.Prints, now time.Time) (crash.Fingerprint, crash.Case, time.Time, <-chan struct{}) {
+// decidingHistory returns the stricter of the two histories of a request, which determines how it
+// is handled. It also returns the fingerprint of that history, the time until which a trial under
+// it excludes others, and a channel that is closed when any history changes.
+func (k *Keeper) decidingHistory(p crash.Prints, now time.Time) (crash.Fingerprint, crash.History, time.Time, <-chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	exact, wide := k.entries[p.Exact], k.entries[p.Wide]
+	exact, anyQuery := k.entries[p.Exact], k.entries[p.Wide]
 	switch {
-	case exact == nil && wide == nil:
-		return p.Exact, crash.Case{}, time.Time{}, k.changed
-	case exact == nil || wide != nil && wide.is.Decide(now).Do >= exact.is.Decide(now).Do:
-		return p.Wide, wide.is, wide.trial, k.changed
+	case exact == nil && anyQuery == nil:
+		return p.Exact, crash.History{}, time.Time{}, k.changed
+	case exact == nil || anyQuery != nil && anyQuery.history.Decide(now).Action >= exact.history.Decide(now).Action:
+		return p.Wide, anyQuery.history, anyQuery.trialUntil, k.changed
 	}
-	return p.Exact, exact.is, exact.trial, k.changed
+	return p.Exact, exact.history, exact.trialUntil, k.changed
 }
 
-// suspected reports whether endpoints have ended under a request since it was last run.
+// suspected reports whether any endpoint is known to have crashed during the request since it last
+// completed.
 func (k *Keeper) suspected(p crash.Prints) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, f := range []crash.Fingerprint{p.Exact, p.Wide} {
-		if known := k.entries[f]; known != nil && known.is.Suspected() {
+		if ent := k.entries[f]; ent != nil && ent.history.Suspected() {
 			return true
 		}
 	}
 	return false
 }
 
-// try asks the store for the one trial that the fleet has at a time. It reports false where
-// another balancer has it. Where the store cannot be asked this balancer has one trial at a
-// time of its own: nobody is refused because the store is down.
-func (k *Keeper) try(ctx context.Context, r Request, f crash.Fingerprint, is crash.Case) (Pass, *Refusal, bool) {
+// acquireTrial asks the store for the lease of the only trial of the request in the fleet. It
+// returns false if another request has it. If the store cannot be reached, the trial is exclusive
+// within this balancer only: no request is refused because the store is down.
+func (k *Keeper) acquireTrial(ctx context.Context, r Request, f crash.Fingerprint, history crash.History) (Pass, *Refusal, bool) {
 	asked, cancel := context.WithTimeout(ctx, k.opts.AskWithin)
 	defer cancel()
-	lease, err := k.cfg.Registry.Replace(asked, trialPrefix+string(f), []byte(`"`+k.cfg.ID+`"`), 0, k.trialFor(r))
+	lease, err := k.cfg.Registry.Replace(asked, trialKeyPrefix+string(f), []byte(`"`+k.cfg.ID+`"`), 0, k.trialDuration(r))
 	now := k.opts.Now()
 	if errors.Is(err, relay.ErrTaken) {
-		k.noteTrial(f, now.Add(k.trialFor(r)))
+		k.markForeignTrial(f, now.Add(k.trialDuration(r)))
 		return Pass{}, nil, false
 	}
-	if !k.beginTrial(f, lease, now.Add(k.trialFor(r)), now) {
-		return Pass{}, nil, false // another request of this balancer was faster, or the case has ended
+	if !k.markOwnTrial(f, lease, now.Add(k.trialDuration(r)), now) {
+		return Pass{}, nil, false // another request of this balancer was faster, or the entry was removed
 	}
 	k.trials.Inc(1)
-	k.cfg.Log.Info("trial", "fingerprint", string(f), "request", r.ID, "evidence", evidence(is, now))
+	k.cfg.Log.Info("trial started", "fingerprint", string(f), "request", r.ID, "evidence", evidence(history, now))
 	if err != nil {
-		k.cfg.Log.Warn("trial without the store's word that nobody else has one", "fingerprint", string(f), "request", r.ID, "error", err)
+		k.cfg.Log.Warn("trial started without an exclusive lease from the store", "fingerprint", string(f), "request", r.ID, "error", err)
 	}
-	return Pass{Trial: true, Suspected: true, Ended: ended(is)}, nil, true
+	return Pass{Trial: true, Suspected: true, Ended: crashedIncarnations(history)}, nil, true
 }
 
-// trialsOfTarget is how many times its target a trial of a request may take before another
-// balancer may think that it is over.
-const trialsOfTarget = 2
+// trialTargetFactor is how many times its latency objective a request may take on trial before
+// another balancer may assume that the trial is over.
+const trialTargetFactor = 2
 
-// trialFor returns for how long nobody else tries a request, if nothing is heard of its trial.
-func (k *Keeper) trialFor(r Request) time.Duration {
-	return max(k.opts.TrialFor, trialsOfTarget*r.Target)
+// trialDuration returns how long a trial of the request excludes others, unless it is reported to
+// be over.
+func (k *Keeper) trialDuration(r Request) time.Duration {
+	return max(k.opts.TrialFor, trialTargetFactor*r.Target)
 }
 
-// noteTrial notes that another balancer tries a request.
-func (k *Keeper) noteTrial(f crash.Fingerprint, until time.Time) {
+// markForeignTrial records that another balancer has the request on trial.
+func (k *Keeper) markForeignTrial(f crash.Fingerprint, until time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if known := k.entries[f]; known != nil && !known.trying {
-		known.trial = until
+	if ent := k.entries[f]; ent != nil && !ent.ownTrial {
+		ent.trialUntil = until
 	}
 }
 
-// beginTrial notes that this balancer tries a request, under a lease or without the store,
-// and reports whether nobody was known to do so.
-func (k *Keeper) beginTrial(f crash.Fingerprint, lease uint64, until, now time.Time) bool {
+// markOwnTrial records that this balancer has the request on trial, under a lease of the store, or
+// 0 without one. It returns false if the entry is gone or another trial is known.
+func (k *Keeper) markOwnTrial(f crash.Fingerprint, lease uint64, until, now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	known := k.entries[f]
-	if known == nil || now.Before(known.trial) {
+	ent := k.entries[f]
+	if ent == nil || now.Before(ent.trialUntil) {
 		return false
 	}
-	known.trial, known.trying, known.lease = until, true, lease
+	ent.trialUntil, ent.ownTrial, ent.trialLease = until, true, lease
 	return true
 }
 
-// Over ends this balancer's trial of a request, if it has one, so that another may begin.
+// Over ends this balancer's trial of a request, if it has one, and notifies the other balancers, so
+// that another trial can begin.
 func (k *Keeper) Over(r Request) {
-	if k.endTrial(r) {
-		k.noteOver(r.Prints)
-		k.tell(note{What: noteOver, Exact: r.Prints.Exact, Wide: r.Prints.Wide})
+	if k.releaseTrial(r) {
+		k.clearTrials(r.Prints)
+		k.broadcast(note{What: noteTrialOver, Exact: r.Prints.Exact, AnyQuery: r.Prints.Wide})
 	}
 }
 
-// endTrial gives this balancer's trial of a request back and reports whether it had one. Word
-// of an end on trial, or of a run, tells the others that it is over.
-func (k *Keeper) endTrial(r Request) bool {
+// releaseTrial releases this balancer's trial of a request and reports whether it had one. It does
+// not notify other balancers: the notes about crashes on trial and completions tell them that the
+// trial is over.
+func (k *Keeper) releaseTrial(r Request) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	over := false
+	released := false
 	for _, f := range []crash.Fingerprint{r.Prints.Exact, r.Prints.Wide} {
-		known := k.entries[f]
-		if known == nil || !known.trying {
+		ent := k.entries[f]
+		if ent == nil || !ent.ownTrial {
 			continue
 		}
-		over = true
-		if known.lease != 0 {
-			go k.giveBack(k.live, f, known.lease)
+		released = true
+		if ent.trialLease != 0 {
+			go k.releaseLease(k.runCtx, f, ent.trialLease)
 		}
-		known.trying, known.lease = false, 0
+		ent.ownTrial, ent.trialLease = false, 0
 	}
-	return over
+	return released
 }
 
-// giveBack ends the lease of a trial. Where that fails it ends by itself.
-func (k *Keeper) giveBack(ctx context.Context, f crash.Fingerprint, lease uint64) {
-	ctx, cancel := context.WithTimeout(ctx, writeWithin)
+// releaseLease releases the lease of a trial. If that fails, the lease expires.
+func (k *Keeper) releaseLease(ctx context.Context, f crash.Fingerprint, lease uint64) {
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if err := k.cfg.Registry.Release(ctx, lease); err != nil {
-		k.cfg.Log.Warn("trial not given back", "fingerprint", string(f), "error", err)
+		k.cfg.Log.Warn("could not release the lease of a trial", "fingerprint", string(f), "error", err)
 	}
 }
 
-// noteOver notes that nobody tries a request any more.
-func (k *Keeper) noteOver(p crash.Prints) {
+// clearTrials ends the exclusion of other trials of a request, unless this balancer has it on
+// trial.
+func (k *Keeper) clearTrials(p crash.Prints) {
 	for _, f := range []crash.Fingerprint{p.Exact, p.Wide} {
-		k.changeIf(f, k.opts.Now(), (*entry).endTrial)
+		k.updateExisting(f, k.opts.Now(), (*entry).clearTrial)
 	}
 }
 
-// endTrial notes that nobody tries the request, but for this balancer if it does.
-func (known *entry) endTrial() {
-	if !known.trying {
-		known.trial = time.Time{}
+// clearTrial ends the exclusion of other trials, unless this balancer has the request on trial.
+func (ent *entry) clearTrial() {
+	if !ent.ownTrial {
+		ent.trialUntil = time.Time{}
 	}
 }
 
-// refuse makes a refusal.
-func (k *Keeper) refuse(f crash.Fingerprint, is crash.Case, after time.Duration, now time.Time) *Refusal {
-	k.denied.Inc(1)
-	return &Refusal{RetryAfter: after, Evidence: fmt.Sprintf("fingerprint %s: %s", f, evidence(is, now))}
+// newRefusal counts a refusal and returns it.
+func (k *Keeper) newRefusal(f crash.Fingerprint, history crash.History, after time.Duration, now time.Time) *Refusal {
+	k.refusals.Inc(1)
+	return &Refusal{RetryAfter: after, Evidence: fmt.Sprintf("fingerprint %s: %s", f, evidence(history, now))}
 }
--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -9,21 +9,23 @@
 	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
-// ended returns the incarnations that ended under a request, as far as starts can be told apart.
-func ended(is crash.Case) []placement.Incarnation {
-	var all []placement.Incarnation
-	for _, e := range is.Ends() {
+// crashedIncarnations returns the incarnations that crashed during the request, except those of
+// endpoints that do not report their start.
+func crashedIncarnations(history crash.History) []placement.Incarnation {
+	var incarnations []placement.Incarnation
+	for _, e := range history.Crashes() {
 		if e.Start != 0 {
-			all = append(all, placement.Incarnation{VM: e.Endpoint, Start: e.Start})
+			incarnations = append(incarnations, placement.Incarnation{VM: e.Endpoint, Start: e.Start})
 		}
 	}
-	return all
+	return incarnations
 }
 
-// evidence tells on what a decision rests.
-func evidence(is crash.Case, now time.Time) string {
+// evidence describes the crashes and operator orders on which a decision is based. Callers and
+// operators get the text.
+func evidence(history crash.History, now time.Time) string {
 	var parts []string
-	for _, e := range is.Ends() {
+	for _, e := range history.Crashes() {
 		text := fmt.Sprintf("%s ended %s ago, seen by %s", e.Endpoint, now.Sub(e.At).Round(time.Millisecond), e.SeenBy)
 		switch {
 		case e.Trial && e.Alone:
@@ -33,7 +35,7 @@
 		}
 		parts = append(parts, text)
 	}
-	if is.Ordered() {
+	if history.RefusalOrdered() {
 		parts = append(parts, "ordered by an operator")
 	}
 	if len(parts) == 0 {
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -13,37 +13,38 @@
 	"gotest.tools/v3/assert"
 )
 
-// contact is how long after the third end a fleet has to know of it.
-const contact = 3 * time.Second
+// propagationTime is how long after the third crash all balancers must know of it.
+const propagationTime = 3 * time.Second
 
-// attack is a request that crashes all who run it, sent by its caller again and again.
+// attack is a request that crashes every endpoint that processes it, and that its caller sends
+// repeatedly.
 type attack struct {
-	r        *rig
-	q        quarantine.Request
-	attempts int           // of one balancer
-	works    time.Duration // until the endpoint ends
+	r          *harness
+	q          quarantine.Request
+	attempts   int           // per call of a balancer
+	processing time.Duration // time from the sending until the endpoint crashes
 
-	mu       sync.Mutex
-	endpoint int
-	ended    []time.Time
-	sent     []time.Time
+	mu        sync.Mutex
+	endpoint  int
+	crashedAt []time.Time
+	sentAt    []time.Time
 }
 
-// call sends the request to a balancer, which makes its attempts.
-func (a *attack) call(k *quarantine.Keeper) { a.callWith(k, a.q) }
+// call sends the request to a balancer, which makes up to a.attempts attempts.
+func (a *attack) call(k *quarantine.Keeper) { a.callWithRequest(k, a.q) }
 
-// callWith is call for a request of the caller's.
-func (a *attack) callWith(k *quarantine.Keeper, q quarantine.Request) {
+// callWithRequest is call with another request.
+func (a *attack) callWithRequest(k *quarantine.Keeper, q quarantine.Request) {
 	for range a.attempts {
 		pass, refused := k.Admit(a.r.ctx, q)
 		if refused != nil {
 			return
 		}
-		number := a.send()
-		time.Sleep(a.works)
+		number := a.recordSend()
+		time.Sleep(a.processing)
 		endpoint := fmt.Sprintf("e%d", number)
-		a.r.fail(endpoint)
-		a.noteEnd()
+		a.r.stopEndpoint(endpoint)
+		a.recordCrash()
 		shown := k.Broke(quarantine.Attempt{Request: q, Endpoint: endpoint, Start: 1, Addr: endpoint, Trial: pass.Trial, Alone: number%2 == 0})
 		if pass.Trial {
 			return
@@ -54,44 +55,44 @@
 	}
 }
 
-// send notes that the request is sent to another endpoint and returns its number.
-func (a *attack) send() int {
+// recordSend records that the request is sent to another endpoint and returns its number.
+func (a *attack) recordSend() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.sent = append(a.sent, time.Now())
+	a.sentAt = append(a.sentAt, time.Now())
 	a.endpoint++
 	return a.endpoint
 }
 
-// noteEnd notes that an endpoint has ended.
-func (a *attack) noteEnd() {
+// recordCrash records that an endpoint has crashed.
+func (a *attack) recordCrash() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ended = append(a.ended, time.Now())
+	a.crashedAt = append(a.crashedAt, time.Now())
 }
 
-// count returns how many endpoints ended, and how often the request was sent later than
-// contact after the third end.
-func (a *attack) count() (ended, late int) {
+// countCrashes returns the number of crashed endpoints, and how many times the request was sent
+// later than propagationTime after the third crash.
+func (a *attack) countCrashes() (crashes, late int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.ended) < 3 {
-		return len(a.ended), 0
+	if len(a.crashedAt) < 3 {
+		return len(a.crashedAt), 0
 	}
-	for _, at := range a.sent {
-		if at.After(a.ended[2].Add(contact)) {
+	for _, at := range a.sentAt {
+		if at.After(a.crashedAt[2].Add(propagationTime)) {
 			late++
 		}
 	}
-	return len(a.ended), late
+	return len(a.crashedAt), late
 }
 
-// TestFleetStopsACrashingRequest at 3 to 7,257 balancers: by a caller that comes back at
-// once, after seconds, and on many connections at the same moment. At most three sends are
-// allowed once contact has passed after the third end.
+// TestFleetStopsACrashingRequest runs fleets of 3 to 7,257 balancers. The caller comes back at
+// once, after seconds, with other queries, or on many connections at the same time. Once
+// propagationTime has passed after the third crash, at most three sends are allowed.
 func TestFleetStopsACrashingRequest(t *testing.T) {
 	for _, size := range []int{3, 30, 300, 7257} {
-		for name, come := range map[string]func(a *attack, rng *rand.Rand){
+		for name, sendRequests := range map[string]func(a *attack, rng *rand.Rand){
 			"one after the other": func(a *attack, rng *rand.Rand) {
 				for range 60 {
 					a.call(a.r.keepers[rng.IntN(size)])
@@ -108,7 +109,7 @@
 				for i := range 40 {
 					q := a.q
 					q.Prints = crash.Subject{Path: "a", Query: fmt.Sprint("page=", i/3)}.Prints()
-					a.callWith(a.r.keepers[rng.IntN(size)], q)
+					a.callWithRequest(a.r.keepers[rng.IntN(size)], q)
 					time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
 				}
 			},
@@ -123,17 +124,17 @@
 		} {
 			for _, attempts := range []int{1, 2} {
 				if size > 1000 && (attempts == 1 || name == "one after the other") {
-					continue // a minute more, and nothing that smaller fleets do not show
+					continue // takes a minute more and shows nothing that smaller fleets do not show
 				}
 				t.Run(fmt.Sprintf("%d/%s/%d attempts", size, name, attempts), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						a := &attack{r: newRigLooking(t, size, 10*time.Second), q: request("a"), attempts: attempts, works: 60 * time.Millisecond}
-						come(a, rand.New(rand.NewPCG(1, uint64(size))))
+						a := &attack{r: newHarnessWithInterval(t, size, 10*time.Second), q: request("a"), attempts: attempts, processing: 60 * time.Millisecond}
+						sendRequests(a, rand.New(rand.NewPCG(1, uint64(size))))
 						time.Sleep(10 * time.Second)
-						ended, late := a.count()
-						assert.Assert(t, ended >= 3)
-						assert.Assert(t, late <= 3, "%d sent late, %d ended", late, ended)
-						t.Logf("%d ended, %d sent late, %d calls of the store", ended, late, a.r.callsSoFar())
+						crashes, late := a.countCrashes()
+						assert.Assert(t, crashes >= 3)
+						assert.Assert(t, late <= 3, "%d sent late, %d crashes", late, crashes)
+						t.Logf("%d crashes, %d sent late, %d calls of the store", crashes, late, a.r.countStoreCalls())
 					})
 				})
 			}
@@ -141,19 +142,20 @@
 	}
 }
 
-// TestSoundQueryBesideACrashingOne: requests for the same path with another query are sent,
-// as long as it is one query under which endpoints end, and tried if it is two.
-func TestSoundQueryBesideACrashingOne(t *testing.T) {
+// TestSafeQueryBesideCrashingQuery: while endpoints have crashed under one query only, requests for
+// the same path with another query are sent like any other, and their completion does not end the
+// refusal.
+func TestSafeQueryBesideCrashingQuery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 3)
+		r := newHarness(t, 3)
 		with := func(query string) quarantine.Request {
 			q := request("a")
 			q.Prints = crash.Subject{Path: "a", Query: query}.Prints()
 			return q
 		}
-		a := &attack{r: r, attempts: 2, works: 60 * time.Millisecond}
+		a := &attack{r: r, attempts: 2, processing: 60 * time.Millisecond}
 		for range 4 {
-			a.callWith(r.keepers[0], with("bad"))
+			a.callWithRequest(r.keepers[0], with("bad"))
 			time.Sleep(4 * time.Second)
 		}
 		_, refused := r.keepers[1].Admit(r.ctx, with("bad"))
@@ -163,25 +165,25 @@
 		r.keepers[1].Ran(with("sound"))
 		time.Sleep(time.Second)
 		_, refused = r.keepers[2].Admit(r.ctx, with("bad"))
-		assert.Assert(t, refused != nil, "what ran was another request")
+		assert.Assert(t, refused != nil, "the completion of another query ended the refusal")
 	})
 }
 
-// TestThoseWhoHeardNothing: balancers that are cut off, or start again, meanwhile know of a
-// refusal from the store's record before they send.
-func TestThoseWhoHeardNothing(t *testing.T) {
+// TestIsolatedAndNewBalancersReadTheRecord: balancers that receive no notes, or start later, know a
+// refusal from the store's record before they send the request.
+func TestIsolatedAndNewBalancersReadTheRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 5)
-		r.deaf[4] = true
-		a := &attack{r: r, q: request("a"), attempts: 2, works: 60 * time.Millisecond}
+		r := newHarness(t, 5)
+		r.isolated[4] = true
+		a := &attack{r: r, q: request("a"), attempts: 2, processing: 60 * time.Millisecond}
 		for i := range 6 {
 			a.call(r.keepers[i%4])
 		}
-		before, _ := a.count()
+		before, _ := a.countCrashes()
 		time.Sleep(2 * time.Second)
 		a.call(r.keepers[4])
 		a.call(r.start())
-		after, _ := a.count()
+		after, _ := a.countCrashes()
 		assert.Equal(t, after, before)
 	})
 }
--- a/quarantine/notes.go
+++ b/quarantine/notes.go
@@ -8,58 +8,60 @@
 	"github.com/lotuswing/lotuswing/relay"
 )
 
-// Topic is the topic of the notes that keepers tell one another.
+// Topic is the topic of the notes that Keepers send to one another.
 const Topic = "quarantine"
 
-// What a note says.
+// Values of note.What.
 const (
-	noteEnd     = "ended"    // an endpoint ended under the request
-	noteRun     = "ran"      // an endpoint ran it to an end
-	noteOver    = "over"     // nobody tries it any more
-	noteRelease = "released" // an operator released it
-	noteOrder   = "ordered"  // an operator ordered that it is refused
+	noteCrashed        = "ended"    // an endpoint crashed during the request
+	noteCompleted      = "ran"      // an endpoint completed the request
+	noteTrialOver      = "over"     // a trial ended without a result
+	noteReleased       = "released" // an operator released the request
+	noteRefusalOrdered = "ordered"  // an operator ordered that the request is refused
 )
 
-// note is a keeper's word to all others, as JSON.
+// note is a JSON message from one Keeper to all others.
 type note struct {
-	What    string            `json:"what"`
-	Exact   crash.Fingerprint `json:"exact"`          // or the one that an operator speaks of
-	Wide    crash.Fingerprint `json:"wide,omitempty"` // empty in an operator's word
-	Service string            `json:"service,omitempty"`
-	Kind    string            `json:"kind,omitempty"`
-	End     told              `json:"end,omitzero"`
+	What     string            `json:"what"`
+	Exact    crash.Fingerprint `json:"exact"`          // fingerprint of the request; of an operator's note, the fingerprint that the operator named
+	AnyQuery crash.Fingerprint `json:"wide,omitempty"` // empty in an operator's note
+	Service  string            `json:"service,omitempty"`
+	Kind     string            `json:"kind,omitempty"`
+	Crash    crashData         `json:"end,omitzero"`
 }
 
-// valid reports whether a note tells which request it is about.
+// valid reports whether the note has the fingerprints that its kind needs.
 func (n note) valid() bool {
-	return n.Exact.Valid() && (n.Wide.Valid() || n.What == noteRelease || n.What == noteOrder)
+	return n.Exact.Valid() && (n.AnyQuery.Valid() || n.What == noteReleased || n.What == noteRefusalOrdered)
 }
 
 // prints returns the fingerprints of the request.
-func (n note) prints() crash.Prints { return crash.Prints{Exact: n.Exact, Wide: n.Wide} }
+func (n note) prints() crash.Prints { return crash.Prints{Exact: n.Exact, Wide: n.AnyQuery} }
 
-// told is an end as it is told; when it was follows from the age of the note.
-type told struct {
+// crashData is the JSON form of a crash.Event. It has no time: the receiver derives it from the age
+// of the note.
+type crashData struct {
 	Endpoint string `json:"endpoint"`
 	Start    int64  `json:"start,omitempty"`
 	SeenBy   string `json:"seen_by"`
 	Trial    bool   `json:"trial,omitempty"`
 	Alone    bool   `json:"alone,omitempty"`
-	// Of is the exact fingerprint.
-	Of crash.Fingerprint `json:"of,omitempty"`
+	// RequestFingerprint is the exact fingerprint of the request.
+	RequestFingerprint crash.Fingerprint `json:"of,omitempty"`
 }
 
-func toldEnd(e crash.End) told {
-	return told{Endpoint: e.Endpoint, Start: e.Start, SeenBy: e.SeenBy, Trial: e.Trial, Alone: e.Alone, Of: e.Of}
+// newCrashData returns the JSON form of an event.
+func newCrashData(e crash.Event) crashData {
+	return crashData{Endpoint: e.Endpoint, Start: e.Start, SeenBy: e.SeenBy, Trial: e.Trial, Alone: e.Alone, RequestFingerprint: e.RequestFingerprint}
 }
 
-// end returns the end that was seen at a time.
-func (t told) end(at time.Time) crash.End {
-	return crash.End{Endpoint: t.Endpoint, Start: t.Start, At: at, SeenBy: t.SeenBy, Trial: t.Trial, Alone: t.Alone, Of: t.Of}
+// event returns the crash as an event observed at the given time.
+func (d crashData) event(at time.Time) crash.Event {
+	return crash.Event{Endpoint: d.Endpoint, Start: d.Start, At: at, SeenBy: d.SeenBy, Trial: d.Trial, Alone: d.Alone, RequestFingerprint: d.RequestFingerprint}
 }
 
-// tell tells all other balancers something.
-func (k *Keeper) tell(n note) {
+// broadcast sends a note to all other balancers.
+func (k *Keeper) broadcast(n note) {
 	if k.cfg.Tell == nil {
 		return
 	}
@@ -68,32 +70,32 @@
 		err = k.cfg.Tell(Topic, data)
 	}
 	if err != nil {
-		k.cfg.Log.Error("not told to other balancers", "fingerprint", string(n.Exact), "what", n.What, "error", err)
+		k.cfg.Log.Error("could not notify the other balancers", "fingerprint", string(n.Exact), "what", n.What, "error", err)
 	}
 }
 
-// Hear takes a note of another keeper. One that cannot be read changes nothing.
+// Hear handles a note of another Keeper. Invalid notes are logged and ignored.
 func (k *Keeper) Hear(n relay.Note) {
 	if n.Topic != Topic {
 		return
 	}
-	var said note
-	if err := json.Unmarshal(n.Data, &said); err != nil || !said.valid() {
+	var msg note
+	if err := json.Unmarshal(n.Data, &msg); err != nil || !msg.valid() {
 		k.cfg.Log.Warn("note not read", "from", n.Origin, "error", err)
 		return
 	}
 	now := k.opts.Now()
 	at := now.Add(-n.Age)
-	switch said.What {
-	case noteEnd:
-		k.noteEnd(said.prints(), said.Service, said.Kind, said.End.end(at), now)
-	case noteRun:
-		k.noteRun(said.prints(), at)
-	case noteOver:
-		k.noteOver(said.prints())
-	case noteRelease:
-		k.changeIf(said.Exact, now, func(known *entry) { known.is = known.is.WithRelease(at) })
-	case noteOrder:
-		k.change(said.Exact, crash.Case{}, now, func(known *entry) { known.is = known.is.WithOrder(at) })
+	switch msg.What {
+	case noteCrashed:
+		k.addCrash(msg.prints(), msg.Service, msg.Kind, msg.Crash.event(at), now)
+	case noteCompleted:
+		k.addCompletion(msg.prints(), at)
+	case noteTrialOver:
+		k.clearTrials(msg.prints())
+	case noteReleased:
+		k.updateExisting(msg.Exact, now, func(ent *entry) { ent.history = ent.history.WithRelease(at) })
+	case noteRefusalOrdered:
+		k.update(msg.Exact, crash.History{}, now, func(ent *entry) { ent.history = ent.history.WithRefusalOrder(at) })
 	}
 }
--- a/quarantine/operate.go
+++ b/quarantine/operate.go
@@ -13,121 +13,126 @@
 )
 
 var (
-	// ErrUnknown says that nothing is known of a request.
+	// ErrUnknown is returned if there is no history for the fingerprint.
 	ErrUnknown = errors.New("quarantine: nothing is known of this fingerprint")
-	// ErrInvalid says that a text is no fingerprint.
+	// ErrInvalid is returned for a text that is not a fingerprint.
 	ErrInvalid = errors.New("quarantine: a fingerprint has 32 hexadecimal digits")
-	// ErrChanged says that a record of the store changed meanwhile.
+	// ErrChanged is returned if somebody else changed the store's record and the new one did not
+	// arrive in time.
 	ErrChanged = errors.New("quarantine: somebody else changed the record; look and try again")
 )
 
-// Status is what operators are told of a request. Its names are the JSON's.
+// Status describes one history to operators. Its field names are those of the JSON.
 type Status struct {
 	Fingerprint crash.Fingerprint
-	Step        string // send, try or refuse
+	Step        string // the action: send, try or refuse
 	Service     string
 	Kind        string
-	AnyQuery    bool // of requests that differ in their query alone
-	Ends        int
-	Evidence    string
-	For         time.Duration // how long a refusal still holds; 0 where it is none or holds until it is released
-	Ordered     bool          // an operator ordered it
-	Recorded    string        // what stands in the store; empty for nothing
+	AnyQuery    bool          // covers all requests that differ only in their query
+	Ends        int           // number of crashes since the last completion
+	Evidence    string        // the crashes and orders on which the action is based
+	For         time.Duration // how long the refusal still holds; 0 without a refusal, or with one that an operator ordered
+	Ordered     bool          // an operator ordered the refusal
+	Recorded    string        // state of the record in the store; empty without a record
 }
 
-// List returns what is known of all requests under which endpoints have ended since they
-// were last run to an end, the last one first.
+// List returns the status of all requests during which endpoints have crashed since the last
+// completion, or whose refusal an operator ordered, the latest crash first. It leaves out any-query
+// histories that have no effect.
 func (k *Keeper) List() []Status {
 	now := k.opts.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	list := make([]Status, 0, len(k.entries))
-	last := map[crash.Fingerprint]time.Time{}
-	for f, known := range k.entries {
-		d := known.is.Decide(now)
-		if !known.is.Suspected() && !known.is.Ordered() || known.is.Wide() && d.Do == crash.Send {
+	lastCrash := map[crash.Fingerprint]time.Time{}
+	for f, ent := range k.entries {
+		d := ent.history.Decide(now)
+		if !ent.history.Suspected() && !ent.history.RefusalOrdered() || ent.history.AnyQuery() && d.Action == crash.Send {
 			continue
 		}
-		st := Status{
-			Fingerprint: f, Step: d.Do.String(), Service: known.service, Kind: known.kind, AnyQuery: known.is.Wide(), Ends: len(known.is.Ends()),
-			Evidence: evidence(known.is, now), Ordered: known.is.Ordered(),
+		status := Status{
+			Fingerprint: f, Step: d.Action.String(), Service: ent.service, Kind: ent.kind, AnyQuery: ent.history.AnyQuery(), Ends: len(ent.history.Crashes()),
+			Evidence: evidence(ent.history, now), Ordered: ent.history.RefusalOrdered(),
 		}
-		if known.revision != 0 {
-			st.Recorded = known.recorded
+		if ent.recordRevision != 0 {
+			status.Recorded = ent.recordState
 		}
-		if d.Do == crash.Refuse && !st.Ordered {
-			st.For = d.Until.Sub(now)
+		if d.Action == crash.Refuse && !status.Ordered {
+			status.For = d.Until.Sub(now)
 		}
-		list = append(list, st)
-		last[f] = known.is.Last()
+		list = append(list, status)
+		lastCrash[f] = ent.history.LastCrash()
 	}
 	slices.SortFunc(list, func(a, b Status) int {
-		return cmp.Or(last[b.Fingerprint].Compare(last[a.Fingerprint]), cmp.Compare(a.Fingerprint, b.Fingerprint))
+		return cmp.Or(lastCrash[b.Fingerprint].Compare(lastCrash[a.Fingerprint]), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	return list
 }
 
-// Release lets a request be tried again, at all balancers.
+// Release ends the refusal of a request at all balancers, so that it is on trial again. It returns
+// ErrInvalid, ErrUnknown, ErrChanged or an error of the store.
 func (k *Keeper) Release(ctx context.Context, f crash.Fingerprint) error {
 	if !f.Valid() {
 		return ErrInvalid
 	}
 	now := k.opts.Now()
-	if !k.changeIf(f, now, func(known *entry) { known.is = known.is.WithRelease(now) }) {
+	if !k.updateExisting(f, now, func(ent *entry) { ent.history = ent.history.WithRelease(now) }) {
 		return ErrUnknown
 	}
 	k.cfg.Log.Info("released by an operator", "fingerprint", string(f))
-	k.tell(note{What: noteRelease, Exact: f})
-	return k.decree(ctx, f, stateReleased)
+	k.broadcast(note{What: noteReleased, Exact: f})
+	return k.writeOperatorRecord(ctx, f, stateReleased)
 }
 
-// Order has a request refused at all balancers until it is released.
+// Order has a request refused at all balancers until it is released. It returns ErrInvalid,
+// ErrChanged or an error of the store.
 func (k *Keeper) Order(ctx context.Context, f crash.Fingerprint) error {
 	if !f.Valid() {
 		return ErrInvalid
 	}
 	now := k.opts.Now()
-	k.change(f, crash.Case{}, now, func(known *entry) { known.is = known.is.WithOrder(now) })
-	k.cfg.Log.Info("refused by an operator", "fingerprint", string(f))
-	k.tell(note{What: noteOrder, Exact: f})
-	return k.decree(ctx, f, stateOrdered)
+	k.update(f, crash.History{}, now, func(ent *entry) { ent.history = ent.history.WithRefusalOrder(now) })
+	k.cfg.Log.Info("refusal ordered by an operator", "fingerprint", string(f))
+	k.broadcast(note{What: noteRefusalOrdered, Exact: f})
+	return k.writeOperatorRecord(ctx, f, stateRefusalOrdered)
 }
 
-// decreeWithin is how long an operator's word waits for the news of a record that somebody
-// else has written: changes of the store come within two seconds.
-const decreeWithin = 3 * time.Second
+// operatorWriteTimeout bounds the writing of an operator's decision to the store. If somebody else
+// has written the record, its new revision must arrive first: changes of the store arrive within
+// two seconds.
+const operatorWriteTimeout = 3 * time.Second
 
-// decree writes an operator's word to the store, in the place of what stands there. A release
-// of what does not stand there needs no record.
-func (k *Keeper) decree(ctx context.Context, f crash.Fingerprint, state string) error {
-	ctx, cancel := context.WithTimeout(ctx, decreeWithin)
+// writeOperatorRecord writes an operator's decision to the store, replacing the record there. A
+// release without a record to replace writes nothing.
+func (k *Keeper) writeOperatorRecord(ctx context.Context, f crash.Fingerprint, state string) error {
+	ctx, cancel := context.WithTimeout(ctx, operatorWriteTimeout)
 	defer cancel()
 	for {
-		said, revision, changed := k.decreed(f, state)
+		rec, revision, changed := k.operatorRecord(f, state)
 		if state == stateReleased && revision == 0 {
 			return nil
 		}
-		err := k.put(ctx, f, said, revision, crash.HoldFor)
+		err := k.replaceRecord(ctx, f, rec, revision, crash.RefusalPeriod)
 		if !errors.Is(err, relay.ErrTaken) {
 			return err
 		}
-		pause.Until(ctx, changed, decreeWithin)
+		pause.Until(ctx, changed, operatorWriteTimeout)
 		if ctx.Err() != nil {
 			return ErrChanged
 		}
 	}
 }
 
-// decreed returns the record of an operator's word, the revision of the one that it replaces,
-// and what is closed when a case changes.
-func (k *Keeper) decreed(f crash.Fingerprint, state string) (Record, uint64, <-chan struct{}) {
+// operatorRecord returns the record of an operator's decision, the revision of the record that it
+// replaces, and a channel that is closed when any history changes.
+func (k *Keeper) operatorRecord(f crash.Fingerprint, state string) (Record, uint64, <-chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	said := Record{State: state, By: k.cfg.ID}
-	known := k.entries[f]
-	if known == nil {
-		return said, 0, k.changed
+	rec := Record{State: state, By: k.cfg.ID}
+	ent := k.entries[f]
+	if ent == nil {
+		return rec, 0, k.changed
 	}
-	said.Service, said.Kind, said.Wide = known.service, known.kind, known.is.Wide()
-	return said, known.revision, k.changed
+	rec.Service, rec.Kind, rec.AnyQuery = ent.service, ent.kind, ent.history.AnyQuery()
+	return rec, ent.recordRevision, k.changed
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,16 +1,16 @@
-// Package quarantine keeps a request from crashing one endpoint after the other, whichever
-// balancer it comes to.
+// Package quarantine keeps a request from crashing one endpoint after another, whichever balancers
+// receive it.
 //
-// A Keeper is one balancer's part in this. It hears from the request path which attempts
-// broke off without a response and finds out whether their endpoints have ended (verify.go);
-// it tells all balancers what it saw, by notes that need no store (notes.go); it has one
-// balancer of the fleet at a time try a request that is suspected (admit.go); and what is
-// refused stands in the store, for balancers that start later and for operators
-// (records.go, operate.go). The rule that decides is in coord/crash.
+// A Keeper is the part of one balancer. The request path reports to it the attempts that broke
+// without a response, and it finds out whether their endpoints have crashed (verify.go). It sends
+// its observations to all balancers as notes, which do not need the store (notes.go). A suspected
+// request is sent on trial, by one balancer of the fleet at a time (admit.go). Refusals are
+// recorded in the store, for balancers that start later and for operators (records.go, operate.go).
+// Package coord/crash has the rule that decides.
 //
-// The package owns the cases of this process. It relies on notes that may be lost or late,
-// and on the store for one thing only: that of several balancers one tries. While nothing
-// is suspected it costs a request one atomic read.
+// The package holds the histories known to this process. It tolerates notes that are lost or late.
+// It needs the store only to give a trial to a single balancer. While no request is suspected, the
+// cost for each request is one atomic read.
 //
 // # Usage
 //
@@ -37,59 +37,59 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Prober asks an endpoint for its load, which shows whether it lives.
+// Prober requests the load report of an endpoint, which shows whether it is running.
 type Prober interface {
 	Probe(ctx context.Context, addr, path string, within time.Duration) (upstream.Report, error)
 }
 
-// Endpoints tells what is known of endpoints.
+// Endpoints provides the known endpoints and the configuration.
 type Endpoints interface {
 	Snapshot() *directory.Snapshot
 	Endpoint(id string) (directory.Endpoint, bool)
 }
 
-// Registry keeps records of the store.
+// Registry writes records to the store.
 type Registry interface {
-	// Replace writes a record that has a revision, 0 for one that does not exist, under a
-	// lease, which it returns, or returns relay.ErrTaken.
+	// Replace writes a record under a new lease, which it returns, if the record still has the
+	// given revision; 0 means that it does not exist. Otherwise it returns relay.ErrTaken.
 	Replace(ctx context.Context, name string, value []byte, revision uint64, ttl time.Duration) (lease uint64, err error)
-	// Release ends a lease and its records.
+	// Release ends a lease and deletes its records.
 	Release(ctx context.Context, lease uint64) error
 }
 
-// Config of a Keeper.
+// Config configures a Keeper.
 type Config struct {
-	ID        string // of the balancer
+	ID        string // ID of this balancer
 	Log       hclog.Logger
 	Metrics   metrics.Registry
 	Endpoints Endpoints
 	Prober    Prober
 	Registry  Registry
-	// Tell tells all other balancers something; nil where they cannot be reached.
+	// Tell sends data to all other balancers; nil if they cannot be reached.
 	Tell func(topic string, data []byte) error
-	// Serving reports whether this balancer does for its zone what one of it should do; nil
+	// Serving reports whether this balancer is the one that does the shared work of its zone; nil
 	// for always.
 	Serving func() bool
-	// Willing reports whether an endpoint may be probed: it has not asked this balancer for a time
-	// without requests; nil for always.
+	// Willing reports whether an endpoint may be probed, which it may not while it has asked this
+	// balancer to send it no requests; nil for always.
 	Willing func(endpoint string) bool
 	Options Options
 }
 
-// Options of a Keeper. Zero fields take the defaults.
+// Options are the timing options of a Keeper. Zero fields take the defaults.
 type Options struct {
-	// TrialFor is for how long at least nobody else tries a request that one balancer tries,
-	// if nobody hears that its trial is over; default 1.5 s. The store grants no less than 1 s.
+	// TrialFor is the least time for which a trial excludes others, unless it is reported to be
+	// over; default 1.5 s. The store grants no leases of less than 1 s.
 	TrialFor time.Duration
-	// AskWithin bounds the question whether another balancer tries it; default 250 ms.
+	// AskWithin bounds the request to the store for the lease of a trial; default 250 ms.
 	AskWithin time.Duration
-	// LookEvery is between two looks whether an endpoint has ended that still answers, and
-	// between two looks whether refusals stand in the store; default 250 ms.
+	// LookEvery is the interval at which an endpoint that still answers is checked for a crash, and
+	// at which the store is checked for missing refusals; default 250 ms.
 	LookEvery time.Duration
-	// RecordAfter is after how long a relay writes a refusal that still does not stand in
-	// the store; default 3 s.
+	// RecordAfter is the age from which another balancer writes a refusal that is still missing
+	// from the store, and how long a balancer waits for its own write to be seen; default 3 s.
 	RecordAfter time.Duration
-	// Now tells the present time by a clock that goes on while the VM is suspended; default
+	// Now returns the present time of a clock that continues while the VM is suspended; default
 	// bootclock.Now.
 	Now func() time.Time
 }
@@ -105,74 +105,75 @@
 	return o
 }
 
-// Keeper is one balancer's knowledge of requests under which endpoints have ended. It is
-// safe for concurrent use.
+// Keeper tracks the requests during which endpoints have crashed and decides whether such requests
+// may be sent. It is safe for concurrent use.
 type Keeper struct {
-	cfg    Config
-	opts   Options
-	known  atomic.Int64 // cases
-	ends   metrics.Counter
-	trials metrics.Counter
-	denied metrics.Counter
-	gauge  metrics.Gauge
+	cfg        Config
+	opts       Options
+	entryCount atomic.Int64 // number of entries, readable without mu
+	crashes    metrics.Counter
+	trials     metrics.Counter
+	refusals   metrics.Counter
+	gauge      metrics.Gauge
 
 	mu      sync.Mutex
 	entries map[crash.Fingerprint]*entry
-	watched int           // endpoints that are watched for their end
-	changed chan struct{} // closed and replaced when a case has changed
-	live    context.Context
+	watched int             // number of endpoints that are being checked for a crash
+	changed chan struct{}   // closed and replaced when any history changes
+	runCtx  context.Context // the context of Run, for work in the background
 }
 
-// entry is what is kept of one request. It is changed with Keeper.mu held.
+// entry is what a Keeper has on one fingerprint. It is accessed with Keeper.mu held.
 type entry struct {
-	is       crash.Case
-	service  string // to which the request was sent
-	kind     string
-	step     crash.Step // that was logged last
-	trial    time.Time  // until then a balancer tries it, unless it is heard to be over
-	trying   bool       // it is this one
-	lease    uint64     // of the own trial; 0 where the store gave none
-	since    time.Time  // when it was first refused; zero where it is not
-	revision uint64     // of its record; 0 for none
-	recorded string     // the state that stands there
-	seen     uint64     // revision of the last record that was read
-	writing  bool       // its record is being written
-	told     bool       // an end was seen here or told by a note, not read in a record alone
+	history         crash.History
+	service         string // service to which the request was sent
+	kind            string
+	loggedAction    crash.Action // the action that was logged last
+	trialUntil      time.Time    // until when a trial excludes others, unless it is reported to be over
+	ownTrial        bool         // the trial is this balancer's
+	trialLease      uint64       // lease of the own trial; 0 if the store granted none
+	refusedSince    time.Time    // start of the refusal; zero if the request is not refused
+	recordRevision  uint64       // revision of the record in the store; 0 for none
+	recordState     string       // state in the last record read
+	appliedRevision uint64       // revision of the last record read
+	writingRecord   bool         // the record is being written
+	crashReported   bool         // a crash was observed here or reported by a note, not only read from a record
 }
 
-// mostCases bounds the cases that are kept: of 4,096 with 16 ends of 100 bytes each, less
-// than 7 MB. mostOfService leaves room for those of other services.
+// maxEntries bounds the entries: 4,096 with 16 crashes of 100 bytes each take less than 7 MB.
+// maxEntriesPerService leaves room for other services.
 const (
-	mostCases     = 4096
-	mostOfService = 1024
+	maxEntries           = 4096
+	maxEntriesPerService = 1024
 )
 
-// New returns a keeper that knows nothing.
+// New returns a Keeper without any history.
 func New(cfg Config) *Keeper {
 	return &Keeper{
-		cfg: cfg, opts: cfg.Options.withDefaults(), entries: map[crash.Fingerprint]*entry{}, changed: make(chan struct{}), live: context.Background(),
-		ends:   metrics.GetOrRegisterCounter("quarantine_ends", cfg.Metrics),
-		trials: metrics.GetOrRegisterCounter("quarantine_trials", cfg.Metrics),
-		denied: metrics.GetOrRegisterCounter("quarantine_refusals", cfg.Metrics),
-		gauge:  metrics.GetOrRegisterGauge("quarantine_cases", cfg.Metrics),
+		cfg: cfg, opts: cfg.Options.withDefaults(), entries: map[crash.Fingerprint]*entry{}, changed: make(chan struct{}), runCtx: context.Background(),
+		crashes:  metrics.GetOrRegisterCounter("quarantine_ends", cfg.Metrics),
+		trials:   metrics.GetOrRegisterCounter("quarantine_trials", cfg.Metrics),
+		refusals: metrics.GetOrRegisterCounter("quarantine_refusals", cfg.Metrics),
+		gauge:    metrics.GetOrRegisterGauge("quarantine_cases", cfg.Metrics),
 	}
 }
 
-// Run keeps cases and records up to date until ctx ends. It waits for the first case.
+// Run removes expired histories and writes missing refusals to the store until ctx ends. While
+// there is no entry, it waits for one.
 func (k *Keeper) Run(ctx context.Context) {
 	k.mu.Lock()
-	k.live = ctx
+	k.runCtx = ctx
 	k.mu.Unlock()
 	for ctx.Err() == nil {
-		k.awaitCase(ctx)
+		k.waitForEntry(ctx)
 		pause.For(ctx, k.opts.LookEvery)
-		k.forget(k.opts.Now())
-		k.recordMissing(k.opts.Now())
+		k.removeExpired(k.opts.Now())
+		k.writeMissingRefusals(k.opts.Now())
 	}
 }
 
-// awaitCase waits until there is a case.
-func (k *Keeper) awaitCase(ctx context.Context) {
+// waitForEntry waits until there is an entry or ctx ends.
+func (k *Keeper) waitForEntry(ctx context.Context) {
 	for k.Quiet() && ctx.Err() == nil {
 		k.mu.Lock()
 		changed, none := k.changed, len(k.entries) == 0
@@ -187,126 +188,129 @@
 	}
 }
 
-// Quiet reports whether no request is suspected of anything.
-func (k *Keeper) Quiet() bool { return k.known.Load() == 0 }
+// Quiet reports whether there is no history of any request.
+func (k *Keeper) Quiet() bool { return k.entryCount.Load() == 0 }
 
-// change applies a change to a case, which begins with it where there is none, and says in
-// the log what becomes of the request from now on.
-func (k *Keeper) change(f crash.Fingerprint, begin crash.Case, now time.Time, apply func(*entry)) {
+// update applies a change to an entry, which it creates with the given history if there is none. It
+// logs a change of the action for the request.
+func (k *Keeper) update(f crash.Fingerprint, initial crash.History, now time.Time, apply func(*entry)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.entries[f] == nil {
-		k.entries[f] = &entry{is: begin}
+		k.entries[f] = &entry{history: initial}
 	}
-	k.changeKnown(f, now, apply)
+	k.updateLocked(f, now, apply)
 }
 
-// changeIf is change for cases that are known alone. It reports whether this one is.
-func (k *Keeper) changeIf(f crash.Fingerprint, now time.Time, apply func(*entry)) bool {
+// updateExisting is update for an entry that exists already. It returns false if there is none.
+func (k *Keeper) updateExisting(f crash.Fingerprint, now time.Time, apply func(*entry)) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.entries[f] == nil {
 		return false
 	}
-	k.changeKnown(f, now, apply)
+	k.updateLocked(f, now, apply)
 	return true
 }
 
-// changeBoth is change for the two cases of a request.
-func (k *Keeper) changeBoth(p crash.Prints, now time.Time, apply func(*entry)) {
-	k.change(p.Exact, crash.Case{}, now, apply)
-	k.change(p.Wide, crash.NewWide(), now, apply)
+// updateBoth is update for the exact and the any-query entry of a request.
+func (k *Keeper) updateBoth(p crash.Prints, now time.Time, apply func(*entry)) {
+	k.update(p.Exact, crash.History{}, now, apply)
+	k.update(p.Wide, crash.NewAnyQueryHistory(), now, apply)
 }
 
-// changeKnown applies a change to a case that is known; k.mu is held.
-func (k *Keeper) changeKnown(f crash.Fingerprint, now time.Time, apply func(*entry)) {
-	known := k.entries[f]
-	apply(known)
-	if known.is.Forgotten(now) {
+// updateLocked applies a change to an existing entry; k.mu is held.
+func (k *Keeper) updateLocked(f crash.Fingerprint, now time.Time, apply func(*entry)) {
+	ent := k.entries[f]
+	apply(ent)
+	if ent.history.Expired(now) {
 		delete(k.entries, f)
 	}
-	k.trim(known.service, now)
-	k.noteStep(f, known, now)
-	k.noteChange()
+	k.evictExcess(ent.service, now)
+	k.logActionChange(f, ent, now)
+	k.notifyChanged()
 }
 
-// noteStep says in the log that a request is treated in another way; k.mu is held.
-func (k *Keeper) noteStep(f crash.Fingerprint, known *entry, now time.Time) {
-	d := known.is.Decide(now)
-	if d.Do != crash.Refuse {
-		known.since = time.Time{}
-	} else if known.since.IsZero() {
-		known.since = now
+// logActionChange updates refusedSince and logs the action for a request if it has changed; k.mu is
+// held.
+func (k *Keeper) logActionChange(f crash.Fingerprint, ent *entry, now time.Time) {
+	d := ent.history.Decide(now)
+	if d.Action != crash.Refuse {
+		ent.refusedSince = time.Time{}
+	} else if ent.refusedSince.IsZero() {
+		ent.refusedSince = now
 	}
-	if d.Do == known.step {
+	if d.Action == ent.loggedAction {
 		return
 	}
-	known.step = d.Do
-	k.cfg.Log.Info("request suspected", "fingerprint", string(f), "any_query", known.is.Wide(), "step", d.Do.String(), "service", known.service, "kind", known.kind,
-		"evidence", evidence(known.is, now), "ordered", known.is.Ordered())
+	ent.loggedAction = d.Action
+	k.cfg.Log.Info("handling of a suspected request changed", "fingerprint", string(f), "any_query", ent.history.AnyQuery(), "step", d.Action.String(), "service", ent.service, "kind", ent.kind,
+		"evidence", evidence(ent.history, now), "ordered", ent.history.RefusalOrdered())
 }
 
-// noteChange wakes those that wait for a change; k.mu is held.
-func (k *Keeper) noteChange() {
-	k.known.Store(int64(len(k.entries)))
+// notifyChanged updates the number of entries and wakes the goroutines that wait for a change; k.mu
+// is held.
+func (k *Keeper) notifyChanged() {
+	k.entryCount.Store(int64(len(k.entries)))
 	k.gauge.Update(int64(len(k.entries)))
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
-// trim drops cases of a service, or any, where there are too many: those first that are not
-// refused, and of these the one that changed longest ago. k.mu is held.
-func (k *Keeper) trim(service string, now time.Time) {
-	of := 0
-	for _, known := range k.entries {
-		if known.service == service {
-			of++
+// evictExcess removes an entry of the service, and one of any service, if there are too many; k.mu
+// is held.
+func (k *Keeper) evictExcess(service string, now time.Time) {
+	inService := 0
+	for _, ent := range k.entries {
+		if ent.service == service {
+			inService++
 		}
 	}
-	if of > mostOfService {
-		k.drop(func(known *entry) bool { return known.service == service }, now)
+	if inService > maxEntriesPerService {
+		k.evictOne(func(ent *entry) bool { return ent.service == service }, now)
 	}
-	if len(k.entries) > mostCases {
-		k.drop(func(*entry) bool { return true }, now)
+	if len(k.entries) > maxEntries {
+		k.evictOne(func(*entry) bool { return true }, now)
 	}
 }
 
-// drop drops the least one of some cases; k.mu is held.
-func (k *Keeper) drop(some func(*entry) bool, now time.Time) {
-	var least crash.Fingerprint
-	for f, known := range k.entries {
-		if some(known) && (least == "" || known.before(k.entries[least], now)) {
-			least = f
+// evictOne removes the least important of the eligible entries; k.mu is held.
+func (k *Keeper) evictOne(eligible func(*entry) bool, now time.Time) {
+	var victim crash.Fingerprint
+	for f, ent := range k.entries {
+		if eligible(ent) && (victim == "" || ent.evictBefore(k.entries[victim], now)) {
+			victim = f
 		}
 	}
-	delete(k.entries, least)
+	delete(k.entries, victim)
 }
 
-// before reports whether a case may be dropped rather than another one.
-func (known *entry) before(o *entry, now time.Time) bool {
-	refused, other := known.is.Decide(now).Do == crash.Refuse, o.is.Decide(now).Do == crash.Refuse
-	if refused != other {
-		return other
+// evictBefore reports whether the entry is evicted before another one: entries that are not refused
+// go first, then those whose last crash is the oldest.
+func (ent *entry) evictBefore(other *entry, now time.Time) bool {
+	refused, otherRefused := ent.history.Decide(now).Action == crash.Refuse, other.history.Decide(now).Action == crash.Refuse
+	if refused != otherRefused {
+		return otherRefused
 	}
-	return known.is.Last().Before(o.is.Last())
+	return ent.history.LastCrash().Before(other.history.LastCrash())
 }
 
-// forget drops cases of which nothing has to be known any more.
-func (k *Keeper) forget(now time.Time) {
+// removeExpired removes entries whose history has expired, and logs changes of actions with time.
+func (k *Keeper) removeExpired(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for f, known := range k.entries {
-		k.noteStep(f, known, now)
-		if known.is.Forgotten(now) {
+	for f, ent := range k.entries {
+		k.logActionChange(f, ent, now)
+		if ent.history.Expired(now) {
 			delete(k.entries, f)
 		}
 	}
-	k.noteChange()
+	k.notifyChanged()
 }
 
-// running returns the context of what goes on beside requests.
-func (k *Keeper) running() context.Context {
+// runContext returns the context for work in the background.
+func (k *Keeper) runContext() context.Context {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.live
+	return k.runCtx
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -27,46 +27,45 @@
 	"gotest.tools/v3/assert"
 )
 
-// rig is a fleet of keepers with the store, the notes and the endpoints that they share, in
-// virtual time.
-type rig struct {
+// harness is a fleet of Keepers with simulated endpoints, store and notes, in virtual time.
+type harness struct {
 	ctx       context.Context
 	directory *directory.Directory
-	lookEvery time.Duration // of the keepers; 0 for the default
+	lookEvery time.Duration // Options.LookEvery of the Keepers; 0 for the default
 
-	mu        sync.Mutex
-	keepers   []*quarantine.Keeper
-	down      map[string]bool   // addresses that refuse connections
-	instances map[string]string // who answers at other addresses
-	records   map[string]record
-	revision  uint64
-	storeDown bool
-	deaf      map[int]bool // keepers that hear and tell nothing
-	calls     int          // of the store
-	unwilling string       // endpoint that wants no requests
-	probes    int
+	mu         sync.Mutex
+	keepers    []*quarantine.Keeper
+	down       map[string]bool   // addresses that refuse connections
+	instances  map[string]string // instance that answers at each other address
+	records    map[string]record
+	revision   uint64
+	storeDown  bool
+	isolated   map[int]bool // indexes of Keepers that neither send nor receive notes
+	storeCalls int
+	backingOff string // ID of an endpoint that has asked for no requests
+	probes     int
 }
 
 type record struct {
 	value    []byte
 	revision uint64
 	lease    uint64
-	ends     time.Time // zero for never
+	expires  time.Time // zero for never
 }
 
 var errStoreDown = errors.New("store is down")
 
-// newRig starts n keepers, which run until the test ends.
-func newRig(t *testing.T, n int) *rig {
+// newHarness starts n Keepers, which run until the test ends.
+func newHarness(t *testing.T, n int) *harness {
 	t.Helper()
-	return newRigLooking(t, n, 0)
+	return newHarnessWithInterval(t, n, 0)
 }
 
-// newRigLooking starts n keepers that look again after a time of their own.
-func newRigLooking(t *testing.T, n int, lookEvery time.Duration) *rig {
+// newHarnessWithInterval is newHarness with a value for Options.LookEvery.
+func newHarnessWithInterval(t *testing.T, n int, lookEvery time.Duration) *harness {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	r := &rig{ctx: ctx, lookEvery: lookEvery, directory: directory.New(), down: map[string]bool{}, instances: map[string]string{}, records: map[string]record{}, deaf: map[int]bool{}}
+	r := &harness{ctx: ctx, lookEvery: lookEvery, directory: directory.New(), down: map[string]bool{}, instances: map[string]string{}, records: map[string]record{}, isolated: map[int]bool{}}
 	r.directory.Apply(directory.Changes{
 		Config: &directory.Config{Version: 1, Services: map[string]tenant.Service{"s": {ProbePath: "/health"}}},
 	}, time.Now())
@@ -80,8 +79,8 @@
 	return r
 }
 
-// start starts a keeper, which reads the store's records first.
-func (r *rig) start() *quarantine.Keeper {
+// start starts another Keeper, which first reads the store's records.
+func (r *harness) start() *quarantine.Keeper {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	number := len(r.keepers)
@@ -89,46 +88,47 @@
 		ID: fmt.Sprintf("vm-%d", number), Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Endpoints: r.directory, Prober: r, Registry: r,
 		Tell:    func(topic string, data []byte) error { return r.tell(number, topic, data) },
 		Serving: func() bool { return number == 0 },
-		Willing: func(endpoint string) bool { return endpoint != r.unwilling },
+		Willing: func(endpoint string) bool { return endpoint != r.backingOff },
 		Options: quarantine.Options{Now: time.Now, LookEvery: r.lookEvery},
 	})
 	r.keepers = append(r.keepers, k)
 	go k.Run(r.ctx)
-	for name, held := range r.records {
-		k.Observe(directory.Changes{Registrations: []directory.Record{{Key: name, Value: held.value, Revision: held.revision}}})
+	for name, stored := range r.records {
+		k.Observe(directory.Changes{Registrations: []directory.Record{{Key: name, Value: stored.value, Revision: stored.revision}}})
 	}
 	return k
 }
 
-// A note takes noteFirst milliseconds to the first keepers, and one more for each step.
+// The first Keepers receive a note after minNoteDelay milliseconds, the others up to noteDelaySteps
+// milliseconds later.
 const (
-	noteFirst = 5
-	noteSteps = 25
+	minNoteDelay   = 5
+	noteDelaySteps = 25
 )
 
-// tell hands a note on to all other keepers, which hear it one after the other. One goroutine
-// does so for all: with one each, 7,257 keepers took 16 GB of memory under the race detector.
-func (r *rig) tell(from int, topic string, data []byte) error {
+// tell delivers a note to all other Keepers, one after the other. A single goroutine does this:
+// with one for each Keeper, 7,257 Keepers took 16 GB of memory under the race detector.
+func (r *harness) tell(from int, topic string, data []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.deaf[from] {
+	if r.isolated[from] {
 		return nil
 	}
-	var hear [noteSteps][]*quarantine.Keeper
+	var receivers [noteDelaySteps][]*quarantine.Keeper
 	for to, k := range r.keepers {
-		if to != from && !r.deaf[to] {
-			step := (to * 7) % noteSteps
-			hear[step] = append(hear[step], k)
+		if to != from && !r.isolated[to] {
+			step := (to * 7) % noteDelaySteps
+			receivers[step] = append(receivers[step], k)
 		}
 	}
 	go func() {
-		pause.For(r.ctx, noteFirst*time.Millisecond)
-		for step, keepers := range hear {
+		pause.For(r.ctx, minNoteDelay*time.Millisecond)
+		for step, keepers := range receivers {
 			for _, k := range keepers {
 				if r.ctx.Err() != nil {
 					return
 				}
-				k.Hear(relay.Note{Origin: "vm", Topic: topic, Data: data, Age: time.Duration(noteFirst+step) * time.Millisecond})
+				k.Hear(relay.Note{Origin: "vm", Topic: topic, Data: data, Age: time.Duration(minNoteDelay+step) * time.Millisecond})
 			}
 			pause.For(r.ctx, time.Millisecond)
 		}
@@ -136,26 +136,26 @@
 	return nil
 }
 
-// Replace is the store's compare-and-swap.
-func (r *rig) Replace(ctx context.Context, name string, value []byte, revision uint64, ttl time.Duration) (uint64, error) {
+// Replace implements the compare-and-swap of the store.
+func (r *harness) Replace(ctx context.Context, name string, value []byte, revision uint64, ttl time.Duration) (uint64, error) {
 	pause.For(ctx, 10*time.Millisecond)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.calls++
+	r.storeCalls++
 	if r.storeDown {
 		return 0, errStoreDown
 	}
-	held := r.records[name]
-	if !held.ends.IsZero() && !time.Now().Before(held.ends) {
-		held = record{}
+	stored := r.records[name]
+	if !stored.expires.IsZero() && !time.Now().Before(stored.expires) {
+		stored = record{}
 	}
-	if held.revision != revision {
+	if stored.revision != revision {
 		return 0, relay.ErrTaken
 	}
 	r.revision++
 	next := record{value: value, revision: r.revision, lease: r.revision}
 	if ttl > 0 {
-		next.ends = time.Now().Add(ttl)
+		next.expires = time.Now().Add(ttl)
 	}
 	r.records[name] = next
 	keepers := slices.Clone(r.keepers)
@@ -171,21 +171,21 @@
 	return next.lease, nil
 }
 
-// Release ends a lease with its record.
-func (r *rig) Release(ctx context.Context, lease uint64) error {
+// Release deletes the record of a lease.
+func (r *harness) Release(ctx context.Context, lease uint64) error {
 	pause.For(ctx, 10*time.Millisecond)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.calls++
+	r.storeCalls++
 	if r.storeDown {
 		return errStoreDown
 	}
-	maps.DeleteFunc(r.records, func(_ string, held record) bool { return held.lease == lease })
+	maps.DeleteFunc(r.records, func(_ string, stored record) bool { return stored.lease == lease })
 	return nil
 }
 
-// Probe asks an endpoint.
-func (r *rig) Probe(ctx context.Context, addr, _ string, _ time.Duration) (upstream.Report, error) {
+// Probe answers in place of an endpoint.
+func (r *harness) Probe(ctx context.Context, addr, _ string, _ time.Duration) (upstream.Report, error) {
 	pause.For(ctx, time.Millisecond)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -196,8 +196,8 @@
 	return upstream.Report{Instance: r.instances[addr]}, nil
 }
 
-// list puts an endpoint's entry into force.
-func (r *rig) list(id string, start int64) {
+// listEndpoint adds an endpoint to the directory, or replaces its entry.
+func (r *harness) listEndpoint(id string, start int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision++
@@ -206,69 +206,71 @@
 	}}}, time.Now())
 }
 
-// request returns one with a fingerprint of its own.
+// request returns a request with a fingerprint that depends on name.
 func request(name string) quarantine.Request {
 	return quarantine.Request{
 		ID: "r-" + name, Prints: crash.Subject{Path: name}.Prints(), Service: "s", Kind: "k", Patience: 100 * time.Millisecond,
 	}
 }
 
-// fail ends an endpoint.
-func (r *rig) fail(endpoint string) {
+// stopEndpoint makes an endpoint's address refuse connections.
+func (r *harness) stopEndpoint(endpoint string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down[endpoint] = true
 }
 
-// setStoreDown lets the store refuse all calls, or answer them again.
-func (r *rig) setStoreDown(down bool) {
+// setStoreDown makes the store refuse all calls, or answer them again.
+func (r *harness) setStoreDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.storeDown = down
 }
 
-// callsSoFar returns how many calls of the store were made.
-func (r *rig) callsSoFar() int {
+// countStoreCalls returns the number of calls of the store so far.
+func (r *harness) countStoreCalls() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.calls
+	return r.storeCalls
 }
 
-// ends lets a request end an endpoint at a keeper, and waits until all have heard.
-func (r *rig) ends(k *quarantine.Keeper, q quarantine.Request, endpoint string, pass quarantine.Pass) {
-	r.fail(endpoint)
+// crashEndpoint stops an endpoint, reports the broken attempt of the request to a Keeper, and waits
+// until all Keepers know.
+func (r *harness) crashEndpoint(k *quarantine.Keeper, q quarantine.Request, endpoint string, pass quarantine.Pass) {
+	r.stopEndpoint(endpoint)
 	<-k.Broke(quarantine.Attempt{Request: q, Endpoint: endpoint, Start: 1, Addr: endpoint, Trial: pass.Trial, Alone: true})
 	time.Sleep(50 * time.Millisecond)
 }
 
-// convict lets a request end endpoints at a keeper, on trial as well, until it is refused.
-func (r *rig) convict(t *testing.T, k *quarantine.Keeper, q quarantine.Request) {
+// crashUntilRefused reports crashes during a request to a Keeper, the last two on trial, after
+// which the request is refused.
+func (r *harness) crashUntilRefused(t *testing.T, k *quarantine.Keeper, q quarantine.Request) {
 	t.Helper()
 	for range 2 {
-		r.ends(k, q, r.another(), quarantine.Pass{})
+		r.crashEndpoint(k, q, r.newEndpointID(), quarantine.Pass{})
 	}
 	for range 2 {
-		r.endsOnTrial(t, k, q)
+		r.crashOnTrial(t, k, q)
 	}
 }
 
-// endsOnTrial has a keeper try a request, which ends an endpoint.
-func (r *rig) endsOnTrial(t *testing.T, k *quarantine.Keeper, q quarantine.Request) {
+// crashOnTrial admits a request on trial at a Keeper and has it crash an endpoint.
+func (r *harness) crashOnTrial(t *testing.T, k *quarantine.Keeper, q quarantine.Request) {
 	t.Helper()
 	pass, refused := k.Admit(r.ctx, q)
 	assert.Assert(t, refused == nil && pass.Trial)
-	r.ends(k, q, r.another(), pass)
+	r.crashEndpoint(k, q, r.newEndpointID(), pass)
 }
 
-// another returns the identity of an endpoint that there was not before.
-func (r *rig) another() string {
+// newEndpointID returns the ID of an endpoint that was not used before.
+func (r *harness) newEndpointID() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return fmt.Sprintf("another-%d", len(r.down))
 }
 
-// steps returns what each keeper says of a request.
-func (r *rig) steps(q quarantine.Request) (all []string) {
+// actions returns the action of each Keeper for a request.
+func (r *harness) actions(q quarantine.Request) (all []string) {
 	for _, k := range r.keepers {
 		step := "send"
 		for _, st := range k.List() {
@@ -281,43 +283,43 @@
 	return all
 }
 
-// TestWhoCrashesOnTrialIsRefused: two ends put a request on trial everywhere, one more on
-// trial has it refused everywhere, and by a keeper that starts later.
-func TestWhoCrashesOnTrialIsRefused(t *testing.T) {
+// TestRequestCrashingOnTrialIsRefused: after two crashes a request is on trial at all Keepers.
+// After two more on trial it is refused by all of them, and by one that starts later.
+func TestRequestCrashingOnTrialIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 3)
+		r := newHarness(t, 3)
 		q := request("a")
-		r.ends(r.keepers[0], q, "e0", quarantine.Pass{})
-		assert.DeepEqual(t, r.steps(q), []string{"send", "send", "send"})
-		r.ends(r.keepers[1], q, "e1", quarantine.Pass{})
-		assert.DeepEqual(t, r.steps(q), []string{"try", "try", "try"})
-		r.endsOnTrial(t, r.keepers[2], q)
-		assert.DeepEqual(t, r.steps(q), []string{"try", "try", "try"})
-		r.endsOnTrial(t, r.keepers[1], q)
-		assert.DeepEqual(t, r.steps(q), []string{"refuse", "refuse", "refuse"})
+		r.crashEndpoint(r.keepers[0], q, "e0", quarantine.Pass{})
+		assert.DeepEqual(t, r.actions(q), []string{"send", "send", "send"})
+		r.crashEndpoint(r.keepers[1], q, "e1", quarantine.Pass{})
+		assert.DeepEqual(t, r.actions(q), []string{"try", "try", "try"})
+		r.crashOnTrial(t, r.keepers[2], q)
+		assert.DeepEqual(t, r.actions(q), []string{"try", "try", "try"})
+		r.crashOnTrial(t, r.keepers[1], q)
+		assert.DeepEqual(t, r.actions(q), []string{"refuse", "refuse", "refuse"})
 		_, refused := r.keepers[0].Admit(r.ctx, q)
 		assert.Assert(t, refused != nil)
-		assert.Assert(t, refused.RetryAfter > 9*time.Minute, "it helps nobody to come back before")
+		assert.Assert(t, refused.RetryAfter > 9*time.Minute, "RetryAfter is shorter than the refusal")
 		assert.Assert(t, len(refused.Evidence) > 0)
 		time.Sleep(time.Second)
 		late := r.start()
 		_, refused = late.Admit(r.ctx, q)
-		assert.Assert(t, refused != nil, "the store's record tells it")
+		assert.Assert(t, refused != nil, "the record in the store was not read")
 		other := request("b")
 		pass, refused := late.Admit(r.ctx, other)
 		assert.Assert(t, refused == nil)
-		assert.DeepEqual(t, pass, quarantine.Pass{}) // another request is none of this
+		assert.DeepEqual(t, pass, quarantine.Pass{}) // another request is not affected
 	})
 }
 
-// TestOneTriesAtATime: the others wait for the end of the trial, and are served when the
-// request has run.
-func TestOneTriesAtATime(t *testing.T) {
+// TestOneTrialAtATime: while one Keeper has a request on trial, the others wait, and send it once
+// it has completed.
+func TestOneTrialAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 30)
+		r := newHarness(t, 30)
 		q := request("a")
-		r.ends(r.keepers[0], q, "e0", quarantine.Pass{})
-		r.ends(r.keepers[0], q, "e1", quarantine.Pass{})
+		r.crashEndpoint(r.keepers[0], q, "e0", quarantine.Pass{})
+		r.crashEndpoint(r.keepers[0], q, "e1", quarantine.Pass{})
 		var trials, refusals, served atomic.Int64
 		for _, k := range r.keepers {
 			go func() {
@@ -327,7 +329,7 @@
 					refusals.Add(1)
 				case pass.Trial:
 					trials.Add(1)
-					time.Sleep(40 * time.Millisecond) // an endpoint runs it
+					time.Sleep(40 * time.Millisecond) // an endpoint processes it
 					k.Ran(q)
 				default:
 					served.Add(1)
@@ -342,40 +344,42 @@
 	})
 }
 
-// TestEndpointThatWantsNoRequestsIsNotProbed: what became of it its entry tells.
-func TestEndpointThatWantsNoRequestsIsNotProbed(t *testing.T) {
+// TestEndpointInBackoffIsNotProbed: an endpoint that has asked for no requests is not probed. Its
+// directory entry shows whether it crashed.
+func TestEndpointInBackoffIsNotProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 1)
-		r.unwilling = "e0"
-		r.ends(r.keepers[0], request("a"), "e0", quarantine.Pass{})
+		r := newHarness(t, 1)
+		r.backingOff = "e0"
+		r.crashEndpoint(r.keepers[0], request("a"), "e0", quarantine.Pass{})
 		assert.Equal(t, r.probes, 0)
-		r.ends(r.keepers[0], request("a"), "e1", quarantine.Pass{})
+		r.crashEndpoint(r.keepers[0], request("a"), "e1", quarantine.Pass{})
 		assert.Assert(t, r.probes > 0)
-		time.Sleep(10 * time.Second) // the first one is watched
+		time.Sleep(10 * time.Second) // until the watch of e0 ends
 	})
 }
 
-// TestTrialNamesWhatHasEnded, so that the request is not sent to what the store still lists.
-func TestTrialNamesWhatHasEnded(t *testing.T) {
+// TestTrialListsCrashedIncarnations: a pass for a trial names the crashed incarnations, so that the
+// request is not sent to one that the store still lists.
+func TestTrialListsCrashedIncarnations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 2)
+		r := newHarness(t, 2)
 		q := request("a")
-		r.ends(r.keepers[0], q, "e0", quarantine.Pass{})
-		r.ends(r.keepers[0], q, "e1", quarantine.Pass{})
+		r.crashEndpoint(r.keepers[0], q, "e0", quarantine.Pass{})
+		r.crashEndpoint(r.keepers[0], q, "e1", quarantine.Pass{})
 		pass, refused := r.keepers[1].Admit(r.ctx, q)
 		assert.Assert(t, refused == nil && pass.Trial)
 		assert.DeepEqual(t, pass.Ended, []placement.Incarnation{{VM: "e0", Start: 1}, {VM: "e1", Start: 1}})
 	})
 }
 
-// TestTrialThatShowsNothing: others that run out of patience are refused, not sent, and one
-// may try again after a while.
-func TestTrialThatShowsNothing(t *testing.T) {
+// TestTrialWithoutResultExpires: during a trial whose end nobody reports, requests at other Keepers
+// are refused when their patience ends. Another trial is possible after a while.
+func TestTrialWithoutResultExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 2)
+		r := newHarness(t, 2)
 		q := request("a")
-		r.ends(r.keepers[0], q, "e0", quarantine.Pass{})
-		r.ends(r.keepers[0], q, "e1", quarantine.Pass{})
+		r.crashEndpoint(r.keepers[0], q, "e0", quarantine.Pass{})
+		r.crashEndpoint(r.keepers[0], q, "e1", quarantine.Pass{})
 		pass, _ := r.keepers[0].Admit(r.ctx, q)
 		assert.Assert(t, pass.Trial)
 		began := time.Now()
@@ -389,22 +393,22 @@
 	})
 }
 
-// TestWithoutTheStore: notes alone tell everybody. Where the store cannot say whether another
-// balancer tries a request, each has one trial at a time of its own: nobody is refused because
-// the store is down, and what they see together has a request refused that crashes.
-func TestWithoutTheStore(t *testing.T) {
+// TestStoreUnavailable: while the store is down, notes alone reach all Keepers, and each of them
+// has one trial at a time of its own. No request is refused because the store is down, and one that
+// crashes endpoints is refused.
+func TestStoreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 3)
+		r := newHarness(t, 3)
 		r.setStoreDown(true)
 		q := request("a")
-		r.ends(r.keepers[0], q, "e0", quarantine.Pass{})
-		r.ends(r.keepers[1], q, "e1", quarantine.Pass{})
+		r.crashEndpoint(r.keepers[0], q, "e0", quarantine.Pass{})
+		r.crashEndpoint(r.keepers[1], q, "e1", quarantine.Pass{})
 		pass, refused := r.keepers[2].Admit(r.ctx, q)
 		assert.Assert(t, refused == nil && pass.Trial)
 		_, refused = r.keepers[2].Admit(r.ctx, q)
-		assert.Assert(t, refused != nil, "two at a time at one balancer")
-		r.ends(r.keepers[2], q, "e2", pass)
-		r.endsOnTrial(t, r.keepers[1], q)
+		assert.Assert(t, refused != nil, "one balancer has two trials at a time")
+		r.crashEndpoint(r.keepers[2], q, "e2", pass)
+		r.crashOnTrial(t, r.keepers[1], q)
 		for _, k := range r.keepers {
 			_, refused = k.Admit(r.ctx, q)
 			assert.Assert(t, refused != nil)
@@ -412,108 +416,109 @@
 	})
 }
 
-// TestTrialThatIsOver: when a trial has shown nothing, another one begins at once.
-func TestTrialThatIsOver(t *testing.T) {
+// TestTrialAfterTrialWithoutResult: when a trial ends without a result, another one begins at once.
+func TestTrialAfterTrialWithoutResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 2)
+		r := newHarness(t, 2)
 		q := request("a")
-		r.ends(r.keepers[0], q, "e0", quarantine.Pass{})
-		r.ends(r.keepers[0], q, "e1", quarantine.Pass{})
+		r.crashEndpoint(r.keepers[0], q, "e0", quarantine.Pass{})
+		r.crashEndpoint(r.keepers[0], q, "e1", quarantine.Pass{})
 		pass, _ := r.keepers[0].Admit(r.ctx, q)
 		assert.Assert(t, pass.Trial)
 		go func() {
-			time.Sleep(40 * time.Millisecond) // no endpoint could be found for it
+			time.Sleep(40 * time.Millisecond) // no endpoint was available
 			r.keepers[0].Over(q)
 		}()
 		pass, refused := r.keepers[1].Admit(r.ctx, q)
 		assert.Assert(t, refused == nil && pass.Trial)
-		r.keepers[0].Over(q) // of a trial that it has no more
+		r.keepers[0].Over(q) // a trial that has already ended
 		_, refused = r.keepers[0].Admit(r.ctx, q)
-		assert.Assert(t, refused != nil, "the other one still tries it")
+		assert.Assert(t, refused != nil, "the trial of the other Keeper has ended")
 	})
 }
 
-// TestRefusalIsRecordedWhenTheStoreReturns, by the one that found it or, where that one has
-// gone, by another.
+// TestRefusalIsRecordedWhenTheStoreReturns: a refusal is recorded once the store is available
+// again, whether or not the Keeper that observed the crashes does the shared work of its zone.
 func TestRefusalIsRecordedWhenTheStoreReturns(t *testing.T) {
 	for _, foundBy := range []int{0, 1} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newRig(t, 2)
+			r := newHarness(t, 2)
 			q := request("a")
-			r.ends(r.keepers[0], q, "e0", quarantine.Pass{})
-			r.ends(r.keepers[0], q, "e1", quarantine.Pass{})
-			r.endsOnTrial(t, r.keepers[foundBy], q)
+			r.crashEndpoint(r.keepers[0], q, "e0", quarantine.Pass{})
+			r.crashEndpoint(r.keepers[0], q, "e1", quarantine.Pass{})
+			r.crashOnTrial(t, r.keepers[foundBy], q)
 			pass, _ := r.keepers[foundBy].Admit(r.ctx, q)
 			r.setStoreDown(true)
-			r.ends(r.keepers[foundBy], q, "e2", pass)
+			r.crashEndpoint(r.keepers[foundBy], q, "e2", pass)
 			time.Sleep(20 * time.Second)
 			r.setStoreDown(false)
 			time.Sleep(20 * time.Second)
-			calls := r.callsSoFar()
-			assert.DeepEqual(t, recorded(r, q).State, "refused")
-			assert.Equal(t, len(recorded(r, q).Ends), 4)
+			calls := r.countStoreCalls()
+			assert.DeepEqual(t, storedRecord(r, q).State, "refused")
+			assert.Equal(t, len(storedRecord(r, q).Crashes), 4)
 			time.Sleep(time.Minute)
-			assert.Equal(t, r.callsSoFar(), calls, "nobody writes it again")
+			assert.Equal(t, r.countStoreCalls(), calls, "the record was written again")
 		})
 	}
 }
 
-// recorded returns the store's record of a request.
-func recorded(r *rig, q quarantine.Request) (said quarantine.Record) {
+// storedRecord returns the store's record of a request.
+func storedRecord(r *harness, q quarantine.Request) (rec quarantine.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if held, ok := r.records["quarantine/"+string(q.Prints.Exact)]; ok {
-		if err := json.Unmarshal(held.value, &said); err != nil {
+	if stored, ok := r.records["quarantine/"+string(q.Prints.Exact)]; ok {
+		if err := json.Unmarshal(stored.value, &rec); err != nil {
 			panic(err)
 		}
 	}
-	return said
+	return rec
 }
 
-// TestEndpointThatLivesIsNoEnd: connections are reset, responses cut and lost while endpoints
-// live. Only an endpoint that is gone counts, whoever tells it.
-func TestEndpointThatLivesIsNoEnd(t *testing.T) {
+// TestOnlyCrashedEndpointsCount: a broken attempt counts as a crash only if the endpoint is gone.
+// Connections are also reset, and responses cut or lost, while endpoints are running.
+func TestOnlyCrashedEndpointsCount(t *testing.T) {
 	for name, c := range map[string]struct {
-		happens func(r *rig)
-		counts  bool
+		change  func(r *harness)
+		crashed bool
 	}{
-		"nothing":         {func(*rig) {}, false},
-		"it starts again": {func(r *rig) { r.list("e0", 2) }, true},
-		"its entry goes": {func(r *rig) {
+		"nothing":         {func(*harness) {}, false},
+		"it starts again": {func(r *harness) { r.listEndpoint("e0", 2) }, true},
+		"its entry goes": {func(r *harness) {
 			r.directory.Apply(directory.Changes{Gone: []directory.Gone{{ID: "e0", Revision: 99}}}, time.Now())
 		}, true},
-		"it leaves":                     {func(r *rig) { r.directory.MarkLeaving("e0", 1, time.Now()) }, false},
-		"another one is at its address": {func(r *rig) { r.instances["e0"] = "other" }, true},
-		"its address is silent":         {func(r *rig) { delete(r.instances, "e0") }, false},
+		"it leaves":                     {func(r *harness) { r.directory.MarkLeaving("e0", 1, time.Now()) }, false},
+		"another one is at its address": {func(r *harness) { r.instances["e0"] = "other" }, true},
+		"its address is silent":         {func(r *harness) { delete(r.instances, "e0") }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(t, 1)
-				r.list("e0", 1)
+				r := newHarness(t, 1)
+				r.listEndpoint("e0", 1)
 				r.instances["e0"] = "e0"
 				if name == "another one is at its address" {
-					c.happens(r)
+					c.change(r)
 				}
 				q := request("a")
 				<-r.keepers[0].Broke(quarantine.Attempt{Request: q, Endpoint: "e0", Start: 1, Addr: "e0"})
 				time.Sleep(time.Second)
-				c.happens(r)
+				c.change(r)
 				time.Sleep(10 * time.Second)
-				assert.Equal(t, len(r.keepers[0].List()) == 1, c.counts)
+				assert.Equal(t, len(r.keepers[0].List()) == 1, c.crashed)
 			})
 		})
 	}
 }
 
-// TestRackThatFailsUnderAPopularPath: half of a service ends at once while all of it works on
-// the same request. Nobody is refused, and one trial is all that it costs.
-func TestRackThatFailsUnderAPopularPath(t *testing.T) {
+// TestRackFailureDoesNotRefusePopularRequest: the endpoints of a rack, half of a service, fail at
+// once while the whole service is processing the same request. No request is refused, and at most
+// one is sent on trial.
+func TestRackFailureDoesNotRefusePopularRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 30)
+		r := newHarness(t, 30)
 		q := request("popular")
 		for i, k := range r.keepers {
 			endpoint := fmt.Sprintf("e%d", i)
-			r.fail(endpoint)
+			r.stopEndpoint(endpoint)
 			k.Broke(quarantine.Attempt{Request: q, Endpoint: endpoint, Start: 1, Addr: endpoint})
 		}
 		var refusals, trials atomic.Int64
@@ -528,7 +533,7 @@
 					if pass.Trial {
 						trials.Add(1)
 					}
-					time.Sleep(20 * time.Millisecond) // an endpoint runs it
+					time.Sleep(20 * time.Millisecond) // an endpoint processes it
 					k.Ran(q)
 				}()
 			}
@@ -540,60 +545,61 @@
 	})
 }
 
-// TestOperators release and order, at any balancer, for all of them and those that start
-// later.
-func TestOperators(t *testing.T) {
+// TestOperatorReleaseAndRefusal: an operator's release or refusal at one balancer holds at all of
+// them, and at those that start later.
+func TestOperatorReleaseAndRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 3)
+		r := newHarness(t, 3)
 		q := request("a")
-		r.convict(t, r.keepers[0], q)
+		r.crashUntilRefused(t, r.keepers[0], q)
 		time.Sleep(2 * time.Second)
 		assert.NilError(t, r.keepers[1].Release(r.ctx, q.Prints.Exact))
 		time.Sleep(2 * time.Second)
-		assert.DeepEqual(t, r.steps(q), []string{"try", "try", "try"})
+		assert.DeepEqual(t, r.actions(q), []string{"try", "try", "try"})
 		time.Sleep(2 * time.Second)
-		r.endsOnTrial(t, r.keepers[2], q)
-		r.endsOnTrial(t, r.keepers[1], q)
-		assert.DeepEqual(t, r.steps(q), []string{"refuse", "refuse", "refuse"})
+		r.crashOnTrial(t, r.keepers[2], q)
+		r.crashOnTrial(t, r.keepers[1], q)
+		assert.DeepEqual(t, r.actions(q), []string{"refuse", "refuse", "refuse"})
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, recorded(r, q).State, "refused")
+		assert.Equal(t, storedRecord(r, q).State, "refused")
 
 		ordered := request("b")
 		assert.NilError(t, r.keepers[1].Order(r.ctx, ordered.Prints.Exact))
 		time.Sleep(2 * time.Hour)
-		assert.DeepEqual(t, r.steps(ordered), []string{"refuse", "refuse", "refuse"})
+		assert.DeepEqual(t, r.actions(ordered), []string{"refuse", "refuse", "refuse"})
 		_, refused := r.start().Admit(r.ctx, ordered)
 		assert.Assert(t, refused != nil)
 		assert.NilError(t, r.keepers[3].Release(r.ctx, ordered.Prints.Exact))
 		time.Sleep(2 * time.Second)
-		assert.DeepEqual(t, r.steps(ordered), []string{"send", "send", "send", "send"})
+		assert.DeepEqual(t, r.actions(ordered), []string{"send", "send", "send", "send"})
 		assert.ErrorIs(t, r.keepers[0].Release(r.ctx, request("c").Prints.Exact), quarantine.ErrUnknown)
 		assert.ErrorIs(t, r.keepers[0].Order(r.ctx, "abc"), quarantine.ErrInvalid)
 	})
 }
 
-// TestRefusalEndsByItself: after a while one trial decides again, and later nothing is known.
-func TestRefusalEndsByItself(t *testing.T) {
+// TestRefusalExpires: after the refusal period a request is on trial again. Some time after it has
+// completed, its history is dropped.
+func TestRefusalExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 2)
+		r := newHarness(t, 2)
 		q := request("a")
-		r.convict(t, r.keepers[0], q)
-		time.Sleep(crash.HoldFor + time.Second)
-		assert.DeepEqual(t, r.steps(q), []string{"try", "try"})
+		r.crashUntilRefused(t, r.keepers[0], q)
+		time.Sleep(crash.RefusalPeriod + time.Second)
+		assert.DeepEqual(t, r.actions(q), []string{"try", "try"})
 		pass, _ := r.keepers[1].Admit(r.ctx, q)
 		assert.Assert(t, pass.Trial)
 		r.keepers[1].Ran(q)
 		time.Sleep(time.Second)
-		assert.DeepEqual(t, r.steps(q), []string{"send", "send"})
-		time.Sleep(crash.HoldFor + time.Minute)
+		assert.DeepEqual(t, r.actions(q), []string{"send", "send"})
+		time.Sleep(crash.RefusalPeriod + time.Minute)
 		assert.Assert(t, r.keepers[0].Quiet() && r.keepers[1].Quiet())
 	})
 }
 
-// TestDamagedWordsChangeNothing: records and notes of other writers.
-func TestDamagedWordsChangeNothing(t *testing.T) {
+// TestInvalidRecordsAndNotesAreIgnored: invalid records and notes change nothing.
+func TestInvalidRecordsAndNotesAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 1)
+		r := newHarness(t, 1)
 		q := request("a")
 		name := "quarantine/" + string(q.Prints.Exact)
 		for _, value := range []string{"", "null", "{}", "[]", "\xff", `{"state":"unheard-of"}`, `{"state":1}`, `{"state":"refused","ends":17}`} {
@@ -609,13 +615,13 @@
 	})
 }
 
-// TestStoreThatLosesItsKeysReleasesNobody: a record that ends early is no word of anybody,
-// and is written again.
-func TestStoreThatLosesItsKeysReleasesNobody(t *testing.T) {
+// TestLostRecordReleasesNothing: a record that the store loses early does not end the refusal, and
+// is written again.
+func TestLostRecordReleasesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 2)
+		r := newHarness(t, 2)
 		q := request("a")
-		r.convict(t, r.keepers[0], q)
+		r.crashUntilRefused(t, r.keepers[0], q)
 		time.Sleep(10 * time.Second)
 		name := "quarantine/" + string(q.Prints.Exact)
 		r.mu.Lock()
@@ -626,27 +632,27 @@
 		for _, k := range r.keepers {
 			k.Observe(gone)
 		}
-		assert.DeepEqual(t, r.steps(q), []string{"refuse", "refuse"})
+		assert.DeepEqual(t, r.actions(q), []string{"refuse", "refuse"})
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, recorded(r, q).State, "refused")
+		assert.Equal(t, storedRecord(r, q).State, "refused")
 	})
 }
 
-// TestKeeperIsBounded: made-up requests push out neither each other's memory bound nor the
-// refusals, and those of one service leave room for others.
-func TestKeeperIsBounded(t *testing.T) {
+// TestEntriesAreBounded: many made-up requests of a service neither exceed its bound of entries nor
+// evict a refusal.
+func TestEntriesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, 1)
+		r := newHarness(t, 1)
 		k := r.keepers[0]
-		guilty := request("guilty")
-		r.convict(t, k, guilty)
+		crashing := request("guilty")
+		r.crashUntilRefused(t, k, crashing)
 		for i := range 1500 {
 			p := crash.Subject{Path: fmt.Sprint(i)}.Prints()
 			note := fmt.Sprintf(`{"what":"ended","exact":%q,"wide":%q,"service":"s","kind":"k","end":{"endpoint":"e","seen_by":"vm"}}`, p.Exact, p.Wide)
 			k.Hear(relay.Note{Topic: quarantine.Topic, Data: []byte(note)})
 		}
 		assert.Assert(t, len(k.List()) <= 1024, "%d", len(k.List()))
-		_, refused := k.Admit(r.ctx, guilty)
+		_, refused := k.Admit(r.ctx, crashing)
 		assert.Assert(t, refused != nil)
 	})
 }
--- a/quarantine/records.go
+++ b/quarantine/records.go
@@ -15,261 +15,266 @@
 	"github.com/lotuswing/lotuswing/relay"
 )
 
-// recordPrefix begins the names of the store's records of requests; the fingerprint follows.
-const recordPrefix = "quarantine/"
+// recordKeyPrefix precedes the fingerprint in the store keys of records.
+const recordKeyPrefix = "quarantine/"
 
-// States of a record.
+// States of a Record.
 const (
-	stateRefused  = "refused"  // it ended endpoints, on trial as well
-	stateReleased = "released" // an operator released it: it is on trial again
-	stateOrdered  = "ordered"  // an operator ordered that it is refused
+	stateRefused        = "refused"  // the request crashed endpoints on trial
+	stateReleased       = "released" // an operator released the request, or it completed: it may be sent on trial
+	stateRefusalOrdered = "ordered"  // an operator ordered that the request is refused
 )
 
-// Record is what the store holds of a request, as JSON. It ends by itself.
+// Record is the JSON form in which the store holds the state of one request. It expires with its
+// lease.
 type Record struct {
-	State   string `json:"state"`
-	Service string `json:"service,omitempty"`
-	Kind    string `json:"kind,omitempty"`
-	Wide    bool   `json:"any_query,omitempty"` // of requests that differ in their query
-	Ends    []told `json:"ends,omitempty"`
-	By      string `json:"by"` // the balancer that wrote it
+	State    string      `json:"state"`
+	Service  string      `json:"service,omitempty"`
+	Kind     string      `json:"kind,omitempty"`
+	AnyQuery bool        `json:"any_query,omitempty"` // covers all requests that differ only in their query
+	Crashes  []crashData `json:"ends,omitempty"`
+	By       string      `json:"by"` // ID of the balancer that wrote it
 }
 
 const (
-	// writeWithin bounds one try to write a record, and writePause is the pause after one that
-	// failed, doubled up to writeMost.
-	writeWithin = 2 * time.Second
-	writePause  = 250 * time.Millisecond
-	writeMost   = 5 * time.Second
-	// leastHold is the least time for which the store keeps a record.
-	leastHold = time.Second
+	// writeTimeout bounds one attempt to write a record. minWriteBackoff is the pause after the
+	// first failed attempt; it doubles with each further one, up to maxWriteBackoff.
+	writeTimeout    = 2 * time.Second
+	minWriteBackoff = 250 * time.Millisecond
+	maxWriteBackoff = 5 * time.Second
+	// minRecordTTL is the shortest time for which the store keeps a record.
+	minRecordTTL = time.Second
 )
 
-// Observe takes changes of the store's records. What cannot be read changes nothing; that a
-// record ends does not either: each keeper counts for itself how long a refusal holds, and
-// a store that loses its keys ends none.
+// Observe applies changes of the store's records. Invalid records are logged and ignored. The end
+// of a record does not end a refusal: each Keeper measures by itself how long it holds, so that a
+// store that loses its keys releases nothing.
 func (k *Keeper) Observe(c directory.Changes) {
 	for _, r := range c.Registrations {
-		name, ok := strings.CutPrefix(r.Key, recordPrefix)
+		name, ok := strings.CutPrefix(r.Key, recordKeyPrefix)
 		if !ok {
 			continue
 		}
 		f := crash.Fingerprint(name)
 		if !f.Valid() {
-			k.cfg.Log.Warn("record not read", "key", r.Key, "error", "no fingerprint")
+			k.cfg.Log.Warn("record not read", "key", r.Key, "error", "the key has no valid fingerprint")
 			continue
 		}
 		if r.Gone {
-			k.recordGone(f, r.Revision)
+			k.clearRecord(f, r.Revision)
 			continue
 		}
-		if err := k.readRecord(f, r); err != nil {
+		if err := k.applyRecord(f, r); err != nil {
 			k.cfg.Log.Warn("record not read", "key", r.Key, "error", err)
 		}
 	}
 	if c.Whole {
-		k.recordsAbsent(c)
+		k.clearUnlistedRecords(c)
 	}
 }
 
-// readRecord takes a record that is newer than the one known.
-func (k *Keeper) readRecord(f crash.Fingerprint, r directory.Record) error {
-	var said Record
-	if err := json.Unmarshal(r.Value, &said); err != nil {
+// applyRecord applies a record if it is newer than the last one read.
+func (k *Keeper) applyRecord(f crash.Fingerprint, r directory.Record) error {
+	var rec Record
+	if err := json.Unmarshal(r.Value, &rec); err != nil {
 		return fmt.Errorf("quarantine: record: %w", err)
 	}
-	if said.State != stateRefused && said.State != stateReleased && said.State != stateOrdered {
-		return fmt.Errorf("quarantine: record: state %q", said.State)
+	if rec.State != stateRefused && rec.State != stateReleased && rec.State != stateRefusalOrdered {
+		return fmt.Errorf("quarantine: record: state %q", rec.State)
 	}
 	now := k.opts.Now()
-	begin := crash.Case{}
-	if said.Wide {
-		begin = crash.NewWide()
+	initial := crash.History{}
+	if rec.AnyQuery {
+		initial = crash.NewAnyQueryHistory()
 	}
-	k.change(f, begin, now, func(known *entry) {
-		if r.Revision <= known.seen {
+	k.update(f, initial, now, func(ent *entry) {
+		if r.Revision <= ent.appliedRevision {
 			return
 		}
-		known.revision, known.seen, known.recorded = r.Revision, r.Revision, said.State
-		if known.service == "" {
-			known.service, known.kind = said.Service, said.Kind
+		ent.recordRevision, ent.appliedRevision, ent.recordState = r.Revision, r.Revision, rec.State
+		if ent.service == "" {
+			ent.service, ent.kind = rec.Service, rec.Kind
 		}
-		known.is = withRecord(known.is, said, now)
+		ent.history = historyWithRecord(ent.history, rec, now)
 	})
 	return nil
 }
 
-// withRecord returns a case after a record was read that was written a moment ago, or long
-// ago where it is the first one that a process reads. One that knows of a run keeps to that:
-// whether the record is older is not told.
-func withRecord(is crash.Case, said Record, now time.Time) crash.Case {
-	switch said.State {
+// historyWithRecord returns the history after a record was read at now. The record does not say
+// when it was written: a moment ago as a rule, or long ago if a process reads it at its start. A
+// record of a refusal is therefore ignored if the history has a completion, which may be later.
+func historyWithRecord(history crash.History, rec Record, now time.Time) crash.History {
+	switch rec.State {
 	case stateReleased:
-		return is.WithRelease(now)
-	case stateOrdered:
-		return is.WithOrder(now)
+		return history.WithRelease(now)
+	case stateRefusalOrdered:
+		return history.WithRefusalOrder(now)
 	}
-	if is.HasRun() {
-		return is
+	if history.HasCompleted() {
+		return history
 	}
-	known := is.Ends()
-	for _, told := range said.Ends {
-		e := told.end(now)
-		if !slices.ContainsFunc(known, e.Same) { // when it was is known better than the record tells
-			is = is.WithEnd(e)
+	crashes := history.Crashes()
+	for _, data := range rec.Crashes {
+		e := data.event(now)
+		if !slices.ContainsFunc(crashes, e.SameIncarnation) { // the record has no times, so that known events are more precise
+			history = history.WithCrash(e)
 		}
 	}
-	return is
+	return history
 }
 
-// recordGone notes that the record of a request ended.
-func (k *Keeper) recordGone(f crash.Fingerprint, revision uint64) {
-	k.changeIf(f, k.opts.Now(), func(known *entry) {
-		if revision > known.revision {
-			known.revision = 0
+// clearRecord clears recordRevision after the store's record of a request has ended.
+func (k *Keeper) clearRecord(f crash.Fingerprint, revision uint64) {
+	k.updateExisting(f, k.opts.Now(), func(ent *entry) {
+		if revision > ent.recordRevision {
+			ent.recordRevision = 0
 		}
 	})
 }
 
-// recordsAbsent notes the end of records that a whole reading does not name.
-func (k *Keeper) recordsAbsent(c directory.Changes) {
-	named := map[crash.Fingerprint]bool{}
+// clearUnlistedRecords clears recordRevision of the entries whose record is not in a complete
+// reading of the store.
+func (k *Keeper) clearUnlistedRecords(c directory.Changes) {
+	listed := map[crash.Fingerprint]bool{}
 	for _, r := range c.Registrations {
-		if name, ok := strings.CutPrefix(r.Key, recordPrefix); ok && !r.Gone {
-			named[crash.Fingerprint(name)] = true
+		if name, ok := strings.CutPrefix(r.Key, recordKeyPrefix); ok && !r.Gone {
+			listed[crash.Fingerprint(name)] = true
 		}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for f, known := range k.entries {
-		if !named[f] && known.revision <= c.At {
-			known.revision = 0
+	for f, ent := range k.entries {
+		if !listed[f] && ent.recordRevision <= c.At {
+			ent.recordRevision = 0
 		}
 	}
 }
 
-// recordMissing writes the refusals that do not stand in the store, though time enough has
-// passed for who found them to write them. One balancer of a zone does this, and only where
-// it knows of the ends otherwise: records that were made of records would hold for ever.
-func (k *Keeper) recordMissing(now time.Time) {
+// writeMissingRefusals writes the refusals that are still missing from the store after the balancer
+// that decided them has had time to write them. One balancer of a zone does this, and only for
+// crashes that it knows from other sources than records: records written because of records would
+// be renewed for ever.
+func (k *Keeper) writeMissingRefusals(now time.Time) {
 	if k.cfg.Serving != nil && !k.cfg.Serving() {
 		return
 	}
 	k.mu.Lock()
 	var missing []crash.Fingerprint
-	for f, known := range k.entries {
-		if known.told && !known.since.IsZero() && now.Sub(known.since) > k.opts.RecordAfter && !known.stands() {
+	for f, ent := range k.entries {
+		if ent.crashReported && !ent.refusedSince.IsZero() && now.Sub(ent.refusedSince) > k.opts.RecordAfter && !ent.hasRecordedRefusal() {
 			missing = append(missing, f)
 		}
 	}
 	k.mu.Unlock()
 	for _, f := range missing {
-		k.record(f)
+		k.startRefusalWrite(f)
 	}
 }
 
-// record writes the refusal of a request to the store, if it is refused and does not stand
-// there, in the background.
-func (k *Keeper) record(f crash.Fingerprint) {
+// startRefusalWrite starts writing the refusal of a request to the store in the background, if the
+// request is refused and no write is in progress.
+func (k *Keeper) startRefusalWrite(f crash.Fingerprint) {
 	now := k.opts.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	known := k.entries[f]
-	if known == nil || known.writing || known.is.Decide(now).Do != crash.Refuse {
+	ent := k.entries[f]
+	if ent == nil || ent.writingRecord || ent.history.Decide(now).Action != crash.Refuse {
 		return
 	}
-	known.writing = true
-	go k.write(k.live, f)
+	ent.writingRecord = true
+	go k.writeRefusal(k.runCtx, f)
 }
 
-// write writes a refusal until it stands in the store or holds no more.
-func (k *Keeper) write(ctx context.Context, f crash.Fingerprint) {
-	for wait := writePause; ctx.Err() == nil; wait = min(2*wait, writeMost) {
-		said, revision, holds, ok := k.refused(f)
+// writeRefusal tries to write a refusal to the store until it is recorded there or no longer holds.
+func (k *Keeper) writeRefusal(ctx context.Context, f crash.Fingerprint) {
+	for wait := minWriteBackoff; ctx.Err() == nil; wait = min(2*wait, maxWriteBackoff) {
+		rec, revision, holds, ok := k.refusalRecord(f)
 		if !ok {
 			return
 		}
-		err := k.put(ctx, f, said, revision, holds)
+		err := k.replaceRecord(ctx, f, rec, revision, holds)
 		if err == nil || errors.Is(err, relay.ErrTaken) {
-			k.cfg.Log.Info("refusal recorded", "fingerprint", string(f), "service", said.Service, "taken", err != nil)
+			k.cfg.Log.Info("refusal recorded", "fingerprint", string(f), "service", rec.Service, "taken", err != nil)
 			break
 		}
-		k.cfg.Log.Warn("refusal not recorded", "fingerprint", string(f), "error", err)
+		k.cfg.Log.Warn("could not record a refusal", "fingerprint", string(f), "error", err)
 		pause.For(ctx, wait)
 	}
-	// The changes of the store tell what stands there. Until then nobody writes it again.
+	// Wait until the record arrives as a change of the store, so that it is not written again before.
 	pause.For(ctx, k.opts.RecordAfter)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if known := k.entries[f]; known != nil {
-		known.writing = false
+	if ent := k.entries[f]; ent != nil {
+		ent.writingRecord = false
 	}
 }
 
-// refused returns the record of a refusal, the revision of the one that it replaces and how
-// long it still holds, and false where the request is not refused or its refusal stands in
-// the store: then nobody writes it any more.
-func (k *Keeper) refused(f crash.Fingerprint) (Record, uint64, time.Duration, bool) {
+// refusalRecord returns the record of a refusal, the revision of the record that it replaces, and
+// how long the refusal still holds. If the request is not refused, or the store has its refusal, it
+// ends the writing and returns false.
+func (k *Keeper) refusalRecord(f crash.Fingerprint) (Record, uint64, time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	known := k.entries[f]
-	if known == nil {
+	ent := k.entries[f]
+	if ent == nil {
 		return Record{}, 0, 0, false
 	}
 	now := k.opts.Now()
-	d := known.is.Decide(now)
-	if d.Do != crash.Refuse || known.stands() {
-		known.writing = false
+	d := ent.history.Decide(now)
+	if d.Action != crash.Refuse || ent.hasRecordedRefusal() {
+		ent.writingRecord = false
 		return Record{}, 0, 0, false
 	}
-	return known.record(k.cfg.ID), known.revision, d.Until.Sub(now), true
+	return ent.newRecord(k.cfg.ID), ent.recordRevision, d.Until.Sub(now), true
 }
 
-// stands reports whether the store holds the refusal of the request.
-func (known *entry) stands() bool { return known.revision != 0 && known.recorded != stateReleased }
+// hasRecordedRefusal reports whether the store holds a refusal of the request.
+func (ent *entry) hasRecordedRefusal() bool {
+	return ent.recordRevision != 0 && ent.recordState != stateReleased
+}
 
-// record returns the record of a request that is refused.
-func (known *entry) record(by string) Record {
-	said := Record{State: stateRefused, Service: known.service, Kind: known.kind, Wide: known.is.Wide(), By: by}
-	if known.is.Ordered() {
-		said.State = stateOrdered
+// newRecord returns the record of a refused request, written by the balancer with the given ID.
+func (ent *entry) newRecord(by string) Record {
+	rec := Record{State: stateRefused, Service: ent.service, Kind: ent.kind, AnyQuery: ent.history.AnyQuery(), By: by}
+	if ent.history.RefusalOrdered() {
+		rec.State = stateRefusalOrdered
 	}
-	for _, e := range known.is.Ends() {
-		said.Ends = append(said.Ends, toldEnd(e))
+	for _, e := range ent.history.Crashes() {
+		rec.Crashes = append(rec.Crashes, newCrashData(e))
 	}
-	return said
+	return rec
 }
 
-// put writes a record in the place of one with a revision, for as long as it holds. That of
-// an order does not end.
-func (k *Keeper) put(ctx context.Context, f crash.Fingerprint, said Record, revision uint64, holds time.Duration) error {
-	value, err := json.Marshal(said)
+// replaceRecord writes a record in place of the one with the given revision. It expires after the
+// given time, or never if an operator ordered the refusal.
+func (k *Keeper) replaceRecord(ctx context.Context, f crash.Fingerprint, rec Record, revision uint64, holds time.Duration) error {
+	value, err := json.Marshal(rec)
 	if err != nil {
 		return fmt.Errorf("quarantine: record: %w", err)
 	}
-	ttl := max(holds, leastHold)
-	if said.State == stateOrdered {
+	ttl := max(holds, minRecordTTL)
+	if rec.State == stateRefusalOrdered {
 		ttl = 0
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeWithin)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	_, err = k.cfg.Registry.Replace(ctx, recordPrefix+string(f), value, revision, ttl)
+	_, err = k.cfg.Registry.Replace(ctx, recordKeyPrefix+string(f), value, revision, ttl)
 	return err
 }
 
-// withdraw takes the refusal of a request that ran out of the store, if one stands there, in
-// the background.
-func (k *Keeper) withdraw(f crash.Fingerprint) {
+// withdrawRefusal replaces the recorded refusal of a request that completed by a release, in the
+// background. A refusal that an operator ordered stays.
+func (k *Keeper) withdrawRefusal(f crash.Fingerprint) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	known := k.entries[f]
-	if known == nil || !known.stands() || known.is.Ordered() {
+	ent := k.entries[f]
+	if ent == nil || !ent.hasRecordedRefusal() || ent.history.RefusalOrdered() {
 		return
 	}
-	ctx, revision, said := k.live, known.revision, Record{State: stateReleased, Wide: known.is.Wide(), By: k.cfg.ID}
+	ctx, revision, rec := k.runCtx, ent.recordRevision, Record{State: stateReleased, AnyQuery: ent.history.AnyQuery(), By: k.cfg.ID}
 	go func() {
-		if err := k.put(ctx, f, said, revision, crash.HoldFor); err != nil {
-			k.cfg.Log.Warn("refusal not withdrawn", "fingerprint", string(f), "error", err)
+		if err := k.replaceRecord(ctx, f, rec, revision, crash.RefusalPeriod); err != nil {
+			k.cfg.Log.Warn("could not withdraw a recorded refusal", "fingerprint", string(f), "error", err)
 		}
 	}()
 }
--- a/quarantine/verify.go
+++ b/quarantine/verify.go
@@ -11,100 +11,105 @@
 	"github.com/lotuswing/lotuswing/internal/pause"
 )
 
-// Attempt is one that broke off without a response.
+// Attempt is an attempt to send a request that broke without a response.
 type Attempt struct {
 	Request
-	Endpoint string // its identity
-	Start    int64  // which start of it, as it is listed
+	Endpoint string // ID of the endpoint
+	Start    int64  // identifies its incarnation, as listed in the directory
 	Addr     string
 	Trial    bool // the request was on trial
-	Alone    bool // the endpoint held nothing else by its own report, just asked for
+	Alone    bool // by its own recent load report, the endpoint was processing nothing else
 }
 
 const (
-	// probeWithin bounds one look whether an endpoint lives: as long as a connection to it
-	// may take.
-	probeWithin = 300 * time.Millisecond
-	// watchFor is how long an endpoint is watched that still answers, or does not answer at
-	// all: its entry ends with its lease, after three heartbeats.
-	watchFor = 8 * time.Second
-	// mostWatched bounds how many are watched at once; of more than that nothing is learnt.
-	mostWatched = 256
+	// probeTimeout bounds one probe of an endpoint. It is as long as opening a connection to it may
+	// take.
+	probeTimeout = 300 * time.Millisecond
+	// watchDuration is how long the directory entry of an endpoint is watched if the probes showed
+	// no crash. The entry of a crashed endpoint ends with its lease, after three heartbeats.
+	watchDuration = 8 * time.Second
+	// maxWatched bounds the endpoints that are checked at once. Further broken attempts are not
+	// checked.
+	maxWatched = 256
 )
 
-// probeAfter are the pauses before the looks at an endpoint that broke off. A connection
-// that broke with the process may still be the one that the first look goes out on.
-var probeAfter = []time.Duration{0, 5 * time.Millisecond, 25 * time.Millisecond}
+// probeDelays are the pauses before each probe of an endpoint. The first probe may still go out on
+// a connection that broke with the process.
+var probeDelays = []time.Duration{0, 5 * time.Millisecond, 25 * time.Millisecond}
 
-// Broke finds out whether the endpoint of an attempt has ended, and tells everybody if so.
-// The channel is closed once the endpoint itself has shown it, either way.
+// Broke finds out, in the background, whether the endpoint of a broken attempt has crashed, and
+// notifies all balancers if so. The channel is closed after the probes, whether or not they showed
+// a crash, or at once if too many checks are in progress.
 func (k *Keeper) Broke(a Attempt) <-chan struct{} {
-	shown := make(chan struct{})
+	probed := make(chan struct{})
 	if !k.beginWatch() {
-		k.cfg.Log.Warn("endpoint not watched", "id", a.Endpoint, "request", a.ID, "watched", mostWatched)
-		close(shown)
-		return shown
+		k.cfg.Log.Warn("endpoint not checked for a crash: too many checks in progress", "id", a.Endpoint, "request", a.ID, "watched", maxWatched)
+		close(probed)
+		return probed
 	}
 	go func() {
 		defer k.endWatch()
-		ctx := k.running()
+		ctx := k.runContext()
 		why := k.probe(ctx, a)
 		if why != "" {
-			k.ended(a, why)
+			k.reportCrash(a, why)
 		}
-		k.Over(a.Request) // of one that showed nothing
-		close(shown)
+		k.Over(a.Request) // ends the trial if the probes showed no crash
+		close(probed)
 		if why == "" {
 			if why = k.watch(ctx, a); why != "" {
-				k.ended(a, why)
+				k.reportCrash(a, why)
 			}
 		}
 	}()
-	return shown
+	return probed
 }
 
+// beginWatch reserves one of the maxWatched checks. It returns false if there is none left.
 func (k *Keeper) beginWatch() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.watched >= mostWatched {
+	if k.watched >= maxWatched {
 		return false
 	}
 	k.watched++
 	return true
 }
 
+// endWatch ends the reservation of beginWatch.
 func (k *Keeper) endWatch() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.watched--
 }
 
-// probe asks the endpoint whether it lives, and returns what shows that it does not: its
-// address refuses connections, or another incarnation answers there.
+// probe checks whether the endpoint is still running. It returns the evidence of a crash: its
+// address refuses connections, or another instance answers there. Without such evidence it returns
+// an empty text.
 func (k *Keeper) probe(ctx context.Context, a Attempt) string {
 	path := k.probePath(a.Service)
 	if path == "" {
 		return ""
 	}
-	for _, after := range probeAfter {
+	for _, after := range probeDelays {
 		pause.For(ctx, after)
 		if k.cfg.Willing != nil && !k.cfg.Willing(a.Endpoint) {
 			return ""
 		}
-		result, err := k.cfg.Prober.Probe(ctx, a.Addr, path, probeWithin)
+		result, err := k.cfg.Prober.Probe(ctx, a.Addr, path, probeTimeout)
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
 			return "its address refuses connections"
 		case err == nil && result.OfAnother(a.Endpoint):
 			return "another instance answers at its address"
 		case err == nil:
-			return "" // it lives, or has started again: its entry will tell
+			return "" // it is running, or has restarted, which its directory entry will show
 		}
 	}
 	return ""
 }
 
-// probePath returns where a service's endpoints tell their load; empty where they do not.
+// probePath returns the path of the load reports of a service's endpoints; empty if they have none.
 func (k *Keeper) probePath(service string) string {
 	config := k.cfg.Endpoints.Snapshot().Config
 	if config == nil {
@@ -113,67 +118,70 @@
 	return config.Services[service].ProbePath
 }
 
-// watch waits until the store tells that the endpoint has ended: its entry went without a
-// word of leaving, or tells of another start.
+// watch watches the directory for up to watchDuration. It returns the evidence of a crash: the
+// endpoint's entry ended without a notice of leaving, or has another start. Without such evidence
+// it returns an empty text.
 func (k *Keeper) watch(ctx context.Context, a Attempt) string {
-	for until := k.opts.Now().Add(watchFor); k.opts.Now().Before(until) && ctx.Err() == nil; {
+	for until := k.opts.Now().Add(watchDuration); k.opts.Now().Before(until) && ctx.Err() == nil; {
 		pause.For(ctx, k.opts.LookEvery)
-		e, known := k.cfg.Endpoints.Endpoint(a.Endpoint)
+		e, found := k.cfg.Endpoints.Endpoint(a.Endpoint)
 		switch {
-		case known && e.Start != a.Start:
-			return "its entry tells of another start"
-		case known && e.State == directory.Missing:
+		case found && e.Start != a.Start:
+			return "its entry has another start"
+		case found && e.State == directory.Missing:
 			return "its entry is gone"
 		}
 	}
 	return ""
 }
 
-// ended notes that an endpoint ended under a request, and tells everybody.
-func (k *Keeper) ended(a Attempt, why string) {
+// reportCrash records that the endpoint of an attempt crashed, notifies all balancers, and records
+// the refusal in the store if there is one now.
+func (k *Keeper) reportCrash(a Attempt, why string) {
 	now := k.opts.Now()
-	k.endTrial(a.Request)
-	k.ends.Inc(1)
-	k.cfg.Log.Info("endpoint ended", "id", a.Endpoint, "start", a.Start, "why", why, "request", a.ID,
+	k.releaseTrial(a.Request)
+	k.crashes.Inc(1)
+	k.cfg.Log.Info("endpoint crashed during a request", "id", a.Endpoint, "start", a.Start, "why", why, "request", a.ID,
 		"fingerprint", string(a.Prints.Exact), "service", a.Service, "kind", a.Kind, "trial", a.Trial, "alone", a.Alone)
-	e := crash.End{Endpoint: a.Endpoint, Start: a.Start, At: now, SeenBy: k.cfg.ID, Trial: a.Trial, Alone: a.Alone, Of: a.Prints.Exact}
-	k.noteEnd(a.Prints, a.Service, a.Kind, e, now)
-	k.tell(note{What: noteEnd, Exact: a.Prints.Exact, Wide: a.Prints.Wide, Service: a.Service, Kind: a.Kind, End: toldEnd(e)})
-	k.record(a.Prints.Exact)
-	k.record(a.Prints.Wide)
+	e := crash.Event{Endpoint: a.Endpoint, Start: a.Start, At: now, SeenBy: k.cfg.ID, Trial: a.Trial, Alone: a.Alone, RequestFingerprint: a.Prints.Exact}
+	k.addCrash(a.Prints, a.Service, a.Kind, e, now)
+	k.broadcast(note{What: noteCrashed, Exact: a.Prints.Exact, AnyQuery: a.Prints.Wide, Service: a.Service, Kind: a.Kind, Crash: newCrashData(e)})
+	k.startRefusalWrite(a.Prints.Exact)
+	k.startRefusalWrite(a.Prints.Wide)
 }
 
-// noteEnd adds an end to the cases of a request.
-func (k *Keeper) noteEnd(p crash.Prints, service, kind string, e crash.End, now time.Time) {
-	k.changeBoth(p, now, func(known *entry) {
-		known.service, known.kind, known.told = service, kind, true
-		known.is = known.is.WithEnd(e)
+// addCrash adds a crash to both histories of a request.
+func (k *Keeper) addCrash(p crash.Prints, service, kind string, e crash.Event, now time.Time) {
+	k.updateBoth(p, now, func(ent *entry) {
+		ent.service, ent.kind, ent.crashReported = service, kind, true
+		ent.history = ent.history.WithCrash(e)
 		if e.Trial {
-			known.endTrial()
+			ent.clearTrial()
 		}
 	})
 }
 
-// Ran notes that an endpoint ran a request to an end, which shows that it crashes nobody.
+// Ran records that an endpoint completed a request, which shows that it does not cause crashes, and
+// notifies all balancers if it was suspected.
 func (k *Keeper) Ran(r Request) {
 	if !k.suspected(r.Prints) {
-		k.Over(r) // others may have told that it ran meanwhile
+		k.Over(r) // the completion of the same request elsewhere may have been reported meanwhile
 		return
 	}
 	now := k.opts.Now()
-	k.endTrial(r)
-	f, is, _, _ := k.look(r.Prints, now)
-	k.cfg.Log.Info("suspected request ran", "fingerprint", string(f), "request", r.ID, "evidence", evidence(is, now))
-	k.noteRun(r.Prints, now)
-	k.tell(note{What: noteRun, Exact: r.Prints.Exact, Wide: r.Prints.Wide})
-	k.withdraw(r.Prints.Exact)
-	k.withdraw(r.Prints.Wide)
+	k.releaseTrial(r)
+	f, history, _, _ := k.decidingHistory(r.Prints, now)
+	k.cfg.Log.Info("suspected request completed", "fingerprint", string(f), "request", r.ID, "evidence", evidence(history, now))
+	k.addCompletion(r.Prints, now)
+	k.broadcast(note{What: noteCompleted, Exact: r.Prints.Exact, AnyQuery: r.Prints.Wide})
+	k.withdrawRefusal(r.Prints.Exact)
+	k.withdrawRefusal(r.Prints.Wide)
 }
 
-// noteRun notes that a request was run to an end.
-func (k *Keeper) noteRun(p crash.Prints, at time.Time) {
-	k.changeBoth(p, k.opts.Now(), func(known *entry) {
-		known.is = known.is.WithRun(at)
-		known.endTrial()
+// addCompletion adds a completion to both histories of a request.
+func (k *Keeper) addCompletion(p crash.Prints, at time.Time) {
+	k.updateBoth(p, k.opts.Now(), func(ent *entry) {
+		ent.history = ent.history.WithCompletion(at)
+		ent.clearTrial()
 	})
 }
