--- a/upstream/body.go
+++ b/upstream/body.go
@@ -6,35 +6,38 @@
 	"sync"
 )
 
-var errDetached = errors.New("upstream: body belongs to a later attempt")
+// errAttemptClosed is returned by a read of an attempt's body after its Close.
+var errAttemptClosed = errors.New("upstream: body belongs to a later attempt")
 
-// Body is a request body that can be sent more than once while no more than a
-// bounded prefix of it has been read. It streams: nothing is read ahead.
+// Body is a request body that several attempts can send in turn, as long as no more has
+// been read of it than a prefix of bounded size, which is kept in memory. Only Fill reads
+// ahead; otherwise the source is read as an attempt sends it.
 type Body struct {
-	mu    sync.Mutex
-	src   io.Reader
-	limit int
-	kept  []byte
-	read  int // bytes read of src
-	err   error
+	mu        sync.Mutex
+	source    io.Reader
+	maxPrefix int
+	prefix    []byte
+	bytesRead int // from source
+	err       error
 }
 
-// NewBody returns a body over src that keeps up to limit bytes for a retry.
+// NewBody returns a body over src that keeps up to limit bytes in memory for a retry.
 func NewBody(src io.Reader, limit int) *Body {
-	return &Body{src: src, limit: limit}
+	return &Body{source: src, maxPrefix: limit}
 }
 
-// Fill reads a body that fits the kept prefix to its end. The caller's server
-// can then notice that the caller leaves while its request waits, and a slow
-// upload holds no slot.
+// Fill reads the source to its end. It is meant for bodies of up to limit bytes (see NewBody),
+// stops early in a longer one, which must not be sent afterwards, and returns the read error, if
+// any. After it, the HTTP server can detect that the caller disconnects while its request waits,
+// and a slow upload occupies no slot.
 func (b *Body) Fill() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	buf := make([]byte, fillBuffer)
-	for b.err == nil && b.read <= b.limit {
+	buf := make([]byte, fillChunkBytes)
+	for b.err == nil && b.bytesRead <= b.maxPrefix {
 		var n int
-		n, b.err = b.src.Read(buf)
-		b.keep(buf[:n])
+		n, b.err = b.source.Read(buf)
+		b.record(buf[:n])
 	}
 	if b.err == nil || errors.Is(b.err, io.EOF) {
 		return nil
@@ -42,65 +45,68 @@
 	return b.err
 }
 
-const fillBuffer = 4 << 10
+// fillChunkBytes is the size of the buffer into which Fill reads.
+const fillChunkBytes = 4 << 10
 
-// Whole returns the body, if it was read to its end and kept.
+// Whole returns the whole body, or false unless it was read to its end and fits in the prefix.
 func (b *Body) Whole() ([]byte, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.read != len(b.kept) || !errors.Is(b.err, io.EOF) {
+	if b.bytesRead != len(b.prefix) || !errors.Is(b.err, io.EOF) {
 		return nil, false
 	}
-	return b.kept, true
+	return b.prefix, true
 }
 
-// Replayable reports whether the body can still be sent from its start.
+// Replayable reports whether the body can be sent from its start: all that was read of it is
+// still in memory, and no attempt is reading it now.
 func (b *Body) Replayable() bool {
 	if !b.mu.TryLock() {
 		return false // an earlier attempt is still reading
 	}
 	defer b.mu.Unlock()
-	return b.read == len(b.kept)
+	return b.bytesRead == len(b.prefix)
 }
 
-// Attempt returns a reader of the whole body for one attempt. It has no GetBody
-// and is not http.NoBody, so that the transport never sends it twice on its
+// Attempt returns a reader of the whole body for one attempt. A request with this reader has
+// no GetBody, and its body is not http.NoBody, so that http.Transport never resends it on its
 // own, whatever the method and headers.
 func (b *Body) Attempt() io.ReadCloser {
 	return &attemptBody{body: b}
 }
 
+// attemptBody reads a Body from its start for one attempt.
 type attemptBody struct {
 	body   *Body
 	mu     sync.Mutex
-	at     int
+	offset int
 	closed bool
 }
 
 func (a *attemptBody) Read(p []byte) (int, error) {
 	if a.isClosed() {
-		return 0, errDetached
+		return 0, errAttemptClosed
 	}
 	b := a.body
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if a.at < len(b.kept) {
-		n := copy(p, b.kept[a.at:])
-		a.at += n
+	if a.offset < len(b.prefix) {
+		n := copy(p, b.prefix[a.offset:])
+		a.offset += n
 		return n, nil
 	}
 	if b.err != nil {
 		return 0, b.err
 	}
-	n, err := b.src.Read(p)
-	b.keep(p[:n])
+	n, err := b.source.Read(p)
+	b.record(p[:n])
 	b.err = err
-	a.at += n
+	a.offset += n
 	return n, err
 }
 
-// Close detaches the attempt. It does not close the caller's body, which a
-// later attempt may still read.
+// Close ends this attempt's reads. It does not close the caller's body, which a later attempt
+// may still read.
 func (a *attemptBody) Close() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -114,10 +120,12 @@
 	return a.closed
 }
 
-func (b *Body) keep(p []byte) {
-	whole := b.read == len(b.kept)
-	b.read += len(p)
-	if whole && b.read <= b.limit {
-		b.kept = append(b.kept, p...)
+// record counts p as read from the source, and keeps it while all that was read fits in the
+// prefix. The caller holds b.mu.
+func (b *Body) record(p []byte) {
+	whole := b.bytesRead == len(b.prefix)
+	b.bytesRead += len(p)
+	if whole && b.bytesRead <= b.maxPrefix {
+		b.prefix = append(b.prefix, p...)
 	}
 }
--- a/upstream/buffer.go
+++ b/upstream/buffer.go
@@ -9,9 +9,10 @@
 	"github.com/lotuswing/lotuswing/coord/verdict"
 )
 
-// buffer reads a response of up to limit bytes whole, so that one that is cut
-// short is noticed before the caller sees any of it. A longer response keeps its
-// body.
+// buffer reads the body of a response into memory if it has at most limit bytes, so that a
+// truncated response is detected before the caller gets any of it. A longer body is streamed.
+// A truncated response becomes a MayHaveRun result without a response, unless its header
+// says that the request did not run.
 func (r *Result) buffer(limit int) {
 	if r.Response.ContentLength > int64(limit) || r.Response.StatusCode == http.StatusSwitchingProtocols {
 		return
@@ -20,21 +21,22 @@
 	kept, err := io.ReadAll(io.LimitReader(body, int64(limit)+1))
 	switch {
 	case err != nil && r.Verdict == verdict.NotRun:
-		r.Response.Body = http.NoBody // its header has said all that counts
+		r.Response.Body = http.NoBody // the header alone says that the request did not run
 	case err != nil:
 		r.Close()
 		*r = Result{Verdict: verdict.MayHaveRun, Reason: reason.AnswerCut, Broken: true, Err: err}
 	case len(kept) > limit:
-		r.Response.Body = &resumed{Reader: io.MultiReader(bytes.NewReader(kept), body), Closer: body}
+		r.Response.Body = &partlyReadBody{Reader: io.MultiReader(bytes.NewReader(kept), body), Closer: body}
 	default:
-		_ = body.Close() // it was read to its end
+		_ = body.Close() // the error is of no use: the body was read to its end
 		r.Response.Body = io.NopCloser(bytes.NewReader(kept))
 		r.Buffered = true
 	}
 }
 
-// resumed is a body of which a part has been read.
-type resumed struct {
+// partlyReadBody is a response body whose first bytes were read already: Reader returns them
+// again, and then the rest.
+type partlyReadBody struct {
 	io.Reader
 	io.Closer
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -1,22 +1,22 @@
-// Package upstream sends one request to one endpoint and says, from what can be
+// Package upstream sends one request to one endpoint and determines, from what can be
 // proved, whether it may have run.
 //
 // NotRun is claimed in two cases only: no write of the request began and none can
 // begin any more, or the endpoint itself responded that it did not run the
-// request. Package net/http's Transport sends some requests again on its own when
-// a reused connection fails; the body given to it here makes that impossible for
-// every request that was at least partly written (see Body).
+// request. http.Transport resends some requests on its own when a reused connection
+// fails; the body passed to it here prevents that for every request that was at least
+// partly written (see Body.Attempt).
 //
-// The package owns the connections to endpoints. It relies on a Dialect for the
-// names of headers and for what an endpoint promises with them. Whether a request
-// is sent again is not decided here; see packages balancer and coord/retry.
+// The package owns the connections to endpoints. A Dialect defines the names of the
+// headers and what an endpoint guarantees with them. Packages balancer and coord/retry
+// decide whether a request is retried.
 //
 // # Usage
 //
 //	c := upstream.NewClient(upstream.Options{})
 //	res := c.Send(ctx, upstream.Request{...})
 //	defer res.Close()
-//	if res.Verdict == verdict.Ran { pass on res.Response }
+//	if res.Verdict == verdict.Ran { forward res.Response }
 package upstream
 
 import (
@@ -29,22 +29,22 @@
 	"github.com/lotuswing/lotuswing/internal/dial"
 )
 
-// Defaults of Options and bounds of a client.
+// Defaults of Options and limits of a client.
 const (
 	defaultDialTimeout = time.Second
 	defaultIdleTimeout = 90 * time.Second
-	idlePerEndpoint    = 4         // unused connections kept
-	maxHeaderBytes     = 256 << 10 // of a response's header
+	maxIdlePerEndpoint = 4         // idle connections kept open
+	maxHeaderBytes     = 256 << 10 // of a response
 )
 
-// Options of a client. Zero fields take the defaults.
+// Options configures a client. Fields that are zero take their defaults.
 type Options struct {
-	Connections int           // most that this process opens to one endpoint; 0 for no limit
-	HTTP2       bool          // speak HTTP/2 without TLS
+	Connections int           // maximum of open connections of this client to one endpoint; 0 for no limit
+	HTTP2       bool          // use HTTP/2 without TLS
 	DialTimeout time.Duration // default 1 s
-	IdleTimeout time.Duration // after which an unused connection is closed; default 90 s
-	Fresh       bool          // a new connection for each request
-	Dialect     *Dialect      // nil for the product's own
+	IdleTimeout time.Duration // after which an idle connection is closed; default 90 s
+	Fresh       bool          // open a new connection for each request
+	Dialect     *Dialect      // nil for Native
 }
 
 // Client sends requests to endpoints. It is safe for concurrent use.
@@ -55,7 +55,7 @@
 	reader    *Reader
 }
 
-// NewClient returns a client.
+// NewClient returns a client with the given options.
 func NewClient(opts Options) *Client {
 	opts.DialTimeout = cmp.Or(opts.DialTimeout, defaultDialTimeout)
 	opts.IdleTimeout = cmp.Or(opts.IdleTimeout, defaultIdleTimeout)
@@ -72,7 +72,7 @@
 			}
 			return &conn{Conn: c}, nil
 		},
-		MaxIdleConnsPerHost:    idlePerEndpoint,
+		MaxIdleConnsPerHost:    maxIdlePerEndpoint,
 		MaxConnsPerHost:        opts.Connections,
 		IdleConnTimeout:        opts.IdleTimeout,
 		DisableCompression:     true,
@@ -85,6 +85,6 @@
 	return &Client{transport: t, http2: opts.HTTP2, dialect: opts.Dialect, reader: NewReader(opts.Dialect)}
 }
 
-// Close closes idle connections, as at the end of a client or when nobody knows for how long
-// they have rested. Others may be opened after it.
+// Close closes the idle connections, at the end of a client or when it is unknown how long they
+// have been idle. The client stays usable and opens new ones.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -12,9 +12,9 @@
 // sealed is the value of conn.writes after which no write begins.
 const sealed = -1
 
-// conn counts the writes that have begun on a connection, so that "nothing was
-// sent" can be proved instead of assumed: once a seal at a count has succeeded,
-// no write has begun since that count and none ever will.
+// conn counts the writes that have begun on a connection, to prove that nothing of a request
+// was sent: once the connection is sealed at a count, no write has begun since that count was
+// read, and none will.
 type conn struct {
 	net.Conn
 	writes atomic.Int64
@@ -33,16 +33,17 @@
 	}
 }
 
-// seal reports whether no write began since the count was n, and makes sure
-// that none ever does.
-func (c *conn) seal(n int64) bool {
+// sealIfNoWriteSince seals the connection if no write has begun since the count was n, and
+// reports whether it did. Every later write fails with errSealed.
+func (c *conn) sealIfNoWriteSince(n int64) bool {
 	if n == sealed {
 		return false
 	}
 	return c.writes.CompareAndSwap(n, sealed)
 }
 
-// CloseWrite ends the sending direction, as upgraded sessions need.
+// CloseWrite closes the sending direction, which upgraded connections need, or the whole
+// connection if it has no CloseWrite.
 func (c *conn) CloseWrite() error {
 	if h, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return h.CloseWrite()
--- a/upstream/conn_test.go
+++ b/upstream/conn_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// countingConn counts the writes that reach the network.
+// countingConn counts the writes that reach it and discards their bytes.
 type countingConn struct {
 	net.Conn
 	mu     sync.Mutex
@@ -23,16 +23,16 @@
 	return len(p), nil
 }
 
-// TestSealStopsLaterWrites races a seal with a write: either the seal holds
-// and nothing is ever written, or the write came first and the seal fails.
-func TestSealStopsLaterWrites(t *testing.T) {
+// TestSealPreventsWrites runs a seal and a write concurrently: either the seal succeeds and
+// nothing is ever written, or the write begins first and the seal fails.
+func TestSealPreventsWrites(t *testing.T) {
 	for range 2000 {
 		under := &countingConn{}
 		c := &conn{Conn: under}
 		var wg sync.WaitGroup
 		var held bool
 		var writeErr error
-		wg.Go(func() { held = c.seal(0) })
+		wg.Go(func() { held = c.sealIfNoWriteSince(0) })
 		wg.Go(func() { _, writeErr = c.Write([]byte("x")) })
 		wg.Wait()
 		if held {
--- a/upstream/dialect.go
+++ b/upstream/dialect.go
@@ -8,54 +8,54 @@
 	"github.com/lotuswing/lotuswing/coord/verdict"
 )
 
-// Headers of the product's own dialect.
+// Header names of the product's own dialect, Native.
 const (
-	RequestIDHeader = "Lotuswing-Request-Id" // an endpoint may echo it
-	TimeoutHeader   = "Lotuswing-Timeout"    // remaining time, a Go duration
+	RequestIDHeader = "Lotuswing-Request-Id" // ID of a request; an endpoint may echo it
+	TimeoutHeader   = "Lotuswing-Timeout"    // time left until the deadline of a request, as a Go duration
 	LoadHeader      = "Lotuswing-Load"       // load report of the endpoint
-	TeamHeader      = "Lotuswing-Team"       // team whose key the caller has sent
-	LimitHeader     = "Lotuswing-Limit"      // requests a second that the endpoint takes from all balancers
+	TeamHeader      = "Lotuswing-Team"       // team whose key the caller sent
+	LimitHeader     = "Lotuswing-Limit"      // requests per second that the endpoint accepts from all balancers together
 )
 
-// Dialect is the table of the headers that balancer, callers and endpoints use,
-// and of what endpoints promise with them. There are two: Native, and that of the
-// operators' platform. An empty name means that there is no such header.
+// Dialect holds the names of the headers that balancers, callers and endpoints use, and what
+// endpoints guarantee with them. There are two dialects: Native, and that of the operators'
+// platform. An empty name means that the dialect has no such header.
 type Dialect struct {
-	RequestID       string // identity of a request; an endpoint echoes it
-	CallerRequestID bool   // callers choose it, and it is sent on
-	EchoRequired    bool   // a response without it belongs to no request
+	RequestID       string // ID of a request; an endpoint echoes it in the response
+	CallerRequestID bool   // callers choose the ID, and it is forwarded
+	EchoRequired    bool   // a response without the ID is taken for another request's
 
-	Timeout       string // remaining time of a request
+	Timeout       string // time left until the deadline of a request
 	FormatTimeout func(time.Duration) string
 	ParseTimeout  func(string) (time.Duration, error)
-	// FractionalRetryAfter: callers read fractions of a second in Retry-After.
+	// FractionalRetryAfter says that callers accept fractions of a second in Retry-After.
 	FractionalRetryAfter bool
 
-	Instance   string // incarnation that a request is meant for; others decline it with status 421
+	Instance   string // incarnation that a request is meant for; others reject it with status 421
 	InstanceID string // incarnation that responds to a probe
 
-	NotRun      string // says that the endpoint did not run the request
-	NotRunValue string // the value that says so; empty for any value
-	Signature   string // in each response of an endpoint that ran the request to its end
+	NotRun      string // in a response: the endpoint did not run the request
+	NotRunValue string // value of NotRun with that meaning; empty if any value has it
+	Signature   string // in each response to a request that the endpoint completed
 	PlainOnly   bool   // a response with a Content-Encoding is not the endpoint's
 
 	Load      string // load report of the endpoint
 	ParseLoad func(string) placement.LoadReport
 
-	// Warmup says in the response to a probe how much longer the endpoint is slow from
-	// its start, in whole milliseconds.
+	// Warmup says in the response to a probe for how many more milliseconds, a whole number,
+	// the endpoint is slow after its start.
 	Warmup string
 
-	// Limit says in an answer how many requests a second the endpoint takes from all
-	// balancers together, for as long as its answers say so.
+	// Limit says in a response how many requests per second the endpoint accepts from all
+	// balancers together. It holds for as long as responses carry it.
 	Limit string
 
-	// Leaving says in an answer, with the value 1, that the endpoint will end and wants no new
-	// requests. A load report may say the same.
+	// Leaving says in a response, with the value 1, that the endpoint is about to stop and wants
+	// no new requests. A load report with state draining says the same.
 	Leaving string
 
-	// Team names to an endpoint the team whose key the caller has sent, whatever the caller
-	// itself sent there.
+	// Team tells an endpoint the team whose key the caller sent. It replaces any value that the
+	// caller set itself.
 	Team string
 }
 
@@ -75,8 +75,8 @@
 	}
 }
 
-// FormatRetryAfter writes the time after which a caller may come back, at least a
-// millisecond.
+// FormatRetryAfter returns a Retry-After value in seconds: at least 0.001 where callers accept
+// fractions, and otherwise rounded up to whole seconds.
 func (d *Dialect) FormatRetryAfter(after time.Duration) string {
 	after = max(after, time.Millisecond)
 	if d.FractionalRetryAfter {
--- a/upstream/dialect_test.go
+++ b/upstream/dialect_test.go
@@ -48,31 +48,32 @@
 	})
 }
 
-// TestWhatAnAnswerProves in the platform's dialect.
-func TestWhatAnAnswerProves(t *testing.T) {
+// TestVerdictOfResponse checks the verdict and reason of each kind of response in the platform's
+// dialect.
+func TestVerdictOfResponse(t *testing.T) {
 	cases := []struct {
 		name    string
 		step    rawendpoint.Step
 		verdict verdict.Verdict
 		reason  reason.Code
 	}{
-		{"its own answer", rawendpoint.Answer(signed), verdict.Ran, ""},
-		{"it declined", rawendpoint.Answer(declined), verdict.NotRun, reason.EndpointRefused},
-		{"it declined with 429", rawendpoint.Answer(strings.Replace(declined, "503 Busy", "429 Busy", 1)), verdict.NotRun, reason.EndpointRefused},
+		{"response", rawendpoint.Answer(signed), verdict.Ran, ""},
+		{"rejected as not run", rawendpoint.Answer(declined), verdict.NotRun, reason.EndpointRefused},
+		{"rejected as not run with 429", rawendpoint.Answer(strings.Replace(declined, "503 Busy", "429 Busy", 1)), verdict.NotRun, reason.EndpointRefused},
 		{"another instance", rawendpoint.Answer("HTTP/1.1 421 No\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"), verdict.NotRun, reason.EndpointReplaced},
-		{"a bare 503 promises nothing", rawendpoint.Answer("HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"), verdict.MayHaveRun, reason.AnswerUnknown},
-		{"a bare 429 promises nothing", rawendpoint.Answer("HTTP/1.1 429 Busy\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"), verdict.MayHaveRun, reason.AnswerUnknown},
-		{"its own failure", rawendpoint.Answer("HTTP/1.1 500 Error\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\nContent-Length: 0\r\n\r\n"), verdict.Ran, ""},
-		{"another request's answer", rawendpoint.Answer(strings.ReplaceAll(signed, "{id}", "r2")), verdict.MayHaveRun, reason.AnswerForeign},
-		{"another request's refusal", rawendpoint.Answer(strings.ReplaceAll(declined, "{id}", "r2")), verdict.MayHaveRun, reason.AnswerForeign},
-		{"an answer without a name", rawendpoint.Answer(strings.Replace(signed, "Request-Id: {id}\r\n", "", 1)), verdict.MayHaveRun, reason.AnswerForeign},
+		{"503 without Not-Executed", rawendpoint.Answer("HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"), verdict.MayHaveRun, reason.AnswerUnknown},
+		{"429 without Not-Executed", rawendpoint.Answer("HTTP/1.1 429 Busy\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"), verdict.MayHaveRun, reason.AnswerUnknown},
+		{"signed 500", rawendpoint.Answer("HTTP/1.1 500 Error\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\nContent-Length: 0\r\n\r\n"), verdict.Ran, ""},
+		{"response to another request", rawendpoint.Answer(strings.ReplaceAll(signed, "{id}", "r2")), verdict.MayHaveRun, reason.AnswerForeign},
+		{"rejection of another request", rawendpoint.Answer(strings.ReplaceAll(declined, "{id}", "r2")), verdict.MayHaveRun, reason.AnswerForeign},
+		{"response without a request ID", rawendpoint.Answer(strings.Replace(signed, "Request-Id: {id}\r\n", "", 1)), verdict.MayHaveRun, reason.AnswerForeign},
 		{"success without a signature", rawendpoint.Answer(strings.Replace(signed, "Response-Signature: s\r\n", "", 1)), verdict.MayHaveRun, reason.AnswerSpoiled},
-		{"an encoded body", rawendpoint.Answer(strings.Replace(signed, "Content-Length", "Content-Encoding: gzip\r\nContent-Length", 1)), verdict.MayHaveRun, reason.AnswerSpoiled},
-		{"a body cut short", rawendpoint.Cut(signed[:len(signed)-2]), verdict.MayHaveRun, reason.AnswerCut},
-		{"a chunked body cut short", rawendpoint.Cut("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n"), verdict.MayHaveRun, reason.AnswerCut},
-		{"a body that ends with its connection", rawendpoint.Cut(strings.Replace(signed, "Content-Length: 5\r\n", "", 1)), verdict.Ran, ""},
-		{"bytes that are no answer", rawendpoint.Cut("garbage\r\n\r\n"), verdict.MayHaveRun, reason.AnswerUnknown},
-		{"a reset", rawendpoint.Reset(), verdict.MayHaveRun, reason.AnswerUnknown},
+		{"encoded body", rawendpoint.Answer(strings.Replace(signed, "Content-Length", "Content-Encoding: gzip\r\nContent-Length", 1)), verdict.MayHaveRun, reason.AnswerSpoiled},
+		{"truncated body", rawendpoint.Cut(signed[:len(signed)-2]), verdict.MayHaveRun, reason.AnswerCut},
+		{"truncated chunked body", rawendpoint.Cut("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n"), verdict.MayHaveRun, reason.AnswerCut},
+		{"body without length, ended by the close", rawendpoint.Cut(strings.Replace(signed, "Content-Length: 5\r\n", "", 1)), verdict.Ran, ""},
+		{"not an HTTP response", rawendpoint.Cut("garbage\r\n\r\n"), verdict.MayHaveRun, reason.AnswerUnknown},
+		{"reset connection", rawendpoint.Reset(), verdict.MayHaveRun, reason.AnswerUnknown},
 	}
 	for _, c := range cases {
 		res := sendTo(platformClient(t, false), scriptedEndpoint(t, c.step).Addr())
@@ -88,8 +89,9 @@
 	}
 }
 
-// TestLongAnswerIsNotHeld but passed on from its start.
-func TestLongAnswerIsNotHeld(t *testing.T) {
+// TestLongResponseIsNotBuffered checks that a body longer than BufferBytes is streamed from its
+// start, with or without a Content-Length.
+func TestLongResponseIsNotBuffered(t *testing.T) {
 	long := strings.Repeat("x", 3000)
 	for _, framing := range []string{"Content-Length: 3000\r\n", ""} {
 		e := scriptedEndpoint(t, rawendpoint.Cut("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\n"+framing+"\r\n"+long))
@@ -102,9 +104,9 @@
 	}
 }
 
-// TestRequestGoesUnchanged, with what is left of its time and the instance it
-// is meant for.
-func TestRequestGoesUnchanged(t *testing.T) {
+// TestRequestIsForwardedUnchanged checks that path, query and Host are forwarded as they came, and
+// that the remaining time and the expected instance are added.
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	e := scriptedEndpoint(t, rawendpoint.Answer(signed))
 	res := sendTo(platformClient(t, false), e.Addr())
 	res.Close()
@@ -118,8 +120,8 @@
 	assert.Assert(t, left > 0 && left <= 5*time.Second)
 }
 
-// TestFreshConnections are opened for each request where that is asked for, and
-// kept otherwise; probes use the kept ones.
+// TestFreshConnections checks that each request opens a connection if Options.Fresh is set, and
+// that requests reuse one otherwise.
 func TestFreshConnections(t *testing.T) {
 	for _, fresh := range []bool{false, true} {
 		e := scriptedEndpoint(t, rawendpoint.Answer(signed))
@@ -136,7 +138,7 @@
 	}
 }
 
-// TestProbe reads an endpoint's load and identity.
+// TestProbe reads an endpoint's load and instance ID, and fails once the endpoint is closed.
 func TestProbe(t *testing.T) {
 	e := scriptedEndpoint(t, rawendpoint.Answer("HTTP/1.1 200 OK\r\nInstance-Id: i-7\r\nServer-Load: 2,1,3,500\r\nContent-Length: 0\r\n\r\n"))
 	got, err := platformClient(t, false).Probe(context.Background(), e.Addr(), "/health", 5*time.Second)
@@ -150,8 +152,9 @@
 	assert.ErrorContains(t, err, "probe")
 }
 
-// TestProbeTellsWarmup where the endpoint does, in a form that can be believed.
-func TestProbeTellsWarmup(t *testing.T) {
+// TestProbeReadsWarmup checks that a warm-up is read from a valid value, and that a malformed,
+// negative or too long one is ignored.
+func TestProbeReadsWarmup(t *testing.T) {
 	for header, want := range map[string]upstream.Warmup{
 		"Warmup-Ms: 1500\r\n":                 {Told: true, Left: 1500 * time.Millisecond},
 		"Warmup-Ms: 0\r\n":                    {Told: true},
@@ -168,9 +171,9 @@
 	}
 }
 
-// TestRestedConnectionIsNotUsed where that is asked for: nothing is sent on it, which is
-// proved, and one that has not rested for so long, or is new, is used.
-func TestRestedConnectionIsNotUsed(t *testing.T) {
+// TestLongIdleConnectionIsNotUsed checks that nothing is sent on a connection that was idle for
+// longer than MostIdle, with verdict NotRun, and that one that is new or was idle for less is used.
+func TestLongIdleConnectionIsNotUsed(t *testing.T) {
 	e := scriptedEndpoint(t, rawendpoint.Answer(signed))
 	c := platformClient(t, false)
 	send := func(mostIdle time.Duration) upstream.Result {
@@ -182,7 +185,7 @@
 		})
 	}
 	first := send(time.Nanosecond)
-	assert.Equal(t, first.Verdict, verdict.Ran, "a new connection has not rested")
+	assert.Equal(t, first.Verdict, verdict.Ran, "a new connection was never idle")
 	first.Close()
 	second := send(time.Hour)
 	assert.Equal(t, second.Verdict, verdict.Ran)
@@ -192,15 +195,15 @@
 	time.Sleep(time.Millisecond)
 	third := send(time.Nanosecond)
 	third.Close()
-	assert.Assert(t, third.Rested || e.Connections() == 2, "sent on a connection that had rested")
+	assert.Assert(t, third.Rested || e.Connections() == 2, "sent on a connection that had been idle for too long")
 	if third.Rested {
 		assert.Equal(t, third.Verdict, verdict.NotRun)
 		assert.Equal(t, len(e.Requests()), 2)
 	}
 }
 
-// TestWithdrawnRequestIsNotSent: an endpoint that wants no more requests once there is a connection
-// gets nothing, on a new connection or on one that was used before.
+// TestWithdrawnRequestIsNotSent checks that nothing is sent if Admitted returns false once there is
+// a connection, be it new or reused.
 func TestWithdrawnRequestIsNotSent(t *testing.T) {
 	e := scriptedEndpoint(t, rawendpoint.Answer(signed))
 	c := platformClient(t, false)
--- a/upstream/http2_test.go
+++ b/upstream/http2_test.go
@@ -17,11 +17,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// http2Endpoint speaks HTTP/2 frame by frame: it counts each request that it
-// was sent whole and ends it in the way it is told to.
+// http2Endpoint is an HTTP/2 server that works on single frames. It counts the requests that
+// arrived whole and ends each by calling end.
 type http2Endpoint struct {
 	listener net.Listener
-	end      func(fr *http2.Framer, stream uint32) (open bool)
+	end      func(fr *http2.Framer, stream uint32) (open bool) // open is false to close the connection
 
 	mu   sync.Mutex
 	runs int
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestHTTP2IsNotResent: the transport also sends requests again after some
-// HTTP/2 errors. None of ours may be sent twice.
+// TestHTTP2IsNotResent checks that a request is sent once. http.Transport resends some requests
+// after HTTP/2 errors, for example after REFUSED_STREAM or GOAWAY.
 func TestHTTP2IsNotResent(t *testing.T) {
 	ends := map[string]func(*http2.Framer, uint32) bool{
 		"protocol error": func(fr *http2.Framer, s uint32) bool { return fr.WriteRSTStream(s, http2.ErrCodeProtocol) == nil },
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestHTTP2ReusedConnection: the second request on a connection is treated
-// like the first.
+// TestHTTP2ReusedConnection checks that the second request on a connection is not resent either,
+// and gets verdict MayHaveRun.
 func TestHTTP2ReusedConnection(t *testing.T) {
 	answered := false
 	e := newHTTP2Endpoint(t, func(fr *http2.Framer, s uint32) bool {
--- a/upstream/load.go
+++ b/upstream/load.go
@@ -7,9 +7,9 @@
 	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
-// ParseLoad reads a load report such as "inflight=2, slots=3, state=live".
-// A figure that cannot be read counts as 0, like one that is missing: an endpoint
-// may leave any of them out. A report without a known state is not known.
+// ParseLoad parses a load report such as "inflight=2, slots=3, state=live".
+// A number that is malformed counts as 0, like one that is missing: an endpoint may
+// omit any of them. Known is false if the state is missing or not one that is defined.
 func ParseLoad(header string) placement.LoadReport {
 	var load placement.LoadReport
 	for part := range strings.SplitSeq(header, ",") {
@@ -30,7 +30,7 @@
 	return load
 }
 
-// FormatLoad writes a load report.
+// FormatLoad returns a load report in the form that ParseLoad reads.
 func FormatLoad(l placement.LoadReport) string {
 	return "inflight=" + strconv.Itoa(l.InFlight) + ", slots=" + strconv.Itoa(l.Slots) + ", state=" + string(l.State)
 }
--- a/upstream/load_test.go
+++ b/upstream/load_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLoadReports are read leniently; one without a known state is not known.
+// TestLoadReports checks that a load report survives formatting and parsing, and that one without
+// a defined state is not known.
 func TestLoadReports(t *testing.T) {
 	want := placement.LoadReport{Known: true, InFlight: 2, Slots: 3, State: placement.Draining}
 	assert.Equal(t, upstream.ParseLoad("inflight=2, slots=3, state=draining"), want)
@@ -17,7 +18,7 @@
 	assert.Assert(t, !upstream.ParseLoad("inflight=2, state=happy").Known)
 }
 
-// FuzzParseLoad: what is read can be written and read again.
+// FuzzParseLoad checks that a known load report survives formatting and parsing.
 func FuzzParseLoad(f *testing.F) {
 	f.Add("inflight=2, slots=3, state=cold")
 	f.Fuzz(func(t *testing.T, header string) {
--- a/upstream/probe.go
+++ b/upstream/probe.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// mostProbeBytes bounds what is read of the body of a probe's response, which is
-// not used.
-const mostProbeBytes = 4 << 10
+// maxProbeBytes is how much is read of the body of a response to a probe. The body is not used.
+const maxProbeBytes = 4 << 10
 
-// Probe asks the endpoint at an address for its load report, for at most within.
-// It uses the connections of requests, so that a request often follows a probe on
+// Probe sends a GET request for path to the endpoint at addr and returns what the response says
+// about the endpoint, whatever its status. It fails if there is no response after the time
+// within. Probes and requests share connections, so that a request often follows a probe on
 // the same one.
 func (c *Client) Probe(ctx context.Context, addr, path string, within time.Duration) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
@@ -31,7 +31,7 @@
 	}
 	heard := time.Now()
 	defer func() { _ = response.Body.Close() }()
-	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, mostProbeBytes)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxProbeBytes)); err != nil {
 		return Report{}, fmt.Errorf("upstream: probe: %w", err)
 	}
 	return c.reader.Read(response.StatusCode, response.Header, sent, heard), nil
--- a/upstream/report.go
+++ b/upstream/report.go
@@ -14,75 +14,76 @@
 	"github.com/lotuswing/lotuswing/coord/placement"
 )
 
-// Report is all that one answer of an endpoint says of the endpoint itself, to a request or to a
-// probe. Nothing else reads these headers.
+// Report is all that the status and header of one response, to a request or to a probe, say about
+// the endpoint itself. Only Reader reads these headers.
 type Report struct {
 	Asked time.Time // when the request was sent
-	Heard time.Time // when the head of the answer came; zero for no answer of the endpoint's own
-	Ran   bool      // it is the answer to a request that the endpoint ran
+	Heard time.Time // when the header of the response arrived; zero if there was no response of the endpoint's own
+	Ran   bool      // the response is to a request that the endpoint ran
 
-	Instance string // identity of the incarnation; empty where it is not told
+	Instance string // ID of the incarnation; empty if the response does not name it
 	Load     placement.LoadReport
 	Warmup   Warmup
 	Limit    limit.Answer
 	Word     admission.Word
-	// Unread names headers that nothing here reads, or with a value that cannot be read.
+	// Unread names the headers that are unknown or have a malformed value.
 	Unread []string
 }
 
-// Warmup is how much longer an endpoint is slow from its start, as it says itself.
+// Warmup is for how much longer an endpoint is slow after its start, as it says itself.
 type Warmup struct {
-	Told bool
-	Left time.Duration
+	Told bool          // the response says it
+	Left time.Duration // 0 once the endpoint is warm, or if Told is false
 }
 
-// OfAnother reports whether the answer names another instance than the one that was asked.
+// OfAnother reports whether the response names an instance other than the given one.
 func (r Report) OfAnother(instance string) bool { return r.Instance != "" && r.Instance != instance }
 
-// None reports whether there was no answer that the endpoint itself gave.
+// None reports whether the report is empty: the endpoint itself gave no response.
 func (r Report) None() bool { return r.Heard.IsZero() }
 
-// Undated returns what still holds of a report where nobody knows how old it is: an endpoint
-// that leaves does so for good, and a backoff counted from a later time ends later. Loads,
-// limits and warm-ups are as of their time.
+// Undated returns the part of a report that holds even if its age is unknown. An endpoint that
+// is leaving never takes that back, and a backoff that is counted from too late a time only
+// ends later. Loads, limits and warm-ups hold only for the time of the response and are left out.
 func (r Report) Undated() Report {
 	return Report{Asked: r.Asked, Heard: r.Heard, Ran: r.Ran, Instance: r.Instance, Word: r.Word, Unread: r.Unread, Limit: limit.Answer{Mute: true, Asked: r.Asked, Heard: r.Heard}}
 }
 
 const (
-	// longestWarmup and longestBackoff bound what is believed of a warm-up and of a backoff. An
-	// endpoint that wants a longer one says so again.
-	longestWarmup  = time.Hour
-	longestBackoff = time.Hour
-	// leavingValue is the value of the header that says that an endpoint leaves.
+	// maxWarmup and maxBackoff are the longest warm-up and backoff that are accepted from an
+	// endpoint. A longer warm-up is ignored, a longer backoff is shortened: an endpoint that
+	// needs more time can repeat the header.
+	maxWarmup  = time.Hour
+	maxBackoff = time.Hour
+	// leavingValue is the value of the header Dialect.Leaving of an endpoint that is leaving.
 	leavingValue = "1"
 	retryAfter   = "Retry-After"
 )
 
-// Reader reads what answers say of their endpoints. It is an immutable value, safe for concurrent
-// use.
+// Reader reads reports from responses. It is immutable and safe for concurrent use.
 type Reader struct {
-	dialect *Dialect
-	known   map[string]bool // header names, in canonical form
+	dialect      *Dialect
+	knownHeaders map[string]bool // header names, in canonical form
 }
 
-// NewReader returns a reader of a dialect's headers.
+// NewReader returns a reader of the headers of a dialect.
 func NewReader(d *Dialect) *Reader {
-	r := &Reader{dialect: d, known: map[string]bool{}}
-	for _, name := range slices.Concat(d.answerHeaders(), standardHeaders) {
-		r.known[textproto.CanonicalMIMEHeaderKey(name)] = true
+	r := &Reader{dialect: d, knownHeaders: map[string]bool{}}
+	for _, name := range slices.Concat(d.responseHeaders(), standardHeaders) {
+		r.knownHeaders[textproto.CanonicalMIMEHeaderKey(name)] = true
 	}
 	return r
 }
 
-// answerHeaders returns the names of the headers that the dialect has in answers. Some are
-// empty.
-func (d *Dialect) answerHeaders() []string {
+// responseHeaders returns the names of the headers that the dialect defines for responses. Those
+// that it lacks are empty.
+func (d *Dialect) responseHeaders() []string {
 	return []string{d.RequestID, d.InstanceID, d.NotRun, d.Signature, d.Load, d.Warmup, d.Limit, d.Leaving}
 }
 
-// standardHeaders are those of HTTP that describe the response or its connection, and not the
-// endpoint: package net/http or the caller reads them. Retry-After describes the endpoint.
+// standardHeaders are the HTTP headers that Report.Unread never names as unknown. They describe
+// the response or its connection, for package net/http or the caller. Only Retry-After is about
+// the endpoint, and is read here.
 var standardHeaders = []string{
 	"Accept-Patch", "Accept-Post", "Accept-Ranges", "Age", "Allow", "Alt-Svc", "Cache-Control", "Cache-Status", "Clear-Site-Data",
 	"Connection", "Content-Disposition", "Content-Encoding", "Content-Language", "Content-Length", "Content-Location", "Content-Range",
@@ -93,16 +94,16 @@
 	"Access-Control-Expose-Headers", "Access-Control-Max-Age",
 }
 
-// Read reads the head of an answer of the endpoint's own to a request that was sent at one time
-// and whose answer came at another.
+// Read returns the report in the status and header of a response, which must be the endpoint's
+// own. asked is when the request was sent, and heard when the header of the response arrived.
 func (r *Reader) Read(status int, h http.Header, asked, heard time.Time) Report {
 	d := r.dialect
-	out := Report{Asked: asked, Heard: heard, Load: d.ParseLoad(h.Get(d.Load)), Warmup: d.warmup(h), Limit: d.limitOf(h, asked, heard)}
+	out := Report{Asked: asked, Heard: heard, Load: d.ParseLoad(h.Get(d.Load)), Warmup: d.parseWarmup(h), Limit: d.parseLimit(h, asked, heard)}
 	if d.InstanceID != "" {
 		out.Instance = h.Get(d.InstanceID)
 	}
-	leaving, leavingRead := d.leaving(h)
-	backoff, backoffRead := d.backoff(status, h, heard)
+	leaving, leavingRead := d.parseLeaving(h)
+	backoff, backoffRead := d.parseBackoff(status, h, heard)
 	out.Word = admission.Word{Leaving: leaving || out.Load.State == placement.Draining, Backoff: backoff}
 	if !leavingRead {
 		out.Unread = append(out.Unread, d.Leaving)
@@ -111,27 +112,29 @@
 		out.Unread = append(out.Unread, retryAfter)
 	}
 	for name := range h {
-		if !r.known[name] {
+		if !r.knownHeaders[name] {
 			out.Unread = append(out.Unread, name)
 		}
 	}
 	return out
 }
 
-// warmup reads how much longer the endpoint warms up. What cannot be read is not told.
-func (d *Dialect) warmup(h http.Header) Warmup {
+// parseWarmup returns for how much longer the endpoint warms up. A value that is malformed,
+// negative or longer than maxWarmup is ignored.
+func (d *Dialect) parseWarmup(h http.Header) Warmup {
 	if d.Warmup == "" {
 		return Warmup{}
 	}
 	ms, err := strconv.ParseInt(h.Get(d.Warmup), 10, 64)
-	if err != nil || ms < 0 || ms > longestWarmup.Milliseconds() {
+	if err != nil || ms < 0 || ms > maxWarmup.Milliseconds() {
 		return Warmup{}
 	}
 	return Warmup{Told: true, Left: time.Duration(ms) * time.Millisecond}
 }
 
-// limitOf reads the endpoint's limit.
-func (d *Dialect) limitOf(h http.Header, asked, heard time.Time) limit.Answer {
+// parseLimit returns the endpoint's rate limit, or a mute answer if the dialect has no header for
+// it.
+func (d *Dialect) parseLimit(h http.Header, asked, heard time.Time) limit.Answer {
 	if d.Limit == "" {
 		return limit.Answer{Mute: true, Asked: asked, Heard: heard}
 	}
@@ -139,9 +142,9 @@
 	return limit.Answer{Said: said, Rate: rate, Asked: asked, Heard: heard}
 }
 
-// leaving reads whether the endpoint leaves: any value that says so does. read is false where
-// there is another value.
-func (d *Dialect) leaving(h http.Header) (leaving, read bool) {
+// parseLeaving reports whether the endpoint is leaving, which one value of several suffices to
+// say. read is false if any value is not leavingValue.
+func (d *Dialect) parseLeaving(h http.Header) (leaving, read bool) {
 	if d.Leaving == "" {
 		return false, true
 	}
@@ -156,20 +159,20 @@
 	return leaving, read
 }
 
-// backoff reads for how long the endpoint wants no requests. With status 503 Retry-After speaks
-// for the endpoint, with 429 only if the endpoint refused the request unrun: otherwise it is its
-// application's word to the caller. read is false where there is a value that cannot be read.
-func (d *Dialect) backoff(status int, h http.Header, heard time.Time) (longest time.Duration, read bool) {
-	ofEndpoint := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests && d.refused(status, h)
+// parseBackoff returns for how long the endpoint wants no requests. Retry-After applies to the
+// endpoint with status 503, and with 429 only if the endpoint did not run the request: otherwise
+// its application means the caller. read is false if a value is malformed.
+func (d *Dialect) parseBackoff(status int, h http.Header, heard time.Time) (longest time.Duration, read bool) {
+	ofEndpoint := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests && d.saysNotRun(status, h)
 	if !ofEndpoint {
 		return 0, true
 	}
 	longest, read = RetryAfter(h, heard)
-	return min(longest, longestBackoff), read
+	return min(longest, maxBackoff), read
 }
 
-// RetryAfter reads the header of that name in an answer that came at a time: the longest of the times
-// that can be read; read is false where one cannot.
+// RetryAfter returns the longest of the times in the Retry-After headers of a response that arrived
+// at heard. Malformed values are skipped; read is false if there is one.
 func RetryAfter(h http.Header, heard time.Time) (longest time.Duration, read bool) {
 	date, err := http.ParseTime(h.Get("Date"))
 	if err != nil {
@@ -183,11 +186,12 @@
 	return longest, read
 }
 
-// parseRetryAfter reads a value of Retry-After: seconds, with or without fractions, or a date,
-// which counts from the date of the answer, so that no clocks are compared.
+// parseRetryAfter parses a value of Retry-After: seconds, with or without fractions, limited to
+// maxBackoff, or a date. A date is counted from the given date, that of the response, so that the
+// clocks of endpoint and balancer are not compared. It returns 0 for a date that has passed.
 func parseRetryAfter(value string, date time.Time) (after time.Duration, ok bool) {
 	if seconds, ok := decimal.Parse(value); ok {
-		return time.Duration(min(seconds, longestBackoff.Seconds()) * float64(time.Second)), true
+		return time.Duration(min(seconds, maxBackoff.Seconds()) * float64(time.Second)), true
 	}
 	at, err := http.ParseTime(value)
 	if err != nil {
--- a/upstream/report_test.go
+++ b/upstream/report_test.go
@@ -16,13 +16,14 @@
 
 var heardAt = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-// read reads an answer in the platform's dialect.
+// read reads the report of a response in the platform's dialect, received at heardAt.
 func read(status int, h http.Header) upstream.Report {
 	d := platform.Dialect()
 	return upstream.NewReader(&d).Read(status, h, heardAt.Add(-time.Second), heardAt)
 }
 
-// TestLeaving is said by the value 1, in any of several headers, whatever the status.
+// TestLeaving checks that one header with the value 1 says that the endpoint is leaving, whatever
+// the status and the other values.
 func TestLeaving(t *testing.T) {
 	for name, c := range map[string]struct {
 		values  []string
@@ -48,9 +49,9 @@
 	}
 }
 
-// TestBackoff is read from Retry-After, as seconds or as a date.
+// TestBackoff checks that a backoff is read from Retry-After, as seconds or as a date.
 func TestBackoff(t *testing.T) {
-	date := heardAt.Add(-time.Hour).Format(http.TimeFormat) // of a clock that is an hour late
+	date := heardAt.Add(-time.Hour).Format(http.TimeFormat) // the endpoint's clock is an hour behind
 	for name, c := range map[string]struct {
 		values []string
 		want   time.Duration
@@ -61,7 +62,7 @@
 		"a fraction":              {values: []string{"0.3"}, want: 300 * time.Millisecond},
 		"seconds":                 {values: []string{"3"}, want: 3 * time.Second},
 		"a minute":                {values: []string{"60"}, want: time.Minute},
-		"longer than is believed": {values: []string{"7200"}, want: time.Hour},
+		"longer than the maximum": {values: []string{"7200"}, want: time.Hour},
 		"huge":                    {values: []string{strings.Repeat("9", 60)}, want: time.Hour},
 		"a date":                  {values: []string{heardAt.Add(5*time.Second - time.Hour).Format(http.TimeFormat)}, want: 5 * time.Second},
 		"a date that has passed":  {values: []string{heardAt.Add(-2 * time.Hour).Format(http.TimeFormat)}},
@@ -82,9 +83,9 @@
 	}
 }
 
-// TestWhoseBackoff: with status 503 it is the endpoint's, with 429 only where the endpoint did
-// not run the request, and with others it is for the caller.
-func TestWhoseBackoff(t *testing.T) {
+// TestBackoffByStatus checks that Retry-After applies to the endpoint with status 503, and with 429
+// only if the endpoint did not run the request. Otherwise it is meant for the caller.
+func TestBackoffByStatus(t *testing.T) {
 	const want = 3 * time.Second
 	for _, c := range []struct {
 		status int
@@ -99,21 +100,22 @@
 	}
 }
 
-// TestWhichAnswersSpeakForTheEndpoint: all of its own, also those that are not passed on.
-func TestWhichAnswersSpeakForTheEndpoint(t *testing.T) {
+// TestWhichResponsesYieldReports checks that every response of the endpoint's own yields a report,
+// even one that is not forwarded, and that no other response does.
+func TestWhichResponsesYieldReports(t *testing.T) {
 	const word = "Server-Leaving: 1\r\nRetry-After: 2\r\n"
 	for name, c := range map[string]struct {
 		step  rawendpoint.Step
 		speak bool
 	}{
-		"its own answer":                      {rawendpoint.Answer(strings.Replace(signed, "Content-Length", word+"Content-Length", 1)), true},
-		"it declined":                         {rawendpoint.Answer(strings.Replace(declined, "Content-Length", word+"Content-Length", 1)), true},
-		"503 that leaves open whether it ran": {rawendpoint.Answer("HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\n" + word + "Content-Length: 0\r\n\r\n"), true},
-		"its answer, cut short":               {rawendpoint.Cut(strings.Replace(signed[:len(signed)-2], "Content-Length", word+"Content-Length", 1)), true},
-		"another instance":                    {rawendpoint.Answer("HTTP/1.1 421 No\r\nRequest-Id: {id}\r\n" + word + "Content-Length: 0\r\n\r\n"), false},
-		"an answer of another request":        {rawendpoint.Answer("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Signature: s\r\n" + word + "Content-Length: 0\r\n\r\n"), false},
-		"success without a signature":         {rawendpoint.Answer("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\n" + word + "Content-Length: 0\r\n\r\n"), false},
-		"no answer":                           {rawendpoint.Reset(), false},
+		"response":                    {rawendpoint.Answer(strings.Replace(signed, "Content-Length", word+"Content-Length", 1)), true},
+		"rejected as not run":         {rawendpoint.Answer(strings.Replace(declined, "Content-Length", word+"Content-Length", 1)), true},
+		"503 without Not-Executed":    {rawendpoint.Answer("HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\n" + word + "Content-Length: 0\r\n\r\n"), true},
+		"truncated response":          {rawendpoint.Cut(strings.Replace(signed[:len(signed)-2], "Content-Length", word+"Content-Length", 1)), true},
+		"another instance":            {rawendpoint.Answer("HTTP/1.1 421 No\r\nRequest-Id: {id}\r\n" + word + "Content-Length: 0\r\n\r\n"), false},
+		"response to another request": {rawendpoint.Answer("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Signature: s\r\n" + word + "Content-Length: 0\r\n\r\n"), false},
+		"success without a signature": {rawendpoint.Answer("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\n" + word + "Content-Length: 0\r\n\r\n"), false},
+		"no response":                 {rawendpoint.Reset(), false},
 	} {
 		res := sendTo(platformClient(t, false), scriptedEndpoint(t, c.step).Addr())
 		assert.Equal(t, res.Report.Word.Leaving, c.speak, name)
@@ -122,16 +124,16 @@
 	}
 }
 
-// TestUndatedReport: that the endpoint leaves, or wants no requests, holds however old the answer
-// is; its load, its limit and its warm-up do not.
+// TestUndatedReport checks that leaving and backoff remain in a report of unknown age, and that
+// load, limit and warm-up do not.
 func TestUndatedReport(t *testing.T) {
 	r := read(503, http.Header{"Server-Leaving": {"1"}, "Retry-After": {"3"}, "Server-Load": {"1,0,3"}, "Server-Limit": {"2"}, "Warmup-Ms": {"9"}}).Undated()
 	assert.Equal(t, r.Word, admission.Word{Leaving: true, Backoff: 3 * time.Second})
 	assert.Assert(t, !r.Load.Known && !r.Warmup.Told && r.Limit.Mute)
 }
 
-// TestLoadReportSaysLeaving in the product's own dialect, which has no header of its own for it.
-func TestLoadReportSaysLeaving(t *testing.T) {
+// TestDrainingLoadReportMeansLeaving checks the Native dialect, which has no header for leaving.
+func TestDrainingLoadReportMeansLeaving(t *testing.T) {
 	d := upstream.Native()
 	reader := upstream.NewReader(&d)
 	h := http.Header{}
@@ -141,8 +143,8 @@
 	assert.Assert(t, !reader.Read(200, h, heardAt, heardAt).Word.Leaving)
 }
 
-// FuzzReport: whatever an endpoint sends, what is believed of it is bounded, and nothing but the
-// word that says so makes it leave.
+// FuzzReport checks that the values of a report are within bounds whatever an endpoint sends, and
+// that only Server-Leaving with the value 1 says that it is leaving.
 func FuzzReport(f *testing.F) {
 	f.Add(503, "3", "1", "2.5", "1,0,3,100", "1500", "")
 	f.Add(429, "Fri, 31 Dec 9999 23:59:59 GMT", "0", "NaN", "a,b", "-1", "Sun, 01 Mar 2026 12:00:00 GMT")
@@ -160,7 +162,7 @@
 	})
 }
 
-// BenchmarkRead reads the head of a usual answer.
+// BenchmarkRead reads the header of a typical response.
 func BenchmarkRead(b *testing.B) {
 	d := platform.Dialect()
 	reader := upstream.NewReader(&d)
--- a/upstream/send.go
+++ b/upstream/send.go
@@ -13,92 +13,95 @@
 	"github.com/lotuswing/lotuswing/coord/verdict"
 )
 
-// Request is one attempt.
+// Request describes one attempt to send a caller's request.
 type Request struct {
 	ID       string
 	Addr     string        // of the endpoint
-	In       *http.Request // the caller's, with headers already fit for the next hop
+	In       *http.Request // the caller's, with its hop-by-hop headers already removed
 	Body     *Body
-	Deadline time.Time // for the response's header, and for the whole of one that is buffered
-	Instance string    // incarnation of the endpoint, sent where the dialect names it
-	// BufferBytes: responses of up to so many bytes are read whole before Send
+	Deadline time.Time // for the header of the response, and for its body if that is buffered
+	Instance string    // incarnation of the endpoint; sent if the dialect has a header for it
+	// BufferBytes is the size up to which response bodies are read to their end before Send
 	// returns; 0 for none.
 	BufferBytes int
-	// MostIdle is how long the connection may have rested that the request goes out on; 0
-	// for any time. Where only others are open the request is not sent, see Result.Rested.
+	// MostIdle is how long a reused connection may have been idle; 0 for any time. If the
+	// transport picks one that was idle for longer, the request is not sent, see Result.Rested.
 	MostIdle time.Duration
-	// Admitted reports, once there is a connection, whether the endpoint still may get the
-	// request; nil for yes. Where it may not, nothing is sent, see Result.Withdrawn. It is not
-	// asked over HTTP/2, whose connections have other requests on them.
+	// Admitted reports, once there is a connection, whether the endpoint may still get the
+	// request; nil for yes. If it may not, nothing is sent, see Result.Withdrawn. It is not
+	// called for HTTP/2, whose connections other requests share.
 	Admitted func() bool
-	// Informational passes on 1xx responses; may be nil.
+	// Informational is called with each 1xx response; may be nil.
 	Informational func(code int, header http.Header)
 }
 
-// Result is what became of an attempt.
+// Result is the outcome of an attempt.
 type Result struct {
 	Verdict verdict.Verdict
 	Reason  reason.Code // empty where the endpoint ran the request
 	// Response is set where the endpoint ran the request or said that it did not.
 	Response *http.Response
-	// Report is what the head of the response says of the endpoint, also of a response that is
-	// not passed on. One that may not be the endpoint's own says nothing.
+	// Report is what the status and header of the response say about the endpoint, even if
+	// Response is nil. It is empty for a response that may not be the endpoint's own.
 	Report   Report
-	Buffered bool // the response is whole, in memory
-	Rested   bool // nothing was sent, because the connection had rested for longer than MostIdle
-	// Withdrawn: nothing was sent, because the endpoint may not get the request any more.
+	Buffered bool // the whole response body is in memory
+	Rested   bool // nothing was sent, because the connection had been idle for longer than MostIdle
+	// Withdrawn says that nothing was sent, because Admitted returned false.
 	Withdrawn bool
-	// Broken: the request was sent and its connection ended before the response did, though
-	// there was time left, as it does where the endpoint ends.
+	// Broken says that the request may have been sent and its connection failed before the end
+	// of the response and before the deadline, as when the endpoint stops.
 	Broken bool
 	Err    error // why there is no response
 	cancel func()
 }
 
-// Close ends the exchange; a response not read to its end is cut off.
+// Close closes the response body, if any, and releases the attempt's resources. It closes the
+// connection of a response that was not read to its end.
 func (r *Result) Close() {
 	if r.Response != nil {
-		_ = r.Response.Body.Close() // of a connection that is given up; nothing rests on it
+		_ = r.Response.Body.Close() // the error has no effect: nothing more is read
 	}
 	if r.cancel != nil {
 		r.cancel()
 	}
 }
 
-// Send makes one attempt. ctx ends when the caller leaves.
+// Send makes one attempt. ctx must end when the caller disconnects. The caller of Send must
+// close the result.
 func (c *Client) Send(ctx context.Context, r Request) Result {
 	sent := time.Now()
 	remaining := r.Deadline.Sub(sent)
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(remaining, func() { cancel(context.DeadlineExceeded) })
 	defer timer.Stop()
-	x := &exchange{mostIdle: r.MostIdle}
+	x := &connTracker{mostIdle: r.MostIdle}
 	if !c.http2 {
 		x.admitted = r.Admitted
 	}
 	response, err := c.transport.RoundTrip(c.outgoing(httptrace.WithClientTrace(ctx, x.trace(r)), r, remaining))
 	end := func() { cancel(context.Canceled) }
 	if err != nil {
-		// Order matters: the claim is made before the connection is given up.
-		res := x.failure(context.Cause(ctx), c.http2, err)
+		// The order matters: the verdict is determined before the connection is released.
+		res := x.failureResult(context.Cause(ctx), c.http2, err)
 		end()
 		return res
 	}
-	res := c.received(response, r.ID, end)
-	report := c.reportOf(&res, response, sent, time.Now())
+	res := c.responseResult(response, r.ID, end)
+	report := c.readReport(&res, response, sent, time.Now())
 	if res.Response != nil && r.BufferBytes > 0 {
 		res.buffer(r.BufferBytes)
 	}
 	if !timer.Stop() { // the deadline passed while the response arrived
-		_ = response.Body.Close() // its connection is given up
+		_ = response.Body.Close() // also closes the connection
 		end()
-		res = late(res.Verdict)
+		res = lateResult(res.Verdict)
 	}
 	res.Report = report
 	return res
 }
 
-// outgoing returns the request for the endpoint.
+// outgoing returns the HTTP request to send to the endpoint. remaining is the time left until
+// its deadline.
 func (c *Client) outgoing(ctx context.Context, r Request, remaining time.Duration) *http.Request {
 	u := &url.URL{
 		Scheme: "http", Host: r.Addr, Path: r.In.URL.Path, RawPath: r.In.URL.RawPath,
@@ -121,35 +124,39 @@
 	return out.WithContext(ctx)
 }
 
-// exchange watches which connection an attempt was given.
-type exchange struct {
+// connTracker records which connection an attempt got, and seals it if the request must not be
+// sent on it.
+type connTracker struct {
 	mostIdle time.Duration // 0 for any
 	admitted func() bool   // nil for always
 
-	mu        sync.Mutex
-	got       bool
-	conn      *conn
-	begun     int64 // writes on the connection before this attempt
-	rested    bool  // the connection had rested for too long and is sealed
-	withdrawn bool  // the endpoint may not get the request any more, and the connection is sealed
+	mu            sync.Mutex
+	gotConnection bool
+	conn          *conn
+	writesBefore  int64 // writes on the connection before this attempt
+	idleTooLong   bool  // the connection had been idle for longer than mostIdle and is sealed
+	withdrawn     bool  // admitted returned false, and the connection is sealed
 }
 
-func (x *exchange) gotConn(info httptrace.GotConnInfo) {
+// gotConn records the connection that the transport picked for the attempt, and decides whether
+// the request may be sent on it.
+func (x *connTracker) gotConn(info httptrace.GotConnInfo) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.got = true
-	x.conn, _ = info.Conn.(*conn) // nil for a connection that is not of this package's dialer
+	x.gotConnection = true
+	x.conn, _ = info.Conn.(*conn) // nil if this package's dialer did not open it
 	if x.conn != nil {
-		x.begun = x.conn.writes.Load()
+		x.writesBefore = x.conn.writes.Load()
 	}
 	if x.conn == nil {
 		return
 	}
-	x.withdrawn = x.admitted != nil && !x.admitted() && x.conn.seal(x.begun)
-	x.rested = !x.withdrawn && x.mostIdle > 0 && info.Reused && info.IdleTime > x.mostIdle && x.conn.seal(x.begun)
+	x.withdrawn = x.admitted != nil && !x.admitted() && x.conn.sealIfNoWriteSince(x.writesBefore)
+	x.idleTooLong = !x.withdrawn && x.mostIdle > 0 && info.Reused && info.IdleTime > x.mostIdle && x.conn.sealIfNoWriteSince(x.writesBefore)
 }
 
-func (x *exchange) trace(r Request) *httptrace.ClientTrace {
+// trace returns the hooks for net/http that call gotConn and r.Informational.
+func (x *connTracker) trace(r Request) *httptrace.ClientTrace {
 	t := &httptrace.ClientTrace{GotConn: x.gotConn}
 	if r.Informational != nil {
 		t.Got1xxResponse = func(code int, header textproto.MIMEHeader) error {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 )
 
-const patience = 300 * time.Millisecond
+const blockedTimeout = 300 * time.Millisecond
 
 func endpoint(t interface {
 	assert.TestingT
@@ -29,12 +29,12 @@
 	return e
 }
 
-// attempt is what a test saw of one attempt.
+// attempt is the outcome of one attempt as its caller sees it.
 type attempt struct {
 	verdict verdict.Verdict
 	status  int
 	body    string
-	whole   bool
+	whole   bool // the body was read to its end without an error
 }
 
 func send(c *upstream.Client, addr, method, key, body string, header http.Header, within time.Duration) attempt {
@@ -58,14 +58,15 @@
 	return out
 }
 
-// check compares what was told with what the endpoint counted.
+// check compares the verdict and body of an attempt with ran, which is how often the endpoint ran
+// the request with that key.
 func check(t assert.TestingT, a attempt, key string, ran int) {
 	assert.Assert(t, ran <= 1, "%s ran %d times", key, ran)
 	switch a.verdict {
 	case verdict.NotRun:
-		assert.Equal(t, ran, 0, "%s was told not-run and ran", key)
+		assert.Equal(t, ran, 0, "%s has verdict not-run, but ran", key)
 	case verdict.Ran:
-		assert.Equal(t, ran, 1, "%s was told ran", key)
+		assert.Equal(t, ran, 1, "%s has verdict ran", key)
 	}
 	if a.whole && a.status == http.StatusOK {
 		assert.Equal(t, a.body, "answer to "+key)
@@ -74,22 +75,23 @@
 
 var methods = []string{"GET", "HEAD", "OPTIONS", "TRACE", "POST", "PUT", "PATCH", "DELETE"}
 
-// TestEndpointReadsAndCloses is the trap in net/http's Transport: it sends
-// requests that look replayable again when a reused connection fails.
-func TestEndpointReadsAndCloses(t *testing.T) {
+// TestRequestIsNotResentAfterClose checks that a request runs once if the endpoint closes the
+// connection after reading it. http.Transport resends requests that look replayable when a
+// reused connection fails.
+func TestRequestIsNotResentAfterClose(t *testing.T) {
 	for _, method := range methods {
 		for _, idempotencyKey := range []bool{false, true} {
 			for _, reused := range []bool{false, true} {
 				for _, f := range []rawendpoint.Fault{rawendpoint.CloseAfterRead, rawendpoint.ResetAfterRead, rawendpoint.CloseMidAnswer} {
 					name := fmt.Sprintf("%s/idempotency-key=%v/reused=%v/%s", method, idempotencyKey, reused, f)
-					t.Run(name, func(t *testing.T) { readsAndCloses(t, method, idempotencyKey, reused, f) })
+					t.Run(name, func(t *testing.T) { testNoResendAfterClose(t, method, idempotencyKey, reused, f) })
 				}
 			}
 		}
 	}
 }
 
-func readsAndCloses(t *testing.T, method string, idempotencyKey, reused bool, f rawendpoint.Fault) {
+func testNoResendAfterClose(t *testing.T, method string, idempotencyKey, reused bool, f rawendpoint.Fault) {
 	e := endpoint(t)
 	c := upstream.NewClient(upstream.Options{})
 	defer c.Close()
@@ -107,9 +109,9 @@
 	assert.Equal(t, e.Ran("petition"), 1)
 }
 
-// TestVerdictsAreHonest sends requests through connections that fail at any
-// point, in any order, and compares each verdict with the endpoint's count.
-func TestVerdictsAreHonest(t *testing.T) {
+// TestVerdictsMatchRuns sends requests on connections that fail at random points, and compares
+// each verdict with how often the endpoint ran the request.
+func TestVerdictsMatchRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := endpoint(t)
 		c := upstream.NewClient(upstream.Options{})
@@ -133,15 +135,15 @@
 	})
 }
 
-// TestCancelWhileDialing: a request that is given up on before a connection
-// exists did not run, and never runs later.
+// TestCancelWhileDialing checks that a request whose deadline passes before it gets a connection
+// did not run and does not run later.
 func TestCancelWhileDialing(t *testing.T) {
 	c := upstream.NewClient(upstream.Options{Connections: 1})
 	defer c.Close()
 	e := endpoint(t)
 	e.Set(rawendpoint.SilentAfterRead)
 	blocked := make(chan attempt, 1)
-	go func() { blocked <- send(c, e.Addr(), "POST", "first", "x", http.Header{}, patience) }()
+	go func() { blocked <- send(c, e.Addr(), "POST", "first", "x", http.Header{}, blockedTimeout) }()
 	for e.Ran("first") == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -153,9 +155,9 @@
 	assert.Equal(t, e.Ran("second"), 0)
 }
 
-// TestCutAnswerIsSeenAsCut: a body that ends early is an error, never a clean
-// short answer.
-func TestCutAnswerIsSeenAsCut(t *testing.T) {
+// TestTruncatedBodyIsAnError checks that reading a body that ends early fails, so that it is not
+// taken for a shorter body.
+func TestTruncatedBodyIsAnError(t *testing.T) {
 	for _, f := range []rawendpoint.Fault{rawendpoint.CutBody, rawendpoint.CutChunked} {
 		e := endpoint(t)
 		e.Set(f)
@@ -167,9 +169,9 @@
 	}
 }
 
-// TestForeignAnswerIsDiscarded: an answer with the identity of another request
+// TestResponseToAnotherRequestIsDiscarded checks that a response with the ID of another request
 // never reaches the caller.
-func TestForeignAnswerIsDiscarded(t *testing.T) {
+func TestResponseToAnotherRequestIsDiscarded(t *testing.T) {
 	e := endpoint(t)
 	e.Set(rawendpoint.AnswerForeign)
 	c := upstream.NewClient(upstream.Options{})
