--- a/relay/askers.go
+++ b/relay/askers.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// askerTTL is how long a balancer that asked for changes counts as an asker.
+// askerTTL is how long a balancer counts as an asker after it requested changes.
 const askerTTL = 2 * time.Second
 
-// askers are the balancers that lately called this one for changes. The zero value is empty. It is
-// not safe for concurrent use.
+// askers are the balancers that requested changes from this one within the last askerTTL. The zero
+// value is empty. It is not safe for concurrent use.
 type askers struct {
 	lastAsked map[string]time.Time // time of the last call, by address
 	prunedAt  time.Time            // when expired askers were last removed
@@ -19,7 +19,8 @@
 	inTouchAt time.Time            // when that asker reported it
 }
 
-// record records a call and reports whether its sender is in touch with the store.
+// record records a request for changes and reports whether its sender is in touch with the store.
+// Requests of an earlier version, which carry no address, are ignored.
 func (a *askers) record(args ChangesArgs, now time.Time) bool {
 	if args.From == "" {
 		return false
@@ -41,16 +42,18 @@
 	return args.InTouch
 }
 
-// alternative returns the address of the asker that is in touch with the store; empty for none.
-func (a *askers) alternative(now time.Time) string {
+// lastInTouch returns the address of the asker that was the last to report that it is in touch with
+// the store. It is empty if that asker has withdrawn the report or not repeated it for askerTTL.
+func (a *askers) lastInTouch(now time.Time) string {
 	if now.Sub(a.inTouchAt) >= askerTTL {
 		return ""
 	}
 	return a.inTouch
 }
 
-// recordAsker records a call for changes. If the caller is in touch with the store, it wakes the
-// calls that wait here, so that they can be referred to it.
+// recordAsker records a request for changes. If its sender is in touch with the store, recordAsker
+// wakes the calls that wait for this balancer to become settled, so that they are referred to the
+// sender.
 func (g *Group) recordAsker(args ChangesArgs, now time.Time) {
 	g.mu.Lock()
 	callerInTouch := g.askers.record(args, now)
@@ -60,21 +63,21 @@
 	}
 }
 
-// askerInTouch returns the address of the asker that is in touch with the store; empty for none.
+// askerInTouch is askers.lastInTouch under the lock.
 func (g *Group) askerInTouch(now time.Time) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.askers.alternative(now)
+	return g.askers.lastInTouch(now)
 }
 
 // unsettledReply returns the reply of this balancer while it is not settled: whether it lost the
 // store, and which balancer to ask instead. That is an asker in touch with the store, the relay
 // that this balancer follows or, while it starts, the relay that it will ask next.
 func (g *Group) unsettledReply(now time.Time) ChangesReply {
-	lost := g.follower.Active()
+	lost := g.follower.Active() // it watches the store but is not settled
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	alternative := cmp.Or(g.askers.alternative(now), g.currentRelay.Addr)
+	alternative := cmp.Or(g.askers.lastInTouch(now), g.currentRelay.Addr)
 	if alternative == "" && g.starting.Load() {
 		next, _ := nextRelay(g.replica.allRelays(), Relay{Addr: g.cfg.Addr, Zone: g.cfg.Zone}, g.penalized, g.relayOffset, now)
 		alternative = next.Addr
@@ -82,8 +85,8 @@
 	return ChangesReply{StoreLost: lost, Askers: len(g.askers.lastAsked), Instead: alternative}
 }
 
-// waitSettled waits until this balancer is settled, knows a balancer other than the asker that is
-// in touch with the store, or news reports true, for at most limit.
+// waitSettled waits for at most limit until this balancer is settled, until another balancer than
+// asker has reported that it is in touch with the store, or until news reports true.
 func (g *Group) waitSettled(asker string, limit time.Duration, news func() bool) {
 	g.settleWaiters.Add(1)
 	defer g.settleWaiters.Add(-1)
@@ -97,12 +100,13 @@
 	}
 }
 
-// OnAnswer handles an answer of the store. Pass it to the follower as its OnAnswer option.
+// OnAnswer wakes the calls that wait for this balancer to become settled, because the store has
+// answered. Pass it to the follower as its OnAnswer option.
 func (g *Group) OnAnswer() { g.wakeSettleWaiters() }
 
-// OnFailure handles a failed call to the store. Pass it to the follower as its OnFailure option.
-// Calls that wait here learn at once that this balancer is no longer settled, not at the end of
-// their wait, because they must get changes elsewhere in the meantime.
+// OnFailure wakes all waiting calls if a failed call to the store has left this balancer unsettled.
+// Calls that wait for changes then return at once, not at the end of their wait, because the callers
+// must get changes elsewhere in the meantime. Pass it to the follower as its OnFailure option.
 func (g *Group) OnFailure() {
 	if !g.follower.Settled(time.Now()) {
 		g.replica.wakeWaiters()
--- a/relay/bootstrap_test.go
+++ b/relay/bootstrap_test.go
@@ -41,13 +41,13 @@
 	switch rapid.SampledFrom([]string{"change", "restart", "stale read", "stale part", "ask", "deliver", "deliver again", "drop", "follow", "time"}).Draw(t, "step") {
 	case "change":
 		f.store.change(t)
-		f.pastReads = append(f.pastReads, f.store.whole())
+		f.pastReads = append(f.pastReads, f.store.fullRead())
 	case "restart":
 		f.replicas[i] = newReplica()
 	case "stale read":
-		rep.apply(rapid.SampledFrom(f.pastReads).Draw(t, "reading"), f.now)
-	case "stale part": // some keys of a full read, from the store or from another balancer
-		part := rapid.SampledFrom(f.pastReads).Draw(t, "reading")
+		rep.apply(rapid.SampledFrom(f.pastReads).Draw(t, "read"), f.now)
+	case "stale part": // some keys of an earlier full read, as the store or another balancer may send them
+		part := rapid.SampledFrom(f.pastReads).Draw(t, "read")
 		part.Whole, part.Part, part.At = false, true, 0
 		part.Records = part.Records[:rapid.IntRange(0, len(part.Records)).Draw(t, "keys")]
 		rep.apply(part, f.now)
@@ -95,11 +95,11 @@
 func TestPeerCopiesConvergeWithStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fleetModel{store: &storeModel{revision: 1, records: map[string]directory.Record{}}, now: start}
-		f.pastReads = []directory.Changes{f.store.whole()}
+		f.pastReads = []directory.Changes{f.store.fullRead()}
 		for range 4 {
 			f.replicas = append(f.replicas, newReplica())
 		}
-		f.replicas[0].apply(f.store.whole(), f.now)
+		f.replicas[0].apply(f.store.fullRead(), f.now)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			before := map[*replica]map[string]uint64{}
 			for _, rep := range f.replicas {
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -18,9 +18,9 @@
 // Serving reports whether this balancer is its zone's relay.
 func (g *Group) Serving() bool { return g.isRelay(time.Now()) }
 
-// isRelay reports whether this balancer is its zone's relay: the registered one or, if the zone
-// has none, one that registered within the last TTL, in case the store has not reported the
-// registration yet.
+// isRelay reports whether this balancer is its zone's registered relay. While the zone has none,
+// this balancer also counts as the relay for one TTL after it registered, because the store may not
+// have reported the registration yet.
 func (g *Group) isRelay(now time.Time) bool {
 	own, ok := g.replica.relay(g.cfg.Zone)
 	if ok {
@@ -38,7 +38,7 @@
 	defer g.mu.Unlock()
 	alternative := s.alternative
 	if mayFollowAsker && alternative == "" {
-		alternative = g.askers.alternative(now)
+		alternative = g.askers.lastInTouch(now)
 	}
 	if alternative != "" && alternative != g.cfg.Addr && !now.Before(g.penalized[alternative]) {
 		return Relay{ID: alternative, Addr: alternative, Zone: g.cfg.Zone}, true
@@ -48,9 +48,9 @@
 }
 
 // mayFollowAsker reports whether this balancer may follow one of its askers that is in touch with
-// the store. A relay may, since it may have lost the store, and so may an unsettled balancer while
-// no relay is registered, for example one whose own registration has ended. No other balancer may:
-// two that are in touch would follow each other.
+// the store. Only two kinds of balancer do: a relay, in case it has lost the store, and an unsettled
+// balancer while no relay is registered, for example one whose own registration has ended.
+// Otherwise two balancers that are in touch with the store would follow each other.
 func (g *Group) mayFollowAsker(now time.Time) bool {
 	return g.isRelay(now) || len(g.replica.allRelays()) == 0 && !g.follower.Settled(now)
 }
@@ -79,9 +79,10 @@
 	g.penalized[r.Addr] = until
 }
 
-// clearPenalty ends the penalty of a relay. A relay that answered a call that waited there for the
-// store's return is healthy again. Without this its followers would not ask it for the rest of the
-// penalty, and each of them would watch the store.
+// clearPenalty ends the penalty of a relay that has answered. A relay that lost the store is
+// penalized, but its followers still make patient calls to it. When one of these calls returns
+// changes, the relay is settled again; with the penalty in place its followers would not ask it, and
+// each of them would watch the store.
 func (g *Group) clearPenalty(r Relay) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/relay/counting.go
+++ b/relay/counting.go
@@ -11,8 +11,8 @@
 	"github.com/lotuswing/lotuswing/link"
 )
 
-// CountArgs reports the counts of a balancer, or of another zone's relay, and asks for capacity at
-// endpoints. Package gob sends the names of the fields.
+// CountArgs reports the counts that a balancer, or the relay of another zone, keeps with package
+// tally, and asks for capacity at endpoints. Package gob sends the names of the fields.
 type CountArgs struct {
 	Report tally.Report
 	From   string      // address of the caller
@@ -70,8 +70,8 @@
 
 // Followed returns the address of the balancer that last answered a call for changes. Before the
 // first answer it returns the registered relay that will be asked first, and an empty string if
-// there is none. A balancer that has just started serves before it follows a relay, and grants part
-// of a quota again until it is told what is left of it.
+// there is none, so that counts are reported early: a balancer that has just started serves before
+// it follows a relay, and until it is told what is left of a quota it grants part of it again.
 func (g *Group) Followed() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/relay/delivery.go
+++ b/relay/delivery.go
@@ -22,9 +22,9 @@
 	// noteBatchDelay is how long a relay collects notes before it wakes waiting calls, so that
 	// notes published by many balancers at once are not passed on one by one.
 	noteBatchDelay = 5 * time.Millisecond
-	// deliveryBackoff is the first pause after a failed delivery of notes. It doubles with each
+	// minDeliveryBackoff is the first pause after a failed delivery of notes. It doubles with each
 	// failure, up to maxDeliveryBackoff.
-	deliveryBackoff    = 250 * time.Millisecond
+	minDeliveryBackoff = 250 * time.Millisecond
 	maxDeliveryBackoff = 4 * time.Second
 )
 
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// receiveNotes adds the notes of other balancers to the log, wakes waiting calls and passes new
-// notes to OnNote.
+// receiveNotes adds notes that a peer passed on to the log, wakes waiting calls and passes new notes
+// of other balancers to OnNote.
 func (g *Group) receiveNotes(notes []Note) {
 	news := g.notes.add(notes, bootclock.Now())
 	if len(news) == 0 {
@@ -114,34 +114,34 @@
 // deliverNotes delivers this balancer's notes to the balancer at addr until that one has accepted
 // them all or no longer passes notes on.
 func (g *Group) deliverNotes(ctx context.Context, addr string) {
-	wait := deliveryBackoff
+	wait := minDeliveryBackoff
 	for {
-		notes, at, ok := g.undeliveredNotes(ctx, addr)
+		notes, last, ok := g.undeliveredNotes(ctx, addr)
 		if !ok {
 			return
 		}
-		if err := g.deliverOnce(ctx, addr, notes, at); err != nil {
+		if err := g.deliverOnce(ctx, addr, notes, last); err != nil {
 			g.cfg.Log.Debug("could not deliver notes", "relay", addr, "error", err)
 			pause.For(ctx, wait)
 			wait = min(2*wait, maxDeliveryBackoff)
 			continue
 		}
-		wait = deliveryBackoff
+		wait = minDeliveryBackoff
 	}
 }
 
 // undeliveredNotes returns this balancer's notes that the balancer at addr has not accepted yet,
-// and the index of the last one. It returns false and ends the delivery if there are none, if that
+// and the index of the last note in the log. It returns false and ends the delivery if there are none, if that
 // balancer no longer passes notes on, or if ctx has ended; a later note starts a new delivery.
 func (g *Group) undeliveredNotes(ctx context.Context, addr string) ([]Note, uint64, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	notes, last := g.notes.since(logPosition{life: g.notes.life, at: g.delivered[addr].at}, g.cfg.Addr, bootclock.Now())
+	notes, last := g.notes.since(logPosition{life: g.notes.life, index: g.delivered[addr].index}, g.cfg.Addr, bootclock.Now())
 	if ctx.Err() != nil || len(notes) == 0 || addr != g.lastResponder && !g.replica.isRelay(addr) {
 		delete(g.delivering, addr)
 		return nil, 0, false
 	}
-	return notes, last.at, true
+	return notes, last.index, true
 }
 
 // deliverOnce sends notes to the balancer at addr and records their acceptance. last is the index
@@ -164,6 +164,6 @@
 	if len(g.delivered) >= maxTrackedPeers {
 		clear(g.delivered) // delivering a note twice does no harm
 	}
-	g.delivered[addr] = logPosition{life: reply.Life, at: last}
+	g.delivered[addr] = logPosition{life: reply.Life, index: last}
 	return nil
 }
--- a/relay/delivery_test.go
+++ b/relay/delivery_test.go
@@ -47,14 +47,14 @@
 	assert.NilError(t, from.group.Publish("topic", []byte(text)))
 	for i, m := range all {
 		if m != from {
-			waitUntil(t, fmt.Sprintf("%q at %d", text, i), func() bool { return m.heard.has("topic " + text) })
+			waitUntil(t, fmt.Sprintf("%q at %d", text, i), func() bool { return m.received.has("topic " + text) })
 		}
 	}
-	assert.Assert(t, !from.heard.has("topic "+text), "a balancer receives its own note")
+	assert.Assert(t, !from.received.has("topic "+text), "a balancer receives its own note")
 }
 
-// following waits until all balancers follow a relay.
-func following(t *testing.T, all ...*testBalancer) {
+// waitUntilFollowing waits until all balancers follow a relay.
+func waitUntilFollowing(t *testing.T, all ...*testBalancer) {
 	t.Helper()
 	for _, m := range all {
 		waitUntil(t, "following a relay", func() bool {
@@ -69,13 +69,13 @@
 func TestNotesReachEverybody(t *testing.T) {
 	store := platformtest.NewStore()
 	publish(store, 1)
-	all, chosen, others := startZone(t, store, 3)
+	all, zoneRelay, others := startZone(t, store, 3)
 	far := startBalancer(t, store, "tribunal")
 	publishAndWait(t, store, 2, append(all, far)...)
 	waitUntil(t, "a relay of the other zone", func() bool { return len(store.Keys("lotuswing/relays/")) == 2 })
 	balancers := append(slices.Clone(all), far)
 	publishNote(t, others[0], "from a follower", balancers...)
-	publishNote(t, chosen, "from the relay", balancers...)
+	publishNote(t, zoneRelay, "from the relay", balancers...)
 	publishNote(t, far, "from another zone", balancers...)
 	assert.DeepEqual(t, store.Keys("lotuswing/"), []string{"lotuswing/relays/medina", "lotuswing/relays/tribunal"})
 }
@@ -84,12 +84,12 @@
 func TestNotesWhileTheStoreIsDown(t *testing.T) {
 	store := platformtest.NewStore()
 	publish(store, 1)
-	all, chosen, others := startZone(t, store, 3)
-	following(t, others...)
+	all, zoneRelay, others := startZone(t, store, 3)
+	waitUntilFollowing(t, others...)
 	store.SetFaults(platformtest.Faults{Refuse: true})
-	waitUntil(t, "the relay has lost the store", chosen.follower.Lost)
+	waitUntil(t, "the relay has lost the store", zoneRelay.follower.Lost)
 	publishNote(t, others[0], "while it is down", all...)
-	publishNote(t, chosen, "from the relay", all...)
+	publishNote(t, zoneRelay, "from the relay", all...)
 	store.SetFaults(platformtest.Faults{})
 	publishAndWait(t, store, 2, all...)
 }
@@ -99,14 +99,14 @@
 func TestNotesSurviveTheRelay(t *testing.T) {
 	store := platformtest.NewStore()
 	publish(store, 1)
-	_, chosen, others := startZone(t, store, 3)
-	following(t, others...)
-	assert.NilError(t, others[0].group.Publish("topic", []byte("told to the one that ends")))
-	chosen.kill()
+	_, zoneRelay, others := startZone(t, store, 3)
+	waitUntilFollowing(t, others...)
+	assert.NilError(t, others[0].group.Publish("topic", []byte("published before the relay ends")))
+	zoneRelay.kill()
 	waitUntil(t, "another relay", func() bool { return len(settledBalancers(others)) == 1 })
-	waitUntil(t, "note received by the other follower", func() bool { return others[1].heard.has("topic told to the one that ends") })
+	waitUntil(t, "note received by the other follower", func() bool { return others[1].received.has("topic published before the relay ends") })
 	late := startBalancer(t, store, "medina")
-	waitUntil(t, "note received by the late balancer", func() bool { return late.heard.has("topic told to the one that ends") })
+	waitUntil(t, "note received by the late balancer", func() bool { return late.received.has("topic published before the relay ends") })
 }
 
 // TestNoteTooLong checks that Publish rejects a note that no balancer would accept.
--- a/relay/follow.go
+++ b/relay/follow.go
@@ -10,10 +10,10 @@
 	"github.com/lotuswing/lotuswing/link"
 )
 
-// idlePause is the pause between two checks while there is nobody to ask.
+// idlePause is the longest pause between two steps of followRelays that call no relay.
 const idlePause = 200 * time.Millisecond
 
-// subscription is the state that followRelays keeps between calls.
+// subscription is the state that followRelays keeps between its steps.
 type subscription struct {
 	lastSettledAnswer time.Time // when a settled relay last answered
 	relayAddr         string    // address of the relay that is followed; empty for none
@@ -42,7 +42,7 @@
 }
 
 // followOnce runs one step of followRelays: it calls a relay once, or waits for a moment if there
-// is nobody to ask.
+// is none to call or this balancer is a settled relay itself.
 func (g *Group) followOnce(ctx context.Context, s *subscription) {
 	g.cfg.Suspensions.Check()
 	if g.serveAsRelay(time.Now()) {
@@ -60,7 +60,7 @@
 	case ok:
 		g.fetchFrom(ctx, target, s)
 	case inOutage:
-		g.waitAtLostRelay(ctx, s)
+		g.waitAtUnsettledRelay(ctx, s)
 	default:
 		g.handleNoRelay(ctx, s)
 	}
@@ -96,12 +96,12 @@
 }
 
 // handleNoRelay handles the case that there is no relay to ask: it activates the follower, so that
-// this balancer watches the store. A balancer that heard from a settled relay a moment ago, or has
-// just started, waits for a relay first, so that not every balancer of a fleet watches the store
-// for a moment.
+// this balancer watches the store. A balancer that has just started, or to which a settled relay
+// answered within Wait and Slack, waits for a relay first. Otherwise every balancer of a fleet would
+// briefly watch the store whenever there is no relay.
 func (g *Group) handleNoRelay(ctx context.Context, s *subscription) {
 	if !g.starting.Load() {
-		if g.opts.mustFollowStore(s.lastSettledAnswer, time.Now()) {
+		if g.opts.mustWatchStore(s.lastSettledAnswer, time.Now()) {
 			g.follower.SetActive(true)
 		}
 		g.replica.waitChange(ctx, idlePause)
@@ -146,7 +146,7 @@
 	var reply ChangesReply
 	err := g.client.Call(ctx, r.Addr, methodChanges, ChangesArgs{
 		After: after, Wait: g.opts.Wait, From: g.cfg.Addr, Patient: patient, InTouch: g.follower.Settled(time.Now()),
-		TakesNotes: true, NotesLife: position.life, NotesAfter: position.at,
+		TakesNotes: true, NotesLife: position.life, NotesAfter: position.index,
 	}, &reply)
 	if err == nil {
 		g.receiveReplyNotes(r.Addr, reply)
@@ -188,7 +188,7 @@
 	if len(g.received) >= maxTrackedPeers {
 		clear(g.received) // receiving a note twice does no harm
 	}
-	g.received[addr] = logPosition{life: reply.NotesLife, at: reply.NotesAt}
+	g.received[addr] = logPosition{life: reply.NotesLife, index: reply.NotesAt}
 	newResponder := g.lastResponder != addr
 	g.lastResponder = addr
 	g.mu.Unlock()
@@ -208,7 +208,7 @@
 	if r.revision > 0 { // r is a registered relay, not a balancer named by a peer
 		s.lastRelay = r
 	}
-	if g.replica.isRelay(s.alternative) { // the relay of this balancer's own zone takes precedence again
+	if g.replica.isRelay(s.alternative) { // it is among the candidates anyway, and the own zone's relay comes first there
 		s.alternative = ""
 	}
 	g.starting.Store(false)
@@ -226,10 +226,11 @@
 }
 
 // recordFailure records that r failed with err and penalizes it. It activates the follower if no
-// relay has answered for too long, but deactivates it while relays report that the store is lost.
+// relay has answered for too long. While relays report that the store is lost, it deactivates the
+// follower instead, unless the follower is settled.
 func (g *Group) recordFailure(r Relay, s *subscription, err error, now time.Time) {
 	g.penalize(r, now.Add(g.opts.penalty(err)), now)
-	if r.revision == 0 { // r was named while the relays had lost the store; they may have regained it
+	if r.revision == 0 { // r is an alternative from an outage; the relays may have the store back
 		g.clearPenalties(s)
 	}
 	level := hclog.Debug
@@ -245,7 +246,7 @@
 		if !g.follower.Settled(now) {
 			g.follower.SetActive(false)
 		}
-	case g.opts.mustFollowStore(s.lastSettledAnswer, now) && !g.starting.Load():
+	case g.opts.mustWatchStore(s.lastSettledAnswer, now) && !g.starting.Load():
 		g.follower.SetActive(true)
 	}
 }
--- a/relay/notes.go
+++ b/relay/notes.go
@@ -63,7 +63,7 @@
 type loggedNote struct {
 	note        Note
 	publishedAt time.Time // on a clock that also runs during a suspension
-	at          uint64    // index in the noteLog, from 1
+	index       uint64    // position in the noteLog, from 1
 }
 
 // noteLog holds the notes that a balancer knows, including its own, in the order in which it
@@ -72,10 +72,10 @@
 type noteLog struct {
 	life uint64 // identifies this process, random, never 0
 
-	mu      sync.Mutex
-	entries []loggedNote
-	known   map[noteID]bool
-	at      uint64 // index of the last note
+	mu        sync.Mutex
+	entries   []loggedNote
+	known     map[noteID]bool
+	lastIndex uint64 // index of the last note
 	// lastPruned is when expired notes were last dropped.
 	lastPruned time.Time
 }
@@ -95,9 +95,9 @@
 		if l.known[n.id()] || n.Age > n.retention() || len(n.Data) > maxNoteBytes {
 			continue
 		}
-		l.at++
+		l.lastIndex++
 		l.known[n.id()] = true
-		l.entries = append(l.entries, loggedNote{note: n, publishedAt: now.Add(-max(0, n.Age)), at: l.at})
+		l.entries = append(l.entries, loggedNote{note: n, publishedAt: now.Add(-max(0, n.Age)), index: l.lastIndex})
 		news = append(news, n)
 	}
 	l.dropOldest()
@@ -112,12 +112,12 @@
 	}
 	l.lastPruned = now
 	kept := l.entries[:0]
-	for _, h := range l.entries {
-		if now.Sub(h.publishedAt) > h.note.retention() {
-			delete(l.known, h.note.id())
+	for _, e := range l.entries {
+		if now.Sub(e.publishedAt) > e.note.retention() {
+			delete(l.known, e.note.id())
 			continue
 		}
-		kept = append(kept, h)
+		kept = append(kept, e)
 	}
 	clear(l.entries[len(kept):])
 	l.entries = kept
@@ -129,16 +129,16 @@
 	if over <= 0 {
 		return
 	}
-	for _, h := range l.entries[:over] {
-		delete(l.known, h.note.id())
+	for _, e := range l.entries[:over] {
+		delete(l.known, e.note.id())
 	}
 	l.entries = append(l.entries[:0], l.entries[over:]...)
 }
 
 // logPosition is a position in the note log of one process, which life identifies.
 type logPosition struct {
-	life uint64
-	at   uint64 // index of a note in the log, from 1; 0 for the beginning
+	life  uint64
+	index uint64 // index of a note in the log, from 1; 0 for the beginning
 }
 
 // since returns the notes after a position, with their ages, and the position of the last note in
@@ -148,19 +148,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if p.life != l.life {
-		p.at = 0
+		p.index = 0
 	}
 	var notes []Note
-	for _, h := range l.entries {
-		age := now.Sub(h.publishedAt)
-		if h.at <= p.at || age > h.note.retention() || origin != "" && h.note.Origin != origin {
+	for _, e := range l.entries {
+		age := now.Sub(e.publishedAt)
+		if e.index <= p.index || age > e.note.retention() || origin != "" && e.note.Origin != origin {
 			continue
 		}
-		n := h.note
+		n := e.note
 		n.Age = age
 		notes = append(notes, n)
 	}
-	return notes, logPosition{life: l.life, at: l.at}
+	return notes, logPosition{life: l.life, index: l.lastIndex}
 }
 
 // hasAfter reports whether the log has notes after a position.
@@ -168,7 +168,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if p.life != l.life {
-		p.at = 0
+		p.index = 0
 	}
-	return len(l.entries) > 0 && l.entries[len(l.entries)-1].at > p.at
+	return len(l.entries) > 0 && l.entries[len(l.entries)-1].index > p.index
 }
--- a/relay/notes_test.go
+++ b/relay/notes_test.go
@@ -24,7 +24,7 @@
 	assert.Equal(t, len(notes), 2)
 	assert.Equal(t, notes[0].Age, time.Second)
 	assert.Assert(t, !l.hasAfter(at))
-	assert.Assert(t, l.hasAfter(logPosition{life: at.life + 1, at: at.at}), "a position in the log of another process")
+	assert.Assert(t, l.hasAfter(logPosition{life: at.life + 1, index: at.index}), "a position in the log of another process")
 	l.add([]Note{newNote("a", 2)}, later)
 	assert.Assert(t, l.hasAfter(at))
 	notes, _ = l.since(at, "", later)
--- a/relay/outage.go
+++ b/relay/outage.go
@@ -9,8 +9,8 @@
 
 // While the store does not answer, a relay reports this to its followers, so that they need not
 // find out on their own. They stay with the relay and probe the store at intervals that grow with
-// their number, so that their total call rate does not. The relay names the first follower that
-// the store answers to the others, which follow it until a relay is settled again.
+// the number of followers, which keeps their total call rate constant. If the store answers one
+// follower, the relay refers the others to it, and they follow it until a relay is settled again.
 
 const (
 	// initialProbeInterval and probeInterval are the mean times between two probes of a lost store
@@ -18,12 +18,12 @@
 	// store rejects only the relay.
 	initialProbeInterval = 200 * time.Millisecond
 	probeInterval        = 500 * time.Millisecond
-	// smallGroupProbeDelay is the mean time between two probes of one follower if there are few
-	// followers: the store may serve only one of them, and no other finds out on its behalf.
-	// smallGroupSize is the number of followers by which the proportional delay is reduced; see
+	// smallGroupProbeDelay bounds the mean time between two probes of one follower if there are few
+	// followers: the store may serve only one of them, and no other probe finds that out.
+	// uncountedFollowers is the number of followers that do not lengthen this time; see
 	// meanProbeDelay.
 	smallGroupProbeDelay = 1500 * time.Millisecond
-	smallGroupSize       = 5
+	uncountedFollowers   = 5
 	// reportTTL is how long a relay's report that the store is lost stays valid.
 	reportTTL = 3 * time.Second
 )
@@ -60,12 +60,13 @@
 	return o
 }
 
-// meanProbeDelay returns the mean time between two probes by one follower. With many followers, a
-// store that serves some of them serves one that probes soon. With few, it may serve only the one
-// that probes last.
+// meanProbeDelay returns the mean time between two probes by one follower. It grows with the number
+// of followers, but is shortened for small groups. If the store serves some of many followers, one
+// of these probes soon in any case. In a small group the store may serve a single follower, and all
+// others depend on how soon that one probes.
 func (o outage) meanProbeDelay() time.Duration {
 	proportional := time.Duration(o.askers) * probeInterval
-	return max(min(proportional, smallGroupProbeDelay), proportional-smallGroupSize*probeInterval)
+	return max(min(proportional, smallGroupProbeDelay), proportional-uncountedFollowers*probeInterval)
 }
 
 // withoutReport returns the outage without the report of one relay, which no longer reports the
@@ -106,11 +107,11 @@
 	g.follower.SetActive(true)
 }
 
-// notifyPredecessor tells the relay that was followed before this balancer became one that this
-// balancer is in touch with the store, as long as the predecessor reports the store lost. The
-// predecessor names this balancer to the callers that still wait there, and follows it itself. If
-// its registration has ended and the store rejects it, it does not learn of the next registration
-// in any other way: alone in its zone it would keep outdated content.
+// notifyPredecessor tells the predecessor, which is the relay that this balancer followed before it
+// became a relay, that this balancer is in touch with the store. It does so as long as the
+// predecessor reports the store lost. The predecessor then follows this balancer and refers waiting
+// callers to it. A predecessor that the store rejects and whose registration has ended learns of its
+// successor in no other way: without other relays it would keep outdated content.
 func (g *Group) notifyPredecessor(ctx context.Context, s *subscription) {
 	if !s.outage.reportedBy(s.lastRelay.Addr, time.Now()) {
 		return
@@ -119,9 +120,9 @@
 	s.recordReport(s.lastRelay, err, time.Now())
 }
 
-// waitAtLostRelay calls a relay that has lost the store and waits there until it is settled or
-// names a balancer that is in touch with the store.
-func (g *Group) waitAtLostRelay(ctx context.Context, s *subscription) {
+// waitAtUnsettledRelay makes a patient call to a relay that has lost the store: the call returns
+// when the relay is settled or names a balancer that is in touch with the store.
+func (g *Group) waitAtUnsettledRelay(ctx context.Context, s *subscription) {
 	began := time.Now()
 	target, ok := g.relayReportingLoss(s, began)
 	if !ok {
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -13,19 +13,19 @@
 // TestProbeRateIsIndependentOfFleetSize checks that the followers of one relay together probe a
 // lost store at a bounded rate whatever their number, and that the first probe comes soon.
 func TestProbeRateIsIndependentOfFleetSize(t *testing.T) {
-	const lasts = 20 * time.Second
+	const outageDuration = 20 * time.Second
 	for _, followers := range []int{3, 5, 8, 12, 30, 300, 3000} {
 		rng := rand.New(rand.NewPCG(7, 9))
-		calls, first := 0, lasts
+		calls, first := 0, outageDuration
 		for range followers {
 			o := outage{}.withReport("relay", followers, rng.Float64(), start)
-			for now := o.probeAt; now.Sub(start) < lasts; now = o.probeAt {
+			for now := o.probeAt; now.Sub(start) < outageDuration; now = o.probeAt {
 				calls, first = calls+1, min(first, now.Sub(start))
 				o = o.withReport("relay", followers, rng.Float64(), now) // the relay repeats its report
 				o = o.withProbe(rng.Float64(), now)
 			}
 		}
-		perSecond := float64(calls) / lasts.Seconds()
+		perSecond := float64(calls) / outageDuration.Seconds()
 		assert.Assert(t, perSecond > 0.5 && perSecond < 6, "%d followers: %.1f calls per second", followers, perSecond)
 		assert.Assert(t, first < time.Second, "%d followers: the first call after %v", followers, first)
 	}
@@ -44,21 +44,22 @@
 	assert.Assert(t, !later.reportedBy("a", start.Add(reportTTL)) && later.reportedBy("b", start.Add(reportTTL)))
 	assert.Assert(t, !later.withoutReport("b").reported(start.Add(reportTTL)))
 	assert.Assert(t, !later.reported(start.Add(time.Second+reportTTL)))
-	assert.Equal(t, o.withProbe(0, start).probeAt, start.Add(probeInterval*(10-smallGroupSize)/2))
+	assert.Equal(t, o.withProbe(0, start).probeAt, start.Add(probeInterval*(10-uncountedFollowers)/2))
 }
 
 // TestSmallGroupProbesAgainSoon covers a relay that the store rejects and its five followers, of
 // which the store serves one, and not at first. Users saw a configuration that was served 0.24 s
-// later than allowed: a balancer had received nothing for 5.91 s though the store served it. That
-// is the longest time until the relay reports the loss (0.8 s), the follower's first probe (1 s),
-// which fails, its next one (3.75 s) and a call that waits meanwhile (0.4 s).
+// later than allowed: a balancer had received nothing for 5.91 s though the store served it. It can
+// take that long if each step takes its longest time: the relay's report of the loss (0.8 s), the
+// follower's first probe, which fails (1 s), its next probe (3.75 s) and a call that waits meanwhile
+// (0.4 s).
 func TestSmallGroupProbesAgainSoon(t *testing.T) {
 	const followers, soon = 5, 3500 * time.Millisecond
 	rng := rand.New(rand.NewPCG(3, 9))
 	for range 10_000 {
 		o := outage{}.withReport("relay", followers, rng.Float64(), start)
 		o = o.withProbe(rng.Float64(), o.probeAt)
-		assert.Assert(t, o.probeAt.Sub(start) <= soon, "asks again after %v", o.probeAt.Sub(start))
+		assert.Assert(t, o.probeAt.Sub(start) <= soon, "probes again after %v", o.probeAt.Sub(start))
 	}
 }
 
@@ -71,16 +72,16 @@
 	}
 	assert.Assert(t, !a.record(ChangesArgs{}, start), "callers of an earlier version send no address")
 	assert.Equal(t, len(a.lastAsked), 5)
-	assert.Equal(t, a.alternative(start), "")
+	assert.Equal(t, a.lastInTouch(start), "")
 	assert.Assert(t, a.record(ChangesArgs{From: "3", InTouch: true}, start.Add(time.Second)))
-	assert.Equal(t, a.alternative(start.Add(time.Second)), "3")
+	assert.Equal(t, a.lastInTouch(start.Add(time.Second)), "3")
 	a.record(ChangesArgs{From: "2"}, start.Add(askerTTL))
 	assert.Equal(t, len(a.lastAsked), 2)
-	assert.Equal(t, a.alternative(start.Add(askerTTL)), "3")
-	assert.Equal(t, a.alternative(start.Add(askerTTL+time.Second)), "")
+	assert.Equal(t, a.lastInTouch(start.Add(askerTTL)), "3")
+	assert.Equal(t, a.lastInTouch(start.Add(askerTTL+time.Second)), "")
 	a.record(ChangesArgs{From: "3", InTouch: true}, start.Add(askerTTL))
 	a.record(ChangesArgs{From: "3"}, start.Add(askerTTL))
-	assert.Equal(t, a.alternative(start.Add(askerTTL)), "")
+	assert.Equal(t, a.lastInTouch(start.Add(askerTTL)), "")
 }
 
 // TestOnlyRelayFollowsAsker checks that a relay that has lost the store follows an asker in touch
--- a/relay/packer.go
+++ b/relay/packer.go
@@ -69,7 +69,7 @@
 		return nil, nil
 	}
 	r := flate.NewReader(bytes.NewReader(packed))
-	defer func() { _ = r.Close() }() // closing a reader of memory loses nothing
+	defer func() { _ = r.Close() }() // a reader of a byte slice holds no resources
 	var records []directory.Record
 	if err := json.NewDecoder(io.LimitReader(r, maxPacked)).Decode(&records); err != nil {
 		return nil, fmt.Errorf("relay: unpack: %w", err)
--- a/relay/recovery_test.go
+++ b/relay/recovery_test.go
@@ -96,7 +96,7 @@
 // predecessor that it is in touch with the store, and stops once the predecessor no longer reports
 // this.
 func TestPredecessorIsNotified(t *testing.T) {
-	ctx, start := context.Background(), time.Now() // entries recorded later also count as recent at start
+	ctx, start := context.Background(), time.Now() // nothing that is recorded after start has expired at start
 	old, oldAddr := startStaticGroup(t, false)
 	next, nextAddr := startStaticGroup(t, true)
 	next.replica.apply(directory.Changes{At: 2, Whole: true, Registrations: []directory.Record{
@@ -147,25 +147,25 @@
 	ctx := context.Background()
 	_, relayAddr := startStaticGroup(t, true)
 	giver, giverAddr := startStaticGroup(t, false)
-	readings := new(atomic.Int64)
+	reads := new(atomic.Int64)
 	g := New(Config{Zone: "medina", Addr: "10.0.0.2:1", Log: hclog.NewNullLogger(), Options: Options{StartPoll: time.Millisecond}})
-	g.follower = staticFollower{read: readings, retried: new(atomic.Int64)}
+	g.follower = staticFollower{read: reads, retried: new(atomic.Int64)}
 	g.starting.Store(true)
 	g.bootstrapResult = bootstrap.Result{From: giverAddr}
 	var s subscription
 	g.handleNoRelay(ctx, &s)
-	assert.Equal(t, readings.Load(), int64(1), "the bootstrap source knows no relay")
+	assert.Equal(t, reads.Load(), int64(1), "the bootstrap source knows no relay")
 	giver.starting.Store(true)
 	giver.replica.apply(directory.Changes{At: 1, Whole: true, Registrations: []directory.Record{
 		{Key: "relays/tribunal", Value: []byte(`{"id":"other","addr":"` + relayAddr + `"}`), Revision: 1},
 	}}, time.Now())
 	g.handleNoRelay(ctx, &s)
-	assert.Equal(t, readings.Load(), int64(1), "the bootstrap source has learned of a relay")
+	assert.Equal(t, reads.Load(), int64(1), "the bootstrap source has learned of a relay")
 	got, ok := g.chooseTarget(&s, time.Now())
 	assert.Assert(t, ok && got.Addr == relayAddr)
 	g.bootstrapResult = bootstrap.Result{From: bootstrap.FromStore}
 	g.handleNoRelay(ctx, &subscription{})
-	assert.Equal(t, readings.Load(), int64(2), "the first copy came from the store")
+	assert.Equal(t, reads.Load(), int64(2), "the first copy came from the store")
 
 	g.replica.apply(directory.Changes{At: 2, Whole: true, Registrations: []directory.Record{
 		{Key: "relays/medina", Value: []byte(`{"id":"own","addr":"10.0.0.3:1"}`), Revision: 1},
--- a/relay/registration.go
+++ b/relay/registration.go
@@ -32,7 +32,7 @@
 	Zone string `json:"-"` // taken from the registration's key
 
 	lease    uint64
-	revision uint64
+	revision uint64 // of the registration; 0 for a balancer named by a peer
 }
 
 // parseRelay decodes a registration record.
@@ -81,8 +81,8 @@
 	if g.starting.Load() {
 		g.readRegistrations(ctx)
 	}
-	// Balancers that lost sight of changes for a moment regain it at the same time. Each of them
-	// backs off again, so that they do not all register at once.
+	// Balancers that received no changes for a moment receive them again at the same time. Each of
+	// them backs off again, so that they do not all register at once.
 	for ctx.Err() == nil && !g.starting.Load() && !g.seesRegistrations(time.Now()) {
 		g.replica.waitChange(ctx, minWatchAge)
 		if g.seesRegistrations(time.Now()) && !g.waitBackoff(ctx) {
@@ -96,9 +96,9 @@
 // waitBackoff waits for this balancer's registration backoff, which depends on its processor share,
 // and reports whether the zone still has no relay. It returns early when the zone gets one.
 func (g *Group) waitBackoff(ctx context.Context) bool {
-	share := registrationDraw(slices.Contains(g.cfg.Seeds, g.cfg.Addr), rand.Float64())
-	random := drawJitter(g.opts.maxJitter(len(g.replica.allRelays())), share)
-	return !g.replica.waitRegistration(ctx, g.cfg.Zone, g.opts.backoff(random, g.cfg.Cores)) && ctx.Err() == nil
+	position := jitterPosition(slices.Contains(g.cfg.Seeds, g.cfg.Addr), rand.Float64())
+	jitter := jitterAt(g.opts.maxJitter(len(g.replica.allRelays())), position)
+	return !g.replica.waitRegistration(ctx, g.cfg.Zone, g.opts.backoff(jitter, g.cfg.Cores)) && ctx.Err() == nil
 }
 
 // seesRegistrations reports whether this balancer would know of a registration if one existed.
@@ -131,8 +131,8 @@
 	g.replica.waitRegistration(ctx, g.cfg.Zone, g.opts.TTL)
 }
 
-// renew extends this balancer's lease. If the registration has ended, the store's changes report
-// it.
+// renew extends this balancer's lease. It need not handle the end of the registration, which the
+// store reports among its changes.
 func (g *Group) renew(ctx context.Context, own Relay) {
 	ctx, cancel := context.WithTimeout(ctx, g.opts.TTL/renewalsPerTTL)
 	defer cancel()
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -4,10 +4,10 @@
 // the store themselves only while no reachable relay is settled. A balancer is settled, or in touch
 // with the store, while its own watch keeps it up to date with the store.
 //
-// A Group is the part of one balancer. It owns the replica, which is this process's copy of the
+// Each balancer runs one Group. It owns the replica, which is this process's copy of the
 // store's records, and the connections to other balancers. It runs two loops: follow.go fetches
 // changes, and registration.go elects and registers the zone's relay. Their rules are in rules.go,
-// and server.go serves other balancers. Balancers broadcast small messages beside the store's
+// and server.go serves other balancers, whose calls for changes wait until there is one. Balancers broadcast small messages beside the store's
 // records, called notes (notes.go, delivery.go), and exchange counts for the whole fleet
 // (counting.go). Package bootstrap obtains the first copy of the store's content (bootstrap.go). A
 // Group relies on a Follower, which watches the store and which it switches on and off, on a
@@ -104,7 +104,7 @@
 	ID       string
 	Zone     string
 	Addr     string   // address at which other balancers reach this one
-	Seeds    []string // addresses of some other balancers, used at the start
+	Seeds    []string // addresses of some other balancers, which are asked for a first copy
 	Cores    float64  // processor share in cores; balancers with a larger share register as relays first
 	LinkRate float64  // bandwidth of the VM's network link in bytes per second; 0 if unknown
 	Registry Registry
@@ -122,7 +122,7 @@
 	Suspensions *suspend.Detector
 }
 
-// Group is the part of one balancer in distributing the store's changes. Create it with New.
+// Group distributes the store's changes on behalf of one balancer. Create it with New.
 type Group struct {
 	cfg         Config
 	opts        Options
@@ -135,7 +135,7 @@
 	server      *link.Server
 	stop        context.CancelFunc
 	done        sync.WaitGroup
-	createdAt   time.Time // read with the monotonic clock
+	createdAt   time.Time // with a monotonic clock reading
 	relayOffset int       // random offset that selects among the relays of other zones
 
 	leaving       atomic.Bool  // a planned shutdown has begun
@@ -158,7 +158,7 @@
 	lastResponder   string                 // address of the balancer that last answered a call for changes
 	runCtx          context.Context        // canceled by Close; nil before Start and after Close
 	delivering      map[string]bool        // relays to which a goroutine is delivering notes, by address
-	delivered       map[string]logPosition // index in this balancer's log up to which a peer has accepted its notes, by address, with the peer's life
+	delivered       map[string]logPosition // by address of a peer: its life, and the index in this balancer's own log up to which it has accepted notes
 	received        map[string]logPosition // position in a peer's log up to which its notes have been received, by address
 }
 
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -31,7 +31,7 @@
 	group     *relay.Group
 	source    *platform.Store
 	addr      string
-	heard     noteRecorder
+	received  noteRecorder
 	refused   atomic.Bool // the store rejects calls of this balancer with status 429
 	calls     atomic.Int64
 	fullReads atomic.Int64 // number of full reads that were begun
@@ -39,8 +39,8 @@
 }
 
 const (
-	short = 5 * time.Millisecond
-	long  = 20 * time.Second // far longer than any wait in a passing test
+	short = 5 * time.Millisecond // unit of the balancers' delays, far shorter than in production
+	long  = 20 * time.Second     // far longer than any wait in a passing test
 )
 
 // listen returns a listener for connections between balancers. Its address differs from the source
@@ -92,7 +92,7 @@
 	log := hclog.NewNullLogger()
 	m.group = relay.New(relay.Config{
 		ID: "vm " + m.addr, Zone: zone, Addr: m.addr, Cores: 1, Registry: m.source, Decoder: m.source, Log: log,
-		OnNote: m.heard.record,
+		OnNote: m.received.record,
 		Options: relay.Options{
 			TTL: own.ttl, Wait: 20 * time.Millisecond, Slack: 500 * time.Millisecond,
 			Penalty: 100 * time.Millisecond, BackoffBase: 10 * short, BackoffJitter: 40 * short,
@@ -174,36 +174,36 @@
 }
 
 // startZone starts balancers in one zone and waits until one of them is the relay of the others.
-func startZone(t *testing.T, store *platformtest.Store, count int) (all []*testBalancer, chosen *testBalancer, others []*testBalancer) {
+func startZone(t *testing.T, store *platformtest.Store, count int) (all []*testBalancer, zoneRelay *testBalancer, others []*testBalancer) {
 	t.Helper()
 	return startZoneWith(t, store, count, timing{readSpread: 10 * short, ttl: shortTTL})
 }
 
-// startZoneWith does the same with the given timing.
-func startZoneWith(t *testing.T, store *platformtest.Store, count int, own timing) (all []*testBalancer, chosen *testBalancer, others []*testBalancer) {
+// startZoneWith is startZone with the given timing.
+func startZoneWith(t *testing.T, store *platformtest.Store, count int, own timing) (all []*testBalancer, zoneRelay *testBalancer, others []*testBalancer) {
 	t.Helper()
 	for range count {
 		all = append(all, startBalancerWith(t, store, "medina", listen(t), own))
 	}
 	waitUntil(t, "one relay", func() bool { return store.Calls()["kv-keep"] > 0 && len(settledBalancers(all)) == 1 })
-	chosen = settledBalancers(all)[0]
+	zoneRelay = settledBalancers(all)[0]
 	for _, m := range all {
-		if m != chosen {
+		if m != zoneRelay {
 			others = append(others, m)
 		}
 	}
-	return all, chosen, others
+	return all, zoneRelay, others
 }
 
-// TestOneFollowsTheStoreForAll checks that changes reach all balancers while only the relay calls
+// TestOnlyRelayCallsStore checks that changes reach all balancers while only the relay calls
 // the store.
-func TestOneFollowsTheStoreForAll(t *testing.T) {
+func TestOnlyRelayCallsStore(t *testing.T) {
 	store := platformtest.NewStore()
 	publish(store, 1)
-	all, chosen, others := startZone(t, store, 4)
+	all, zoneRelay, others := startZone(t, store, 4)
 	publishAndWait(t, store, 3, all...) // ends the watches that the others have left open
 	for _, m := range others {          // none of them looks for a relay any more
-		waitUntil(t, "a relay followed", func() bool { return m.group.Status(time.Now()).Following == "vm "+chosen.addr })
+		waitUntil(t, "a relay followed", func() bool { return m.group.Status(time.Now()).Following == "vm "+zoneRelay.addr })
 	}
 	var before int64
 	for _, m := range others {
@@ -233,19 +233,19 @@
 func TestEvacuationReachesAllBalancers(t *testing.T) {
 	store := platformtest.NewStore()
 	publish(store, 1)
-	all, chosen, others := startZone(t, store, 3)
-	emptied := func(m *testBalancer) bool {
+	all, zoneRelay, others := startZone(t, store, 3)
+	evacuated := func(m *testBalancer) bool {
 		return slices.Equal(m.directory.Snapshot().Evacuated, []string{"tribunal"})
 	}
 	store.Evacuate("tribunal")
 	for _, m := range all {
-		waitUntil(t, "the zone evacuated", func() bool { return emptied(m) })
+		waitUntil(t, "the zone evacuated", func() bool { return evacuated(m) })
 	}
 	late := startBalancer(t, store, "tribunal")
 	waitUntil(t, "a first copy", func() bool { return late.version() == 1 })
-	assert.Assert(t, emptied(late), "the first copy contains the evacuation")
+	assert.Assert(t, evacuated(late), "the first copy contains the evacuation")
 
-	chosen.kill()
+	zoneRelay.kill()
 	store.Forget()
 	store.TakeBack("tribunal")
 	for _, m := range append(others, late) {
@@ -253,13 +253,13 @@
 	}
 }
 
-// TestRelayThatEndsIsReplaced checks that another balancer replaces a killed relay, and that
+// TestKilledRelayIsReplaced checks that another balancer replaces a killed relay, and that
 // changes reach the followers in the meantime.
-func TestRelayThatEndsIsReplaced(t *testing.T) {
+func TestKilledRelayIsReplaced(t *testing.T) {
 	store := platformtest.NewStore()
 	publish(store, 1)
-	_, chosen, others := startZone(t, store, 3)
-	chosen.kill()
+	_, zoneRelay, others := startZone(t, store, 3)
+	zoneRelay.kill()
 	publishAndWait(t, store, 3, others...)
 	waitUntil(t, "a new relay", func() bool { return len(settledBalancers(others)) == 1 })
 	publishAndWait(t, store, 5, others...)
@@ -270,11 +270,11 @@
 func TestRelayRejectedByStore(t *testing.T) {
 	store := platformtest.NewStore()
 	publish(store, 1)
-	all, chosen, _ := startZone(t, store, 3)
+	all, zoneRelay, _ := startZone(t, store, 3)
 	other := startBalancer(t, store, "tribunal")
 	waitUntil(t, "a relay of the other zone", func() bool { return other.follower.Settled(time.Now()) })
 	publishAndWait(t, store, 3, append(all, other)...)
-	chosen.refused.Store(true)
+	zoneRelay.refused.Store(true)
 	publishAndWait(t, store, 5, append(all, other)...)
 	publishAndWait(t, store, 7, append(all, other)...) // no watch opened before the rejection is left
 }
@@ -291,7 +291,7 @@
 		[]byte(`{"id":"silent","addr":"`+l.Addr().String()+`"}`), time.Hour))
 	silent.kill()
 	follower := startBalancer(t, store, "medina")
-	waitUntil(t, "a first reading", func() bool { return follower.version() == 1 })
+	waitUntil(t, "a first copy", func() bool { return follower.version() == 1 })
 	publishAndWait(t, store, 3, follower)
 }
 
@@ -329,8 +329,8 @@
 func TestPlannedStopHandsOver(t *testing.T) {
 	store := platformtest.NewStore()
 	publish(store, 1)
-	_, chosen, others := startZone(t, store, 2)
-	chosen.group.Leave(context.Background())
+	_, zoneRelay, others := startZone(t, store, 2)
+	zoneRelay.group.Leave(context.Background())
 	waitUntil(t, "a new relay", func() bool { return len(settledBalancers(others)) == 1 })
 	assert.Equal(t, store.Calls()["kv-lease-end"], 1)
 	publishAndWait(t, store, 3, others...)
@@ -413,22 +413,22 @@
 	const followers = 12
 	store := platformtest.NewStore()
 	publish(store, 1)
-	all, chosen, others := startZone(t, store, followers+1)
+	all, zoneRelay, others := startZone(t, store, followers+1)
 	publishAndWait(t, store, 3, all...)
 	store.SetFaults(platformtest.Faults{Refuse: true})
 	waitUntil(t, "unsettled", func() bool { return len(settledBalancers(all)) == 0 })
-	before, relayBefore := callsOf(others), chosen.calls.Load()
-	waitUntil(t, "store calls of the relay", func() bool { return chosen.calls.Load() > relayBefore+8 })
+	before, relayBefore := callsOf(others), zoneRelay.calls.Load()
+	waitUntil(t, "store calls of the relay", func() bool { return zoneRelay.calls.Load() > relayBefore+8 })
 	made := sum(callsOf(others)) - sum(before)
-	assert.Assert(t, made <= 2*followers, "%d calls of %d followers during %d of the relay", made, followers, chosen.calls.Load()-relayBefore)
+	assert.Assert(t, made <= 2*followers, "%d calls of %d followers during %d of the relay", made, followers, zoneRelay.calls.Load()-relayBefore)
 	store.SetFaults(platformtest.Faults{})
 	publishAndWait(t, store, 5, all...)
-	waitUntil(t, "one follows the store", func() bool { return len(settledBalancers(all)) == 1 })
+	waitUntil(t, "one balancer watches the store", func() bool { return len(settledBalancers(all)) == 1 })
 	publishAndWait(t, store, 7, all...)
 	// The store may have ended the relay's registration. The balancer that took over is not a
 	// follower any more: its calls renew the registration and check its watch.
 	var relayNow *testBalancer
-	waitUntil(t, "one follows the store", func() bool {
+	waitUntil(t, "one balancer watches the store", func() bool {
 		list := settledBalancers(all)
 		if len(list) == 1 {
 			relayNow = list[0]
@@ -441,7 +441,7 @@
 			made += m.calls.Load() - before[i]
 		}
 	}
-	assert.Assert(t, made <= 4*followers, "%d calls of %d followers until all was well", made, followers)
+	assert.Assert(t, made <= 4*followers, "%d calls of %d followers until the store's return", made, followers)
 }
 
 // callsOf returns how many calls each balancer has made to the store.
@@ -466,17 +466,17 @@
 func TestRejectedRelayWithoutRegistration(t *testing.T) {
 	store := platformtest.NewStore()
 	publish(store, 1)
-	all, chosen, _ := startZone(t, store, 6)
+	all, zoneRelay, _ := startZone(t, store, 6)
 	publishAndWait(t, store, 3, all...)
 	// A balancer regards itself as the relay for one TTL after it registers.
 	waitUntil(t, "renewals", func() bool { return store.Calls()["kv-keep"] > 4 })
-	chosen.refused.Store(true)
+	zoneRelay.refused.Store(true)
 	store.Revoke() // the relay's open watch still reports the revocation
 	publishAndWait(t, store, 5, all...)
 	publishAndWait(t, store, 7, all...)
-	chosen.refused.Store(false)
+	zoneRelay.refused.Store(false)
 	publishAndWait(t, store, 9, all...)
-	waitUntil(t, "one follows the store", func() bool { return len(settledBalancers(all)) == 1 })
+	waitUntil(t, "one balancer watches the store", func() bool { return len(settledBalancers(all)) == 1 })
 }
 
 // TestOnlyRelayRejectedByStore checks a deployment of one zone whose relay the store rejects: the
@@ -486,14 +486,14 @@
 func TestOnlyRelayRejectedByStore(t *testing.T) {
 	store := platformtest.NewStore()
 	publish(store, 1)
-	all, chosen, others := startZoneWith(t, store, 6, timing{readSpread: 10 * short, ttl: 3 * time.Second})
+	all, zoneRelay, others := startZoneWith(t, store, 6, timing{readSpread: 10 * short, ttl: 3 * time.Second})
 	publishAndWait(t, store, 2, all...)
-	chosen.refused.Store(true)
+	zoneRelay.refused.Store(true)
 	others[0].refused.Store(true)
 	publishAndWait(t, store, 3, all...)
 	publishAndWait(t, store, 5, all...)
-	chosen.refused.Store(false)
+	zoneRelay.refused.Store(false)
 	others[0].refused.Store(false)
 	publishAndWait(t, store, 7, all...)
-	waitUntil(t, "one follows the store", func() bool { return len(settledBalancers(all)) == 1 })
+	waitUntil(t, "one balancer watches the store", func() bool { return len(settledBalancers(all)) == 1 })
 }
--- a/relay/replica.go
+++ b/relay/replica.go
@@ -22,7 +22,7 @@
 	records          map[string]directory.Record
 	changeLog        []change             // in the order of revisions, including changes that newer ones have replaced
 	tombstones       map[string]time.Time // when the deletion of a key was learned
-	relays           map[string]Relay     // by zone
+	relays           map[string]Relay     // by zone; without an address if the registration was deleted
 	knownRevision    uint64               // all changes up to this revision are known
 	minDeltaRevision uint64               // oldest revision after which changes can be returned without the full content
 	complete         chan struct{}        // closed when the first complete copy has been applied
@@ -75,9 +75,9 @@
 	rep.knownRevision = max(rep.knownRevision, c.At)
 	rep.expireTombstones(now)
 	rep.compactChangeLog()
-	faults := rep.applyRegistrations(c)
+	errs := rep.applyRegistrations(c)
 	rep.notifyChange()
-	return faults
+	return errs
 }
 
 // updateServable counts the endpoints of a partial copy and closes servable once there are enough
@@ -150,11 +150,11 @@
 
 func compareRevision(c change, revision uint64) int { return cmp.Compare(c.revision, revision) }
 
-// minChangeLog is the length up to which changeLog is never compacted.
+// minChangeLog is the length below which changeLog is never compacted.
 const minChangeLog = 1024
 
-// compactChangeLog drops changes that newer ones have replaced, once they are about as many as the
-// others.
+// compactChangeLog drops changes that newer ones have replaced, once the log is twice as long as
+// there are records, and minChangeLog more.
 func (rep *replica) compactChangeLog() {
 	if len(rep.changeLog) < minChangeLog+2*len(rep.records) {
 		return
@@ -194,7 +194,7 @@
 
 // applyRegistrations updates the relays by zone and returns one error for each registration that
 // could not be parsed.
-func (rep *replica) applyRegistrations(c directory.Changes) (faults []error) {
+func (rep *replica) applyRegistrations(c directory.Changes) (errs []error) {
 	if c.Whole && c.At >= rep.knownRevision {
 		clear(rep.relays)
 	}
@@ -209,12 +209,12 @@
 		}
 		relay, err := parseRelay(r)
 		if err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 			continue
 		}
 		rep.relays[zone] = relay
 	}
-	return faults
+	return errs
 }
 
 // relay returns the registered relay of a zone, and false if there is none.
--- a/relay/replica_test.go
+++ b/relay/replica_test.go
@@ -40,7 +40,7 @@
 	return directory.Changes{Records: []directory.Record{r}, At: s.revision}
 }
 
-func (s *storeModel) whole() directory.Changes {
+func (s *storeModel) fullRead() directory.Changes {
 	c := directory.Changes{At: s.revision, Whole: true}
 	for _, r := range s.records {
 		if !r.Gone {
@@ -67,15 +67,15 @@
 		s := &storeModel{revision: 1, records: map[string]directory.Record{}}
 		relay, replica := newReplica(), newReplica()
 		now := start
-		relay.apply(s.whole(), now)
-		replica.apply(s.whole(), now)
+		relay.apply(s.fullRead(), now)
+		replica.apply(s.fullRead(), now)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				relay.apply(s.change(t), now)
 			case 2: // changes that the relay learns from a full read
 				s.change(t)
-				relay.apply(s.whole(), now)
+				relay.apply(s.fullRead(), now)
 			case 3:
 				now = now.Add(tombstoneTTL / 2)
 			case 4:
@@ -105,27 +105,27 @@
 	assert.Assert(t, rep.since(2).whole, "changes before the first full read are not known")
 }
 
-// TestRelaysFollowTheirRegistrations checks the list of relays against added, deleted, late and
+// TestRegistrationsUpdateRelays checks the list of relays against added, deleted, late and
 // invalid registrations.
-func TestRelaysFollowTheirRegistrations(t *testing.T) {
+func TestRegistrationsUpdateRelays(t *testing.T) {
 	rep := newReplica()
 	registration := func(zone, addr string, revision uint64) directory.Record {
 		return directory.Record{Key: "relays/" + zone, Value: []byte(fmt.Sprintf(`{"id":"vm","addr":%q}`, addr)), Revision: revision, Lease: 7}
 	}
-	take := func(whole bool, at uint64, list ...directory.Record) []error {
+	apply := func(whole bool, at uint64, list ...directory.Record) []error {
 		return rep.apply(directory.Changes{Registrations: list, At: at, Whole: whole}, start)
 	}
-	assert.Equal(t, len(take(true, 2, registration("medina", "10.0.0.1:1", 2))), 0)
+	assert.Equal(t, len(apply(true, 2, registration("medina", "10.0.0.1:1", 2))), 0)
 	r, ok := rep.relay("medina")
 	assert.Assert(t, ok)
 	assert.DeepEqual(t, []any{r.Addr, r.Zone, r.lease}, []any{"10.0.0.1:1", "medina", uint64(7)})
-	take(false, 5, directory.Record{Key: "relays/medina", Revision: 5, Gone: true}, registration("tribunal", "10.0.0.2:1", 4))
-	take(false, 5, registration("medina", "10.0.0.1:1", 3)) // late
+	apply(false, 5, directory.Record{Key: "relays/medina", Revision: 5, Gone: true}, registration("tribunal", "10.0.0.2:1", 4))
+	apply(false, 5, registration("medina", "10.0.0.1:1", 3)) // late
 	_, ok = rep.relay("medina")
 	assert.Assert(t, !ok)
 	assert.Equal(t, len(rep.allRelays()), 1)
-	assert.Equal(t, len(take(false, 6, directory.Record{Key: "relays/medina", Value: []byte("no json"), Revision: 6})), 1)
-	take(true, 9)
+	assert.Equal(t, len(apply(false, 6, directory.Record{Key: "relays/medina", Value: []byte("no json"), Revision: 6})), 1)
+	apply(true, 9)
 	assert.Equal(t, len(rep.allRelays()), 0, "a full read contains all registrations")
 }
 
--- a/relay/rules.go
+++ b/relay/rules.go
@@ -14,7 +14,8 @@
 	// asking it again costs little.
 	unsettledPenaltyDivisor = 4
 	// otherRelaysJitterFactor lengthens the registration jitter while relays of other zones serve:
-	// registration is not urgent then, and a registration by another balancer becomes known late.
+	// registration is not urgent then, and balancers that follow a relay of another zone learn late
+	// that one of them has registered.
 	otherRelaysJitterFactor = 10
 )
 
@@ -55,7 +56,8 @@
 }
 
 // penalty returns how long a relay that failed with err is not asked. A relay that has lost the
-// store gets the full penalty: its followers wait at the relay of their own zone.
+// store gets the full penalty: followers learn of its recovery by patient calls, which ignore
+// penalties and go to the relay of their own zone first.
 func (o Options) penalty(err error) time.Duration {
 	var unsettled unsettledError
 	if errors.As(err, &unsettled) && !unsettled.lost {
@@ -64,9 +66,9 @@
 	return o.Penalty
 }
 
-// mustFollowStore reports whether the last answer of a settled relay is so old that this balancer
+// mustWatchStore reports whether the last answer of a settled relay is so old that this balancer
 // has to watch the store in the meantime: other relays may fail in the same way.
-func (o Options) mustFollowStore(lastSettledAnswer, now time.Time) bool {
+func (o Options) mustWatchStore(lastSettledAnswer, now time.Time) bool {
 	return now.Sub(lastSettledAnswer) > o.Wait+o.Slack
 }
 
@@ -86,24 +88,24 @@
 // network links are narrow.
 const minJitterShare = 0.25
 
-// registrationDraw maps a random number from 0 to 1 to the balancer's position in the jitter range,
-// also from 0 to 1. Seeds come after all other balancers of their size: they serve first copies
+// jitterPosition returns the balancer's position in the jitter range, from 0 to 1, given a random
+// number from 0 to 1. Seeds come after all other balancers of their size: they serve first copies
 // anyway, so a fleet that starts has more balancers to ask if its relays are not seeds.
-func registrationDraw(isSeed bool, random float64) float64 {
+func jitterPosition(isSeed bool, random float64) float64 {
 	if isSeed {
 		return (1 + random) / 2
 	}
 	return random / 2
 }
 
-// drawJitter returns the random part of the wait, given its upper bound and a random number from 0
-// to 1.
-func drawJitter(bound time.Duration, random float64) time.Duration {
-	return time.Duration((minJitterShare + (1-minJitterShare)*random) * float64(bound))
+// jitterAt returns the random part of the wait, given its upper bound and the balancer's position
+// in the jitter range, from 0 to 1.
+func jitterAt(bound time.Duration, position float64) time.Duration {
+	return time.Duration((minJitterShare + (1-minJitterShare)*position) * float64(bound))
 }
 
 // backoff returns how long a balancer waits before it registers, given the random part of the wait
 // and its processor share in cores.
-func (o Options) backoff(random time.Duration, cores float64) time.Duration {
-	return bootstrap.BySize(o.BackoffBase+random, cores)
+func (o Options) backoff(jitter time.Duration, cores float64) time.Duration {
+	return bootstrap.BySize(o.BackoffBase+jitter, cores)
 }
--- a/relay/rules_test.go
+++ b/relay/rules_test.go
@@ -13,26 +13,26 @@
 func TestNextRelay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	own := Relay{Addr: "me", Zone: "medina"}
-	home := Relay{ID: "a", Addr: "a", Zone: "medina"}
+	ownZoneRelay := Relay{ID: "a", Addr: "a", Zone: "medina"}
 	others := []Relay{{ID: "b", Addr: "b", Zone: "tribunal"}, {ID: "c", Addr: "c", Zone: "ville-nouvelle"}}
-	all := append([]Relay{home}, others...)
-	failed := func(addr string) map[string]time.Time { return map[string]time.Time{addr: now.Add(time.Second)} }
+	all := append([]Relay{ownZoneRelay}, others...)
+	penalize := func(addr string) map[string]time.Time { return map[string]time.Time{addr: now.Add(time.Second)} }
 	for _, c := range []struct {
 		name      string
 		all       []Relay
 		penalized map[string]time.Time
-		turn      int
+		offset    int
 		want      string // empty for none
 	}{
 		{"relay of the own zone", all, nil, 1, "a"},
-		{"another relay while that one is penalized", all, failed("a"), 0, "b"},
-		{"another relay by offset", all, failed("a"), 1, "c"},
+		{"another relay while that one is penalized", all, penalize("a"), 0, "b"},
+		{"another relay by offset", all, penalize("a"), 1, "c"},
 		{"relay of the own zone after its penalty", all, map[string]time.Time{"a": now}, 0, "a"},
 		{"not this balancer itself", []Relay{{ID: "me", Addr: "me", Zone: "medina"}}, nil, 0, ""},
 		{"none", nil, nil, 0, ""},
-		{"all relays penalized", []Relay{home}, failed("a"), 0, ""},
+		{"all relays penalized", []Relay{ownZoneRelay}, penalize("a"), 0, ""},
 	} {
-		got, ok := nextRelay(c.all, own, c.penalized, c.turn, now)
+		got, ok := nextRelay(c.all, own, c.penalized, c.offset, now)
 		assert.Equal(t, ok, c.want != "", c.name)
 		assert.Equal(t, got.ID, c.want, c.name)
 	}
@@ -45,9 +45,9 @@
 	now := time.Unix(1000, 0)
 	assert.Equal(t, o.penalty(errors.New("silent")), 3*time.Second)
 	assert.Equal(t, o.penalty(unsettledError{}), 750*time.Millisecond)
-	assert.Equal(t, o.penalty(unsettledError{lost: true}), 3*time.Second, "followers of a relay that lost the store wait elsewhere")
-	assert.Assert(t, !o.mustFollowStore(now.Add(-650*time.Millisecond), now))
-	assert.Assert(t, o.mustFollowStore(now.Add(-651*time.Millisecond), now))
+	assert.Equal(t, o.penalty(unsettledError{lost: true}), 3*time.Second, "followers of a relay that lost the store wait with patient calls")
+	assert.Assert(t, !o.mustWatchStore(now.Add(-650*time.Millisecond), now))
+	assert.Assert(t, o.mustWatchStore(now.Add(-651*time.Millisecond), now))
 	assert.Equal(t, o.maxJitter(0), time.Second)
 	assert.Equal(t, o.maxJitter(2), 10*time.Second)
 	assert.Equal(t, o.backoff(0, 0.2), 300*time.Millisecond)
@@ -61,12 +61,12 @@
 	o := Options{}.withDefaults()
 	for _, relays := range []int{0, 1, 3} {
 		wait := func(random, cores float64) time.Duration {
-			return o.backoff(drawJitter(o.maxJitter(relays), random), cores)
+			return o.backoff(jitterAt(o.maxJitter(relays), random), cores)
 		}
 		assert.Assert(t, wait(1, 0.8) < wait(0, 0.2), "%d relays: %v, %v", relays, wait(1, 0.8), wait(0, 0.2))
 		assert.Assert(t, wait(0, 0.2) < wait(1, 0.2), "VMs of the same size spread")
 	}
-	assert.Assert(t, o.backoff(drawJitter(o.maxJitter(0), 1), 0.16) < o.TTL, "without any relay, a balancer registers soon")
+	assert.Assert(t, o.backoff(jitterAt(o.maxJitter(0), 1), 0.16) < o.TTL, "without any relay, a balancer registers soon")
 }
 
 // TestSeedsRegisterAfterOthersOfTheirSize checks that seeds register after all other VMs of their
@@ -74,7 +74,7 @@
 func TestSeedsRegisterAfterOthersOfTheirSize(t *testing.T) {
 	o := Options{}.withDefaults()
 	wait := func(isSeed bool, random, cores float64) time.Duration {
-		return o.backoff(drawJitter(o.maxJitter(1), registrationDraw(isSeed, random)), cores)
+		return o.backoff(jitterAt(o.maxJitter(1), jitterPosition(isSeed, random)), cores)
 	}
 	assert.Assert(t, wait(false, 0.999, 0.8) < wait(true, 0, 0.8))
 	assert.Assert(t, wait(true, 1, 0.8) < wait(false, 0, 0.2))
--- a/relay/server.go
+++ b/relay/server.go
@@ -57,14 +57,14 @@
 	err := r.changes(args, reply)
 	if args.TakesNotes {
 		notes, at := r.group.notes.since(args.notesPosition(), "", bootclock.Now())
-		reply.Notes, reply.NotesLife, reply.NotesAt = notes, at.life, at.at
+		reply.Notes, reply.NotesLife, reply.NotesAt = notes, at.life, at.index
 	}
 	return err
 }
 
 // notesPosition returns the position after which notes are requested.
 func (args ChangesArgs) notesPosition() logPosition {
-	return logPosition{life: args.NotesLife, at: args.NotesAfter}
+	return logPosition{life: args.NotesLife, index: args.NotesAfter}
 }
 
 // changes waits for changes or notes and returns the changes.
