--- a/relay/delivery_test.go
+++ b/relay/delivery_test.go
@@ -101,12 +101,12 @@
 	publish(store, 1)
 	_, zoneRelay, others := startZone(t, store, 3)
 	waitUntilFollowing(t, others...)
-	assert.NilError(t, others[0].group.Publish("topic", []byte("published before the relay ends")))
+	assert.NilError(t, others[0].group.Publish("topic", []byte("told to the one that ends")))
 	zoneRelay.kill()
 	waitUntil(t, "another relay", func() bool { return len(settledBalancers(others)) == 1 })
-	waitUntil(t, "note received by the other follower", func() bool { return others[1].received.has("topic published before the relay ends") })
+	waitUntil(t, "note received by the other follower", func() bool { return others[1].received.has("topic told to the one that ends") })
 	late := startBalancer(t, store, "medina")
-	waitUntil(t, "note received by the late balancer", func() bool { return late.received.has("topic published before the relay ends") })
+	waitUntil(t, "note received by the late balancer", func() bool { return late.received.has("topic told to the one that ends") })
 }
 
 // TestNoteTooLong checks that Publish rejects a note that no balancer would accept.
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -441,7 +441,7 @@
 			made += m.calls.Load() - before[i]
 		}
 	}
-	assert.Assert(t, made <= 4*followers, "%d calls of %d followers until the store's return", made, followers)
+	assert.Assert(t, made <= 4*followers, "%d calls of %d followers until all got changes after the outage", made, followers)
 }
 
 // callsOf returns how many calls each balancer has made to the store.
