--- a/coord/crash/crash.go
+++ b/coord/crash/crash.go
@@ -22,7 +22,7 @@
 //	h := crash.History{}.WithCrash(event)
 //	switch h.Decide(now).Action {
 //	case crash.Send:
-//	case crash.Try: // as the only balancer of the fleet
+//	case crash.SendOnTrial: // as the only balancer of the fleet
 //	case crash.Refuse:
 //	}
 package crash
@@ -39,14 +39,14 @@
 	// trial.
 	trialThreshold = 2
 	// refusalWeight is the total weight of crashes on trial from which a request is refused: two
-	// crashes of endpoints that were processing nothing else, or any three. One crash is not
-	// enough: where other requests crashed one endpoint in twenty during a trial, one in twenty
-	// safe requests on trial was refused. In soak tests with 25 crashing requests within 20 s on
-	// ten endpoints, three of four runs refused safe requests.
+	// crashes of endpoints that were processing nothing else, or any three. When a single crash
+	// sufficed, one in twenty safe requests on trial was refused where other requests crashed one
+	// endpoint in twenty during a trial, and three of four soak test runs with 25 crashing requests
+	// within 20 s on ten endpoints refused safe requests.
 	refusalWeight = 6
 	// onlyRequestWeight is the weight of the crash of an endpoint that was processing no other
-	// request. sharedEndpointWeight is that of one that was: another request may have caused the
-	// crash.
+	// request. sharedEndpointWeight is the weight of the crash of an endpoint that was processing
+	// other requests too, since one of those may have caused the crash.
 	onlyRequestWeight    = 3
 	sharedEndpointWeight = 2
 	// minQueries is the number of different queries under which endpoints must have crashed before
@@ -54,8 +54,8 @@
 	minQueries = 2
 	// maxEvents is the number of crash reports kept for a request; more would change no decision.
 	maxEvents = 16
-	// probationPeriod is how long after the end of its refusal a request is still on trial from the
-	// first attempt.
+	// probationPeriod is how long the history of a refused request is kept after the refusal. A
+	// request that arrives in this time is on trial at once.
 	probationPeriod = time.Hour
 )
 
@@ -121,8 +121,9 @@
 	return h
 }
 
-// limitEvents sorts events by time and returns at most maxEvents of them. It drops the latest ones
-// outside trials first, and trials, the earliest first, only if nothing else is left.
+// limitEvents sorts events by time and returns at most maxEvents of them. It drops the latest
+// crashes outside trials first. Crashes on trial, the earliest first, are dropped only if no others
+// are left.
 func limitEvents(events []Event) []Event {
 	slices.SortFunc(events, func(a, b Event) int {
 		return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Endpoint, b.Endpoint), cmp.Compare(a.Start, b.Start))
@@ -213,9 +214,9 @@
 	return len(queries) >= minQueries
 }
 
-// reachesRefusalWeight reports whether the crashes on trial since the last release suffice to
-// refuse the request.
-func (h History) reachesRefusalWeight() bool {
+// sufficesForRefusal reports whether the crashes on trial since the last release suffice to refuse
+// the request, however long ago they occurred.
+func (h History) sufficesForRefusal() bool {
 	weight := 0
 	for _, e := range h.Crashes() {
 		if e.At.After(h.releasedAt) {
@@ -228,11 +229,11 @@
 // Action is how a request is to be handled.
 type Action uint8
 
-// The steps.
+// The actions, in increasing strictness. Callers may compare them.
 const (
-	Send   Action = iota // like any other request
-	Try                  // on trial, if no other balancer has it on trial now
-	Refuse               // without sending it
+	Send        Action = iota // like any other request
+	SendOnTrial               // if no other balancer has it on trial now
+	Refuse                    // without sending it
 )
 
 // String returns the action's name in logs and in the admin API.
@@ -241,7 +242,7 @@
 // Decision is the result of History.Decide.
 type Decision struct {
 	Action Action
-	Until  time.Time // end of a refusal; the earliest possible one if an operator ordered it
+	Until  time.Time // end of a refusal, the earliest possible one if an operator ordered it; zero for other actions
 }
 
 // Decide returns how to handle the request when it arrives, for the first time or again.
@@ -250,17 +251,17 @@
 	switch {
 	case h.RefusalOrdered():
 		return Decision{Action: Refuse, Until: now.Add(RefusalPeriod)} // extended until an operator releases it
-	case h.reachesRefusalWeight() && now.Before(until):
+	case h.sufficesForRefusal() && now.Before(until):
 		return Decision{Action: Refuse, Until: until}
-	case h.reachesRefusalWeight(), len(h.Crashes()) >= trialThreshold && h.conclusive():
-		return Decision{Action: Try}
+	case h.sufficesForRefusal(), len(h.Crashes()) >= trialThreshold && h.conclusive():
+		return Decision{Action: SendOnTrial}
 	}
 	return Decision{Action: Send}
 }
 
-// Suspected reports whether any crash is known since the last completion. If so, the caller finds
-// out after a broken attempt whether the endpoint crashed before it sends the request elsewhere,
-// since the next crash may change the decision.
+// Suspected reports whether any crash is known since the last completion. If so, a balancer
+// whose attempt to send the request broke must find out whether the endpoint crashed before it
+// sends the request again, since another crash may change the decision.
 func (h History) Suspected() bool { return len(h.events) > 0 }
 
 // Expired reports whether the history no longer affects any decision and can be dropped.
@@ -272,7 +273,7 @@
 	if h.lastCompleted.After(latest) {
 		latest = h.lastCompleted
 	}
-	if h.reachesRefusalWeight() {
+	if h.sufficesForRefusal() {
 		return now.Sub(latest) > RefusalPeriod+probationPeriod
 	}
 	return now.Sub(latest) > RefusalPeriod
--- a/coord/crash/crash_test.go
+++ b/coord/crash/crash_test.go
@@ -12,17 +12,18 @@
 	"pgregory.net/rapid"
 )
 
-var start = time.Unix(1000, 0)
+var baseTime = time.Unix(1000, 0)
 
-// at returns the time ms milliseconds after start.
-func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+// at returns the time ms milliseconds after baseTime.
+func at(ms int) time.Time { return baseTime.Add(time.Duration(ms) * time.Millisecond) }
 
-// crashOf returns a crash of an endpoint, observed ms milliseconds after start.
+// crashOf returns a crash of an endpoint, observed ms milliseconds after baseTime.
 func crashOf(endpoint string, ms int) crash.Event {
 	return crash.Event{Endpoint: endpoint, Start: 1, At: at(ms), SeenBy: "vm-1"}
 }
 
-// onTrial returns the event with the request on trial.
+// onTrial returns the event with the request on trial; alone means that the endpoint was processing
+// no other request.
 func onTrial(e crash.Event, alone bool) crash.Event {
 	e.Trial, e.Alone = true, alone
 	return e
@@ -46,25 +47,25 @@
 		{"no crash", crash.History{}, at(30), crash.Send},
 		{"one crash may be coincidence", oneCrash, at(30), crash.Send},
 		{"the same crash, observed by another balancer", oneCrash.WithCrash(crash.Event{Endpoint: "a", Start: 1, At: at(1), SeenBy: "vm-2"}), at(30), crash.Send},
-		{"another incarnation of the same endpoint", oneCrash.WithCrash(crash.Event{Endpoint: "a", Start: 2, At: at(1)}), at(30), crash.Try},
-		{"two crashes", twoCrashes, at(30), crash.Try},
-		{"many crashes at once: a rack may have failed", fiveCrashes, at(30), crash.Try},
-		{"one crash on trial may be coincidence", oneOnTrial, at(30), crash.Try},
+		{"another incarnation of the same endpoint", oneCrash.WithCrash(crash.Event{Endpoint: "a", Start: 2, At: at(1)}), at(30), crash.SendOnTrial},
+		{"two crashes", twoCrashes, at(30), crash.SendOnTrial},
+		{"many crashes at once: a rack may have failed", fiveCrashes, at(30), crash.SendOnTrial},
+		{"one crash on trial may be coincidence", oneOnTrial, at(30), crash.SendOnTrial},
 		{"two crashes on trial, without other requests", refused, at(30), crash.Refuse},
-		{"one of them with other requests on the endpoint", oneShared, at(30), crash.Try},
+		{"one of them with other requests on the endpoint", oneShared, at(30), crash.SendOnTrial},
 		{"a third crash on trial", oneShared.WithCrash(onTrial(crashOf("e", 20), false)), at(30), crash.Refuse},
 		{"completed since", refused.WithCompletion(at(25)), at(30), crash.Send},
 		{"completed before the last crash", twoCrashes.WithCompletion(at(5)), at(30), crash.Send},
 		{"crashes before a completion, reported after it", crash.History{}.WithCompletion(at(25)).WithCrash(crashOf("a", 1)).WithCrash(crashOf("b", 2)), at(30), crash.Send},
-		{"released", refused.WithRelease(at(25)), at(30), crash.Try},
-		{"one more crash on trial since the release", refused.WithRelease(at(25)).WithCrash(onTrial(crashOf("e", 28), true)), at(30), crash.Try},
+		{"released", refused.WithRelease(at(25)), at(30), crash.SendOnTrial},
+		{"one more crash on trial since the release", refused.WithRelease(at(25)).WithCrash(onTrial(crashOf("e", 28), true)), at(30), crash.SendOnTrial},
 		{"two more crashes on trial since the release", refused.WithRelease(at(25)).WithCrash(onTrial(crashOf("e", 28), true)).WithCrash(onTrial(crashOf("f", 29), true)), at(30), crash.Refuse},
 		{"refusal ordered", crash.History{}.WithRefusalOrder(at(25)), at(30), crash.Refuse},
 		{"refusal ordered, then released", crash.History{}.WithRefusalOrder(at(25)).WithRelease(at(26)), at(30), crash.Send},
 		{"refusal ordered, then completed elsewhere", crash.History{}.WithRefusalOrder(at(25)).WithCompletion(at(26)), at(30), crash.Refuse},
 		{"refusal ordered long ago", crash.History{}.WithRefusalOrder(at(25)), refusalEnd.Add(24 * time.Hour), crash.Refuse},
 		{"just before the refusal ends", refused, refusalEnd.Add(-time.Millisecond), crash.Refuse},
-		{"after the refusal", refused, refusalEnd, crash.Try},
+		{"after the refusal", refused, refusalEnd, crash.SendOnTrial},
 	} {
 		assert.Equal(t, c.history.Decide(c.now).Action, c.want, c.name)
 	}
@@ -74,17 +75,17 @@
 // TestAnyQueryHistory: an any-query history has no effect until endpoints crashed under two
 // queries.
 func TestAnyQueryHistory(t *testing.T) {
-	of := func(e crash.Event, query crash.Fingerprint) crash.Event {
+	underQuery := func(e crash.Event, query crash.Fingerprint) crash.Event {
 		e.RequestFingerprint = query
 		return e
 	}
-	oneCrash := crash.NewAnyQueryHistory().WithCrash(of(crashOf("a", 0), "q1")).WithCrash(of(crashOf("b", 10), "q1")).WithCrash(of(onTrial(crashOf("c", 20), true), "q1")).WithCrash(of(onTrial(crashOf("e", 20), true), "q1"))
-	assert.Equal(t, oneCrash.Decide(at(30)).Action, crash.Send)
-	twoCrashes := oneCrash.WithCrash(of(crashOf("d", 30), "q2"))
-	assert.Equal(t, twoCrashes.Decide(at(30)).Action, crash.Refuse)
-	assert.Equal(t, twoCrashes.WithCompletion(at(40)).Decide(at(50)).Action, crash.Send, "one of the queries completed")
-	untried := crash.NewAnyQueryHistory().WithCrash(of(crashOf("a", 0), "q1")).WithCrash(of(crashOf("b", 10), "q2"))
-	assert.Equal(t, untried.Decide(at(30)).Action, crash.Try)
+	oneQuery := crash.NewAnyQueryHistory().WithCrash(underQuery(crashOf("a", 0), "q1")).WithCrash(underQuery(crashOf("b", 10), "q1")).WithCrash(underQuery(onTrial(crashOf("c", 20), true), "q1")).WithCrash(underQuery(onTrial(crashOf("e", 20), true), "q1"))
+	assert.Equal(t, oneQuery.Decide(at(30)).Action, crash.Send)
+	twoQueries := oneQuery.WithCrash(underQuery(crashOf("d", 30), "q2"))
+	assert.Equal(t, twoQueries.Decide(at(30)).Action, crash.Refuse)
+	assert.Equal(t, twoQueries.WithCompletion(at(40)).Decide(at(50)).Action, crash.Send, "one of the queries completed")
+	outsideTrials := crash.NewAnyQueryHistory().WithCrash(underQuery(crashOf("a", 0), "q1")).WithCrash(underQuery(crashOf("b", 10), "q2"))
+	assert.Equal(t, outsideTrials.Decide(at(30)).Action, crash.SendOnTrial)
 }
 
 // TestExpired: a history expires after the refusal period, and after an hour more if the request
@@ -127,15 +128,15 @@
 	})
 }
 
-// TestEventsAreBounded: the number of events kept is bounded, and those on trial are kept.
+// TestEventsAreBounded: the number of events kept is bounded, and crashes on trial are not dropped.
 func TestEventsAreBounded(t *testing.T) {
-	c := crash.History{}.WithCrash(onTrial(crashOf("first", 0), true))
+	h := crash.History{}.WithCrash(onTrial(crashOf("first", 0), true))
 	for i := range 1000 {
-		c = c.WithCrash(crash.Event{Endpoint: "a", Start: int64(i + 1), At: at(i)})
+		h = h.WithCrash(crash.Event{Endpoint: "a", Start: int64(i + 1), At: at(i)})
 	}
-	c = c.WithCrash(onTrial(crashOf("last", 2000), true))
-	assert.Assert(t, len(c.Crashes()) <= 16)
-	assert.Equal(t, c.Decide(at(2001)).Action, crash.Refuse)
+	h = h.WithCrash(onTrial(crashOf("last", 2000), true))
+	assert.Assert(t, len(h.Crashes()) <= 16)
+	assert.Equal(t, h.Decide(at(2001)).Action, crash.Refuse)
 }
 
 // TestFingerprint checks which parts of a request change its fingerprints.
--- a/coord/crash/fingerprint.go
+++ b/coord/crash/fingerprint.go
@@ -18,9 +18,9 @@
 const fingerprintBytes = 16
 
 // Subject holds the parts of a request that identify it: what is requested, and with which body.
-// Other headers (identity, deadline, trace) change from one attempt to the next. The address of the
-// caller is left out too: a caller has several, and a request that crashes endpoints does so
-// whoever sends it.
+// Headers other than Host (request ID, deadline, trace) are left out, as they change from one
+// attempt to the next. So is the address of the caller: a caller has several, and a request that
+// crashes endpoints does so whoever sends it.
 type Subject struct {
 	Team   string // team of the caller, so that crashes under one team's request do not affect another team's; empty where callers have no teams
 	Method string
--- a/coord/reason/reason.go
+++ b/coord/reason/reason.go
@@ -2,7 +2,7 @@
 // documentation of each code.
 //
 // Callers, operators and their tools rely on the codes, so a code never changes its meaning. A new
-// code goes at the end of its group.
+// code goes at the end of its group (1xxx, 2xxx or 3xxx).
 //
 // # Usage
 //
--- a/coord/reason/table.go
+++ b/coord/reason/table.go
@@ -1,8 +1,8 @@
 package reason
 
-// Codes of requests that cannot be routed, or are malformed, too long or without a valid key
-// (1xxx), that were refused or expired before they were sent (2xxx), and whose exchange with an
-// endpoint failed (3xxx). Table describes each code.
+// Codes of requests that cannot be routed, are malformed, too long or without a valid key, or arrive
+// before the balancer is ready (1xxx), that were refused or expired before they were sent (2xxx),
+// and whose exchange with an endpoint failed (3xxx). Table describes each code.
 const (
 	NoTeam           Code = "LW1001"
 	NoKind           Code = "LW1002"
--- a/quarantine/admit.go
+++ b/quarantine/admit.go
@@ -12,7 +12,7 @@
 	"github.com/lotuswing/lotuswing/relay"
 )
 
-// Request describes a request to a Keeper.
+// Request holds what a Keeper needs to know about a request.
 type Request struct {
 	ID      string // for the log
 	Prints  crash.Prints
@@ -33,9 +33,10 @@
 	// broken attempt, the balancer must learn whether the endpoint crashed before it sends the
 	// request again.
 	Suspected bool
-	// Ended are the incarnations of endpoints that crashed while processing the request. The store
-	// may list them for a while longer. If the request were sent to one, the crash of its successor
-	// at the same address would go unnoticed, as a second report of the same crash.
+	// Ended are the incarnations of endpoints that crashed while processing the request, to which a
+	// trial must not send it. The store may list them for a while longer, and another endpoint may
+	// already run at the same address. Its crash would be attributed to the listed incarnation and
+	// ignored as a second report of the same crash.
 	Ended []placement.Incarnation
 }
 
@@ -51,7 +52,7 @@
 // Admit decides whether a request may be sent now. While another balancer has it on trial, Admit
 // waits for the end of the trial, for at most r.Patience.
 func (k *Keeper) Admit(ctx context.Context, r Request) (Pass, *Refusal) {
-	giveUp := time.Now().Add(r.Patience)
+	waitUntil := time.Now().Add(r.Patience)
 	for {
 		now := k.opts.Now()
 		f, history, trialUntil, changed := k.decidingHistory(r.Prints, now)
@@ -62,7 +63,7 @@
 		case decision.Action == crash.Refuse:
 			return Pass{}, k.newRefusal(f, history, decision.Until.Sub(now), now)
 		case now.Before(trialUntil):
-			left := time.Until(giveUp)
+			left := time.Until(waitUntil)
 			if left <= 0 || ctx.Err() != nil {
 				return Pass{}, k.newRefusal(f, history, min(trialUntil.Sub(now), trialRetryAfter), now)
 			}
@@ -108,13 +109,14 @@
 	return false
 }
 
-// acquireTrial asks the store for the lease of the only trial of the request in the fleet. It
-// returns false if another request has it. If the store cannot be reached, the trial is exclusive
-// within this balancer only: no request is refused because the store is down.
+// acquireTrial asks the store for the lease that makes a trial of the request the only one in the
+// fleet. It returns false if another trial is in progress or the entry was removed: the caller then
+// decides again. If the store cannot be reached, the trial is exclusive within this balancer only:
+// no request is refused because the store is down.
 func (k *Keeper) acquireTrial(ctx context.Context, r Request, f crash.Fingerprint, history crash.History) (Pass, *Refusal, bool) {
-	asked, cancel := context.WithTimeout(ctx, k.opts.AskWithin)
+	askCtx, cancel := context.WithTimeout(ctx, k.opts.AskWithin)
 	defer cancel()
-	lease, err := k.cfg.Registry.Replace(asked, trialKeyPrefix+string(f), []byte(`"`+k.cfg.ID+`"`), 0, k.trialDuration(r))
+	lease, err := k.cfg.Registry.Replace(askCtx, trialKeyPrefix+string(f), []byte(`"`+k.cfg.ID+`"`), 0, k.trialDuration(r))
 	now := k.opts.Now()
 	if errors.Is(err, relay.ErrTaken) {
 		k.markForeignTrial(f, now.Add(k.trialDuration(r)))
@@ -166,16 +168,16 @@
 // Over ends this balancer's trial of a request, if it has one, and notifies the other balancers, so
 // that another trial can begin.
 func (k *Keeper) Over(r Request) {
-	if k.releaseTrial(r) {
+	if k.endOwnTrial(r) {
 		k.clearTrials(r.Prints)
 		k.broadcast(note{What: noteTrialOver, Exact: r.Prints.Exact, AnyQuery: r.Prints.Wide})
 	}
 }
 
-// releaseTrial releases this balancer's trial of a request and reports whether it had one. It does
-// not notify other balancers: the notes about crashes on trial and completions tell them that the
-// trial is over.
-func (k *Keeper) releaseTrial(r Request) bool {
+// endOwnTrial ends this balancer's trial of a request, releases its lease, and reports whether there
+// was one. Other trials stay excluded until clearTrial. It does not notify other balancers: the
+// notes about crashes on trial and completions tell them that the trial is over.
+func (k *Keeper) endOwnTrial(r Request) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	released := false
@@ -218,7 +220,7 @@
 }
 
 // newRefusal counts a refusal and returns it.
-func (k *Keeper) newRefusal(f crash.Fingerprint, history crash.History, after time.Duration, now time.Time) *Refusal {
+func (k *Keeper) newRefusal(f crash.Fingerprint, history crash.History, retryAfter time.Duration, now time.Time) *Refusal {
 	k.refusals.Inc(1)
-	return &Refusal{RetryAfter: after, Evidence: fmt.Sprintf("fingerprint %s: %s", f, evidence(history, now))}
+	return &Refusal{RetryAfter: retryAfter, Evidence: fmt.Sprintf("fingerprint %s: %s", f, evidence(history, now))}
 }
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -13,44 +13,44 @@
 	"gotest.tools/v3/assert"
 )
 
-// propagationTime is how long after the third crash all balancers must know of it.
+// propagationTime is the time within which all balancers must know of the third crash.
 const propagationTime = 3 * time.Second
 
 // attack is a request that crashes every endpoint that processes it, and that its caller sends
 // repeatedly.
 type attack struct {
-	r          *harness
-	q          quarantine.Request
-	attempts   int           // per call of a balancer
+	harness    *harness
+	request    quarantine.Request
+	attempts   int           // maximum number that a balancer makes for one call
 	processing time.Duration // time from the sending until the endpoint crashes
 
-	mu        sync.Mutex
-	endpoint  int
-	crashedAt []time.Time
-	sentAt    []time.Time
+	mu           sync.Mutex
+	lastEndpoint int // number of the endpoint to which the request was sent last
+	crashedAt    []time.Time
+	sentAt       []time.Time
 }
 
 // call sends the request to a balancer, which makes up to a.attempts attempts.
-func (a *attack) call(k *quarantine.Keeper) { a.callWithRequest(k, a.q) }
+func (a *attack) call(k *quarantine.Keeper) { a.callWithRequest(k, a.request) }
 
 // callWithRequest is call with another request.
 func (a *attack) callWithRequest(k *quarantine.Keeper, q quarantine.Request) {
 	for range a.attempts {
-		pass, refused := k.Admit(a.r.ctx, q)
+		pass, refused := k.Admit(a.harness.ctx, q)
 		if refused != nil {
 			return
 		}
 		number := a.recordSend()
 		time.Sleep(a.processing)
 		endpoint := fmt.Sprintf("e%d", number)
-		a.r.stopEndpoint(endpoint)
+		a.harness.stopEndpoint(endpoint)
 		a.recordCrash()
-		shown := k.Broke(quarantine.Attempt{Request: q, Endpoint: endpoint, Start: 1, Addr: endpoint, Trial: pass.Trial, Alone: number%2 == 0})
+		probed := k.Broke(quarantine.Attempt{Request: q, Endpoint: endpoint, Start: 1, Addr: endpoint, Trial: pass.Trial, Alone: number%2 == 0})
 		if pass.Trial {
 			return
 		}
 		if pass.Suspected {
-			<-shown
+			<-probed
 		}
 	}
 }
@@ -60,8 +60,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sentAt = append(a.sentAt, time.Now())
-	a.endpoint++
-	return a.endpoint
+	a.lastEndpoint++
+	return a.lastEndpoint
 }
 
 // recordCrash records that an endpoint has crashed.
@@ -95,28 +95,28 @@
 		for name, sendRequests := range map[string]func(a *attack, rng *rand.Rand){
 			"one after the other": func(a *attack, rng *rand.Rand) {
 				for range 60 {
-					a.call(a.r.keepers[rng.IntN(size)])
+					a.call(a.harness.keepers[rng.IntN(size)])
 					time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 				}
 			},
 			"after seconds": func(a *attack, rng *rand.Rand) {
 				for range 20 {
-					a.call(a.r.keepers[rng.IntN(size)])
+					a.call(a.harness.keepers[rng.IntN(size)])
 					time.Sleep(5 * time.Second)
 				}
 			},
 			"each time with another query": func(a *attack, rng *rand.Rand) {
 				for i := range 40 {
-					q := a.q
+					q := a.request
 					q.Prints = crash.Subject{Path: "a", Query: fmt.Sprint("page=", i/3)}.Prints()
-					a.callWithRequest(a.r.keepers[rng.IntN(size)], q)
+					a.callWithRequest(a.harness.keepers[rng.IntN(size)], q)
 					time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
 				}
 			},
 			"many at once": func(a *attack, rng *rand.Rand) {
 				for range 10 {
 					for range 12 {
-						go a.call(a.r.keepers[rng.IntN(size)])
+						go a.call(a.harness.keepers[rng.IntN(size)])
 					}
 					time.Sleep(4 * time.Second)
 				}
@@ -128,13 +128,13 @@
 				}
 				t.Run(fmt.Sprintf("%d/%s/%d attempts", size, name, attempts), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						a := &attack{r: newHarnessWithInterval(t, size, 10*time.Second), q: request("a"), attempts: attempts, processing: 60 * time.Millisecond}
+						a := &attack{harness: newHarnessWithInterval(t, size, 10*time.Second), request: request("a"), attempts: attempts, processing: 60 * time.Millisecond}
 						sendRequests(a, rand.New(rand.NewPCG(1, uint64(size))))
 						time.Sleep(10 * time.Second)
 						crashes, late := a.countCrashes()
 						assert.Assert(t, crashes >= 3)
 						assert.Assert(t, late <= 3, "%d sent late, %d crashes", late, crashes)
-						t.Logf("%d crashes, %d sent late, %d calls of the store", crashes, late, a.r.countStoreCalls())
+						t.Logf("%d crashes, %d sent late, %d calls of the store", crashes, late, a.harness.countStoreCalls())
 					})
 				})
 			}
@@ -147,24 +147,24 @@
 // refusal.
 func TestSafeQueryBesideCrashingQuery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 3)
+		h := newHarness(t, 3)
 		with := func(query string) quarantine.Request {
 			q := request("a")
 			q.Prints = crash.Subject{Path: "a", Query: query}.Prints()
 			return q
 		}
-		a := &attack{r: r, attempts: 2, processing: 60 * time.Millisecond}
+		a := &attack{harness: h, attempts: 2, processing: 60 * time.Millisecond}
 		for range 4 {
-			a.callWithRequest(r.keepers[0], with("bad"))
+			a.callWithRequest(h.keepers[0], with("bad"))
 			time.Sleep(4 * time.Second)
 		}
-		_, refused := r.keepers[1].Admit(r.ctx, with("bad"))
+		_, refused := h.keepers[1].Admit(h.ctx, with("bad"))
 		assert.Assert(t, refused != nil)
-		pass, refused := r.keepers[1].Admit(r.ctx, with("sound"))
+		pass, refused := h.keepers[1].Admit(h.ctx, with("sound"))
 		assert.Assert(t, refused == nil && !pass.Trial)
-		r.keepers[1].Ran(with("sound"))
+		h.keepers[1].Ran(with("sound"))
 		time.Sleep(time.Second)
-		_, refused = r.keepers[2].Admit(r.ctx, with("bad"))
+		_, refused = h.keepers[2].Admit(h.ctx, with("bad"))
 		assert.Assert(t, refused != nil, "the completion of another query ended the refusal")
 	})
 }
@@ -173,16 +173,16 @@
 // refusal from the store's record before they send the request.
 func TestIsolatedAndNewBalancersReadTheRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 5)
-		r.isolated[4] = true
-		a := &attack{r: r, q: request("a"), attempts: 2, processing: 60 * time.Millisecond}
+		h := newHarness(t, 5)
+		h.isolated[4] = true
+		a := &attack{harness: h, request: request("a"), attempts: 2, processing: 60 * time.Millisecond}
 		for i := range 6 {
-			a.call(r.keepers[i%4])
+			a.call(h.keepers[i%4])
 		}
 		before, _ := a.countCrashes()
 		time.Sleep(2 * time.Second)
-		a.call(r.keepers[4])
-		a.call(r.start())
+		a.call(h.keepers[4])
+		a.call(h.startKeeper())
 		after, _ := a.countCrashes()
 		assert.Equal(t, after, before)
 	})
--- a/quarantine/notes.go
+++ b/quarantine/notes.go
@@ -38,8 +38,8 @@
 // prints returns the fingerprints of the request.
 func (n note) prints() crash.Prints { return crash.Prints{Exact: n.Exact, Wide: n.AnyQuery} }
 
-// crashData is the JSON form of a crash.Event. It has no time: the receiver derives it from the age
-// of the note.
+// crashData is the JSON form of a crash.Event, without the time. The receiver of a note derives the
+// time from the note's age; the reader of a Record takes the time at which it reads it.
 type crashData struct {
 	Endpoint string `json:"endpoint"`
 	Start    int64  `json:"start,omitempty"`
@@ -81,7 +81,7 @@
 	}
 	var msg note
 	if err := json.Unmarshal(n.Data, &msg); err != nil || !msg.valid() {
-		k.cfg.Log.Warn("note not read", "from", n.Origin, "error", err)
+		k.cfg.Log.Warn("invalid note ignored", "from", n.Origin, "error", err)
 		return
 	}
 	now := k.opts.Now()
--- a/quarantine/operate.go
+++ b/quarantine/operate.go
@@ -15,7 +15,7 @@
 var (
 	// ErrUnknown is returned if there is no history for the fingerprint.
 	ErrUnknown = errors.New("quarantine: nothing is known of this fingerprint")
-	// ErrInvalid is returned for a text that is not a fingerprint.
+	// ErrInvalid is returned for a string that is not a valid fingerprint.
 	ErrInvalid = errors.New("quarantine: a fingerprint has 32 hexadecimal digits")
 	// ErrChanged is returned if somebody else changed the store's record and the new one did not
 	// arrive in time.
@@ -69,8 +69,9 @@
 	return list
 }
 
-// Release ends the refusal of a request at all balancers, so that it is on trial again. It returns
-// ErrInvalid, ErrUnknown, ErrChanged or an error of the store.
+// Release ends the refusal of a request at all balancers. The request is sent on trial again, or
+// like any other if too few crashes are known. It returns ErrInvalid, ErrUnknown, ErrChanged
+// or an error of the store.
 func (k *Keeper) Release(ctx context.Context, f crash.Fingerprint) error {
 	if !f.Valid() {
 		return ErrInvalid
@@ -79,7 +80,7 @@
 	if !k.updateExisting(f, now, func(ent *entry) { ent.history = ent.history.WithRelease(now) }) {
 		return ErrUnknown
 	}
-	k.cfg.Log.Info("released by an operator", "fingerprint", string(f))
+	k.cfg.Log.Info("request released by an operator", "fingerprint", string(f))
 	k.broadcast(note{What: noteReleased, Exact: f})
 	return k.writeOperatorRecord(ctx, f, stateReleased)
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -3,14 +3,14 @@
 //
 // A Keeper is the part of one balancer. The request path reports to it the attempts that broke
 // without a response, and it finds out whether their endpoints have crashed (verify.go). It sends
-// its observations to all balancers as notes, which do not need the store (notes.go). A suspected
+// its observations to all balancers as notes, which work without the store (notes.go). A suspected
 // request is sent on trial, by one balancer of the fleet at a time (admit.go). Refusals are
 // recorded in the store, for balancers that start later and for operators (records.go, operate.go).
-// Package coord/crash has the rule that decides.
+// Package coord/crash decides, from the history of a request, how it is handled.
 //
 // The package holds the histories known to this process. It tolerates notes that are lost or late.
-// It needs the store only to give a trial to a single balancer. While no request is suspected, the
-// cost for each request is one atomic read.
+// It depends on the store only for the guarantee that a single balancer at a time has a request on
+// trial. While no history is kept, the cost for each request is one atomic read (Keeper.Quiet).
 //
 // # Usage
 //
@@ -83,8 +83,9 @@
 	TrialFor time.Duration
 	// AskWithin bounds the request to the store for the lease of a trial; default 250 ms.
 	AskWithin time.Duration
-	// LookEvery is the interval at which an endpoint that still answers is checked for a crash, and
-	// at which the store is checked for missing refusals; default 250 ms.
+	// LookEvery is the interval at which the directory is checked for the crash of an endpoint whose
+	// probes showed none, and at which expired histories are removed and refusals that are missing
+	// from the store are written; default 250 ms.
 	LookEvery time.Duration
 	// RecordAfter is the age from which another balancer writes a refusal that is still missing
 	// from the store, and how long a balancer waits for its own write to be seen; default 3 s.
@@ -114,16 +115,16 @@
 	crashes    metrics.Counter
 	trials     metrics.Counter
 	refusals   metrics.Counter
-	gauge      metrics.Gauge
+	entryGauge metrics.Gauge
 
-	mu      sync.Mutex
-	entries map[crash.Fingerprint]*entry
-	watched int             // number of endpoints that are being checked for a crash
-	changed chan struct{}   // closed and replaced when any history changes
-	runCtx  context.Context // the context of Run, for work in the background
+	mu            sync.Mutex
+	entries       map[crash.Fingerprint]*entry
+	runningChecks int             // number of broken attempts whose endpoint is being checked for a crash
+	changed       chan struct{}   // closed and replaced when any history changes
+	runCtx        context.Context // the context of Run, for work in the background
 }
 
-// entry is what a Keeper has on one fingerprint. It is accessed with Keeper.mu held.
+// entry is a Keeper's state for one fingerprint. It is accessed with Keeper.mu held.
 type entry struct {
 	history         crash.History
 	service         string // service to which the request was sent
@@ -151,10 +152,10 @@
 func New(cfg Config) *Keeper {
 	return &Keeper{
 		cfg: cfg, opts: cfg.Options.withDefaults(), entries: map[crash.Fingerprint]*entry{}, changed: make(chan struct{}), runCtx: context.Background(),
-		crashes:  metrics.GetOrRegisterCounter("quarantine_ends", cfg.Metrics),
-		trials:   metrics.GetOrRegisterCounter("quarantine_trials", cfg.Metrics),
-		refusals: metrics.GetOrRegisterCounter("quarantine_refusals", cfg.Metrics),
-		gauge:    metrics.GetOrRegisterGauge("quarantine_cases", cfg.Metrics),
+		crashes:    metrics.GetOrRegisterCounter("quarantine_ends", cfg.Metrics),
+		trials:     metrics.GetOrRegisterCounter("quarantine_trials", cfg.Metrics),
+		refusals:   metrics.GetOrRegisterCounter("quarantine_refusals", cfg.Metrics),
+		entryGauge: metrics.GetOrRegisterGauge("quarantine_cases", cfg.Metrics),
 	}
 }
 
@@ -219,7 +220,8 @@
 	k.update(p.Wide, crash.NewAnyQueryHistory(), now, apply)
 }
 
-// updateLocked applies a change to an existing entry; k.mu is held.
+// updateLocked applies a change to an existing entry. It removes the entry if its history has
+// expired, and evicts entries if there are too many; k.mu is held.
 func (k *Keeper) updateLocked(f crash.Fingerprint, now time.Time, apply func(*entry)) {
 	ent := k.entries[f]
 	apply(ent)
@@ -227,13 +229,13 @@
 		delete(k.entries, f)
 	}
 	k.evictExcess(ent.service, now)
-	k.logActionChange(f, ent, now)
+	k.trackAction(f, ent, now)
 	k.notifyChanged()
 }
 
-// logActionChange updates refusedSince and logs the action for a request if it has changed; k.mu is
-// held.
-func (k *Keeper) logActionChange(f crash.Fingerprint, ent *entry, now time.Time) {
+// trackAction keeps refusedSince up to date with the action for a request, and logs the action if
+// it has changed; k.mu is held.
+func (k *Keeper) trackAction(f crash.Fingerprint, ent *entry, now time.Time) {
 	d := ent.history.Decide(now)
 	if d.Action != crash.Refuse {
 		ent.refusedSince = time.Time{}
@@ -252,13 +254,13 @@
 // is held.
 func (k *Keeper) notifyChanged() {
 	k.entryCount.Store(int64(len(k.entries)))
-	k.gauge.Update(int64(len(k.entries)))
+	k.entryGauge.Update(int64(len(k.entries)))
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
-// evictExcess removes an entry of the service, and one of any service, if there are too many; k.mu
-// is held.
+// evictExcess removes an entry of the service if it has more than maxEntriesPerService, and one of
+// any service if there are more than maxEntries in total; k.mu is held.
 func (k *Keeper) evictExcess(service string, now time.Time) {
 	inService := 0
 	for _, ent := range k.entries {
@@ -274,7 +276,7 @@
 	}
 }
 
-// evictOne removes the least important of the eligible entries; k.mu is held.
+// evictOne removes the eligible entry that comes first by evictBefore; k.mu is held.
 func (k *Keeper) evictOne(eligible func(*entry) bool, now time.Time) {
 	var victim crash.Fingerprint
 	for f, ent := range k.entries {
@@ -300,7 +302,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for f, ent := range k.entries {
-		k.logActionChange(f, ent, now)
+		k.trackAction(f, ent, now)
 		if ent.history.Expired(now) {
 			delete(k.entries, f)
 		}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -36,8 +36,8 @@
 	mu         sync.Mutex
 	keepers    []*quarantine.Keeper
 	down       map[string]bool   // addresses that refuse connections
-	instances  map[string]string // instance that answers at each other address
-	records    map[string]record
+	instances  map[string]string // ID of the instance that answers, by address
+	records    map[string]storedValue
 	revision   uint64
 	storeDown  bool
 	isolated   map[int]bool // indexes of Keepers that neither send nor receive notes
@@ -46,7 +46,8 @@
 	probes     int
 }
 
-type record struct {
+// storedValue is the value of one key in the simulated store.
+type storedValue struct {
 	value    []byte
 	revision uint64
 	lease    uint64
@@ -65,104 +66,104 @@
 func newHarnessWithInterval(t *testing.T, n int, lookEvery time.Duration) *harness {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	r := &harness{ctx: ctx, lookEvery: lookEvery, directory: directory.New(), down: map[string]bool{}, instances: map[string]string{}, records: map[string]record{}, isolated: map[int]bool{}}
-	r.directory.Apply(directory.Changes{
+	h := &harness{ctx: ctx, lookEvery: lookEvery, directory: directory.New(), down: map[string]bool{}, instances: map[string]string{}, records: map[string]storedValue{}, isolated: map[int]bool{}}
+	h.directory.Apply(directory.Changes{
 		Config: &directory.Config{Version: 1, Services: map[string]tenant.Service{"s": {ProbePath: "/health"}}},
 	}, time.Now())
 	for range n {
-		r.start()
+		h.startKeeper()
 	}
 	t.Cleanup(func() {
 		stop()
 		synctest.Wait()
 	})
-	return r
+	return h
 }
 
-// start starts another Keeper, which first reads the store's records.
-func (r *harness) start() *quarantine.Keeper {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	number := len(r.keepers)
+// startKeeper starts another Keeper, which first reads the store's records.
+func (h *harness) startKeeper() *quarantine.Keeper {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	number := len(h.keepers)
 	k := quarantine.New(quarantine.Config{
-		ID: fmt.Sprintf("vm-%d", number), Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Endpoints: r.directory, Prober: r, Registry: r,
-		Tell:    func(topic string, data []byte) error { return r.tell(number, topic, data) },
+		ID: fmt.Sprintf("vm-%d", number), Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Endpoints: h.directory, Prober: h, Registry: h,
+		Tell:    func(topic string, data []byte) error { return h.deliverNote(number, topic, data) },
 		Serving: func() bool { return number == 0 },
-		Willing: func(endpoint string) bool { return endpoint != r.backingOff },
-		Options: quarantine.Options{Now: time.Now, LookEvery: r.lookEvery},
+		Willing: func(endpoint string) bool { return endpoint != h.backingOff },
+		Options: quarantine.Options{Now: time.Now, LookEvery: h.lookEvery},
 	})
-	r.keepers = append(r.keepers, k)
-	go k.Run(r.ctx)
-	for name, stored := range r.records {
+	h.keepers = append(h.keepers, k)
+	go k.Run(h.ctx)
+	for name, stored := range h.records {
 		k.Observe(directory.Changes{Registrations: []directory.Record{{Key: name, Value: stored.value, Revision: stored.revision}}})
 	}
 	return k
 }
 
-// The first Keepers receive a note after minNoteDelay milliseconds, the others up to noteDelaySteps
-// milliseconds later.
+// The first Keepers receive a note after minNoteDelay milliseconds. The others follow in
+// noteDelaySteps steps of one millisecond.
 const (
 	minNoteDelay   = 5
 	noteDelaySteps = 25
 )
 
-// tell delivers a note to all other Keepers, one after the other. A single goroutine does this:
-// with one for each Keeper, 7,257 Keepers took 16 GB of memory under the race detector.
-func (r *harness) tell(from int, topic string, data []byte) error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.isolated[from] {
+// deliverNote delivers a note to all other Keepers, one after the other. A single goroutine does
+// this: with one for each Keeper, 7,257 Keepers took 16 GB of memory under the race detector.
+func (h *harness) deliverNote(from int, topic string, data []byte) error {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.isolated[from] {
 		return nil
 	}
 	var receivers [noteDelaySteps][]*quarantine.Keeper
-	for to, k := range r.keepers {
-		if to != from && !r.isolated[to] {
+	for to, k := range h.keepers {
+		if to != from && !h.isolated[to] {
 			step := (to * 7) % noteDelaySteps
 			receivers[step] = append(receivers[step], k)
 		}
 	}
 	go func() {
-		pause.For(r.ctx, minNoteDelay*time.Millisecond)
+		pause.For(h.ctx, minNoteDelay*time.Millisecond)
 		for step, keepers := range receivers {
 			for _, k := range keepers {
-				if r.ctx.Err() != nil {
+				if h.ctx.Err() != nil {
 					return
 				}
 				k.Hear(relay.Note{Origin: "vm", Topic: topic, Data: data, Age: time.Duration(minNoteDelay+step) * time.Millisecond})
 			}
-			pause.For(r.ctx, time.Millisecond)
+			pause.For(h.ctx, time.Millisecond)
 		}
 	}()
 	return nil
 }
 
 // Replace implements the compare-and-swap of the store.
-func (r *harness) Replace(ctx context.Context, name string, value []byte, revision uint64, ttl time.Duration) (uint64, error) {
+func (h *harness) Replace(ctx context.Context, name string, value []byte, revision uint64, ttl time.Duration) (uint64, error) {
 	pause.For(ctx, 10*time.Millisecond)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.storeCalls++
-	if r.storeDown {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.storeCalls++
+	if h.storeDown {
 		return 0, errStoreDown
 	}
-	stored := r.records[name]
+	stored := h.records[name]
 	if !stored.expires.IsZero() && !time.Now().Before(stored.expires) {
-		stored = record{}
+		stored = storedValue{}
 	}
 	if stored.revision != revision {
 		return 0, relay.ErrTaken
 	}
-	r.revision++
-	next := record{value: value, revision: r.revision, lease: r.revision}
+	h.revision++
+	next := storedValue{value: value, revision: h.revision, lease: h.revision}
 	if ttl > 0 {
 		next.expires = time.Now().Add(ttl)
 	}
-	r.records[name] = next
-	keepers := slices.Clone(r.keepers)
+	h.records[name] = next
+	keepers := slices.Clone(h.keepers)
 	go func() {
-		pause.For(r.ctx, time.Second)
+		pause.For(h.ctx, time.Second)
 		for _, k := range keepers {
-			if r.ctx.Err() != nil {
+			if h.ctx.Err() != nil {
 				return
 			}
 			k.Observe(directory.Changes{Registrations: []directory.Record{{Key: name, Value: value, Revision: next.revision}}})
@@ -172,37 +173,37 @@
 }
 
 // Release deletes the record of a lease.
-func (r *harness) Release(ctx context.Context, lease uint64) error {
+func (h *harness) Release(ctx context.Context, lease uint64) error {
 	pause.For(ctx, 10*time.Millisecond)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.storeCalls++
-	if r.storeDown {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.storeCalls++
+	if h.storeDown {
 		return errStoreDown
 	}
-	maps.DeleteFunc(r.records, func(_ string, stored record) bool { return stored.lease == lease })
+	maps.DeleteFunc(h.records, func(_ string, stored storedValue) bool { return stored.lease == lease })
 	return nil
 }
 
 // Probe answers in place of an endpoint.
-func (r *harness) Probe(ctx context.Context, addr, _ string, _ time.Duration) (upstream.Report, error) {
+func (h *harness) Probe(ctx context.Context, addr, _ string, _ time.Duration) (upstream.Report, error) {
 	pause.For(ctx, time.Millisecond)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.probes++
-	if r.down[addr] {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.probes++
+	if h.down[addr] {
 		return upstream.Report{}, fmt.Errorf("dial: %w", syscall.ECONNREFUSED)
 	}
-	return upstream.Report{Instance: r.instances[addr]}, nil
+	return upstream.Report{Instance: h.instances[addr]}, nil
 }
 
 // listEndpoint adds an endpoint to the directory, or replaces its entry.
-func (r *harness) listEndpoint(id string, start int64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.revision++
-	r.directory.Apply(directory.Changes{Entries: []directory.Entry{{
-		Endpoint: directory.Endpoint{Endpoint: placement.Endpoint{VM: id, Addr: id, Zone: "z", Slots: 3}, Service: "s", Start: start}, Revision: r.revision,
+func (h *harness) listEndpoint(id string, start int64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.revision++
+	h.directory.Apply(directory.Changes{Entries: []directory.Entry{{
+		Endpoint: directory.Endpoint{Endpoint: placement.Endpoint{VM: id, Addr: id, Zone: "z", Slots: 3}, Service: "s", Start: start}, Revision: h.revision,
 	}}}, time.Now())
 }
 
@@ -214,71 +215,71 @@
 }
 
 // stopEndpoint makes an endpoint's address refuse connections.
-func (r *harness) stopEndpoint(endpoint string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.down[endpoint] = true
+func (h *harness) stopEndpoint(endpoint string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.down[endpoint] = true
 }
 
 // setStoreDown makes the store refuse all calls, or answer them again.
-func (r *harness) setStoreDown(down bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.storeDown = down
+func (h *harness) setStoreDown(down bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.storeDown = down
 }
 
 // countStoreCalls returns the number of calls of the store so far.
-func (r *harness) countStoreCalls() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.storeCalls
+func (h *harness) countStoreCalls() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.storeCalls
 }
 
 // crashEndpoint stops an endpoint, reports the broken attempt of the request to a Keeper, and waits
 // until all Keepers know.
-func (r *harness) crashEndpoint(k *quarantine.Keeper, q quarantine.Request, endpoint string, pass quarantine.Pass) {
-	r.stopEndpoint(endpoint)
+func (h *harness) crashEndpoint(k *quarantine.Keeper, q quarantine.Request, endpoint string, pass quarantine.Pass) {
+	h.stopEndpoint(endpoint)
 	<-k.Broke(quarantine.Attempt{Request: q, Endpoint: endpoint, Start: 1, Addr: endpoint, Trial: pass.Trial, Alone: true})
 	time.Sleep(50 * time.Millisecond)
 }
 
 // crashUntilRefused reports crashes during a request to a Keeper, the last two on trial, after
 // which the request is refused.
-func (r *harness) crashUntilRefused(t *testing.T, k *quarantine.Keeper, q quarantine.Request) {
+func (h *harness) crashUntilRefused(t *testing.T, k *quarantine.Keeper, q quarantine.Request) {
 	t.Helper()
 	for range 2 {
-		r.crashEndpoint(k, q, r.newEndpointID(), quarantine.Pass{})
+		h.crashEndpoint(k, q, h.newEndpointID(), quarantine.Pass{})
 	}
 	for range 2 {
-		r.crashOnTrial(t, k, q)
+		h.crashOnTrial(t, k, q)
 	}
 }
 
 // crashOnTrial admits a request on trial at a Keeper and has it crash an endpoint.
-func (r *harness) crashOnTrial(t *testing.T, k *quarantine.Keeper, q quarantine.Request) {
+func (h *harness) crashOnTrial(t *testing.T, k *quarantine.Keeper, q quarantine.Request) {
 	t.Helper()
-	pass, refused := k.Admit(r.ctx, q)
+	pass, refused := k.Admit(h.ctx, q)
 	assert.Assert(t, refused == nil && pass.Trial)
-	r.crashEndpoint(k, q, r.newEndpointID(), pass)
+	h.crashEndpoint(k, q, h.newEndpointID(), pass)
 }
 
 // newEndpointID returns the ID of an endpoint that was not used before.
-func (r *harness) newEndpointID() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return fmt.Sprintf("another-%d", len(r.down))
+func (h *harness) newEndpointID() string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return fmt.Sprintf("another-%d", len(h.down))
 }
 
 // actions returns the action of each Keeper for a request.
-func (r *harness) actions(q quarantine.Request) (all []string) {
-	for _, k := range r.keepers {
-		step := "send"
+func (h *harness) actions(q quarantine.Request) (all []string) {
+	for _, k := range h.keepers {
+		action := "send"
 		for _, st := range k.List() {
 			if st.Fingerprint == q.Prints.Exact {
-				step = st.Step
+				action = st.Step
 			}
 		}
-		all = append(all, step)
+		all = append(all, action)
 	}
 	return all
 }
@@ -287,26 +288,26 @@
 // After two more on trial it is refused by all of them, and by one that starts later.
 func TestRequestCrashingOnTrialIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 3)
+		h := newHarness(t, 3)
 		q := request("a")
-		r.crashEndpoint(r.keepers[0], q, "e0", quarantine.Pass{})
-		assert.DeepEqual(t, r.actions(q), []string{"send", "send", "send"})
-		r.crashEndpoint(r.keepers[1], q, "e1", quarantine.Pass{})
-		assert.DeepEqual(t, r.actions(q), []string{"try", "try", "try"})
-		r.crashOnTrial(t, r.keepers[2], q)
-		assert.DeepEqual(t, r.actions(q), []string{"try", "try", "try"})
-		r.crashOnTrial(t, r.keepers[1], q)
-		assert.DeepEqual(t, r.actions(q), []string{"refuse", "refuse", "refuse"})
-		_, refused := r.keepers[0].Admit(r.ctx, q)
+		h.crashEndpoint(h.keepers[0], q, "e0", quarantine.Pass{})
+		assert.DeepEqual(t, h.actions(q), []string{"send", "send", "send"})
+		h.crashEndpoint(h.keepers[1], q, "e1", quarantine.Pass{})
+		assert.DeepEqual(t, h.actions(q), []string{"try", "try", "try"})
+		h.crashOnTrial(t, h.keepers[2], q)
+		assert.DeepEqual(t, h.actions(q), []string{"try", "try", "try"})
+		h.crashOnTrial(t, h.keepers[1], q)
+		assert.DeepEqual(t, h.actions(q), []string{"refuse", "refuse", "refuse"})
+		_, refused := h.keepers[0].Admit(h.ctx, q)
 		assert.Assert(t, refused != nil)
 		assert.Assert(t, refused.RetryAfter > 9*time.Minute, "RetryAfter is shorter than the refusal")
 		assert.Assert(t, len(refused.Evidence) > 0)
 		time.Sleep(time.Second)
-		late := r.start()
-		_, refused = late.Admit(r.ctx, q)
+		late := h.startKeeper()
+		_, refused = late.Admit(h.ctx, q)
 		assert.Assert(t, refused != nil, "the record in the store was not read")
 		other := request("b")
-		pass, refused := late.Admit(r.ctx, other)
+		pass, refused := late.Admit(h.ctx, other)
 		assert.Assert(t, refused == nil)
 		assert.DeepEqual(t, pass, quarantine.Pass{}) // another request is not affected
 	})
@@ -316,14 +317,14 @@
 // it has completed.
 func TestOneTrialAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 30)
+		h := newHarness(t, 30)
 		q := request("a")
-		r.crashEndpoint(r.keepers[0], q, "e0", quarantine.Pass{})
-		r.crashEndpoint(r.keepers[0], q, "e1", quarantine.Pass{})
+		h.crashEndpoint(h.keepers[0], q, "e0", quarantine.Pass{})
+		h.crashEndpoint(h.keepers[0], q, "e1", quarantine.Pass{})
 		var trials, refusals, served atomic.Int64
-		for _, k := range r.keepers {
+		for _, k := range h.keepers {
 			go func() {
-				pass, refused := k.Admit(r.ctx, q)
+				pass, refused := k.Admit(h.ctx, q)
 				switch {
 				case refused != nil:
 					refusals.Add(1)
@@ -340,7 +341,7 @@
 		assert.Equal(t, trials.Load(), int64(1))
 		assert.Equal(t, served.Load(), int64(29))
 		assert.Equal(t, refusals.Load(), int64(0))
-		assert.DeepEqual(t, r.keepers[7].List(), []quarantine.Status{})
+		assert.DeepEqual(t, h.keepers[7].List(), []quarantine.Status{})
 	})
 }
 
@@ -348,12 +349,12 @@
 // directory entry shows whether it crashed.
 func TestEndpointInBackoffIsNotProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 1)
-		r.backingOff = "e0"
-		r.crashEndpoint(r.keepers[0], request("a"), "e0", quarantine.Pass{})
-		assert.Equal(t, r.probes, 0)
-		r.crashEndpoint(r.keepers[0], request("a"), "e1", quarantine.Pass{})
-		assert.Assert(t, r.probes > 0)
+		h := newHarness(t, 1)
+		h.backingOff = "e0"
+		h.crashEndpoint(h.keepers[0], request("a"), "e0", quarantine.Pass{})
+		assert.Equal(t, h.probes, 0)
+		h.crashEndpoint(h.keepers[0], request("a"), "e1", quarantine.Pass{})
+		assert.Assert(t, h.probes > 0)
 		time.Sleep(10 * time.Second) // until the watch of e0 ends
 	})
 }
@@ -362,11 +363,11 @@
 // request is not sent to one that the store still lists.
 func TestTrialListsCrashedIncarnations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 2)
+		h := newHarness(t, 2)
 		q := request("a")
-		r.crashEndpoint(r.keepers[0], q, "e0", quarantine.Pass{})
-		r.crashEndpoint(r.keepers[0], q, "e1", quarantine.Pass{})
-		pass, refused := r.keepers[1].Admit(r.ctx, q)
+		h.crashEndpoint(h.keepers[0], q, "e0", quarantine.Pass{})
+		h.crashEndpoint(h.keepers[0], q, "e1", quarantine.Pass{})
+		pass, refused := h.keepers[1].Admit(h.ctx, q)
 		assert.Assert(t, refused == nil && pass.Trial)
 		assert.DeepEqual(t, pass.Ended, []placement.Incarnation{{VM: "e0", Start: 1}, {VM: "e1", Start: 1}})
 	})
@@ -376,19 +377,19 @@
 // are refused when their patience ends. Another trial is possible after a while.
 func TestTrialWithoutResultExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 2)
+		h := newHarness(t, 2)
 		q := request("a")
-		r.crashEndpoint(r.keepers[0], q, "e0", quarantine.Pass{})
-		r.crashEndpoint(r.keepers[0], q, "e1", quarantine.Pass{})
-		pass, _ := r.keepers[0].Admit(r.ctx, q)
+		h.crashEndpoint(h.keepers[0], q, "e0", quarantine.Pass{})
+		h.crashEndpoint(h.keepers[0], q, "e1", quarantine.Pass{})
+		pass, _ := h.keepers[0].Admit(h.ctx, q)
 		assert.Assert(t, pass.Trial)
 		began := time.Now()
-		_, refused := r.keepers[1].Admit(r.ctx, q)
+		_, refused := h.keepers[1].Admit(h.ctx, q)
 		assert.Assert(t, refused != nil)
 		assert.Assert(t, time.Since(began) <= q.Patience+250*time.Millisecond)
 		assert.Assert(t, refused.RetryAfter <= time.Second)
 		time.Sleep(4 * time.Second)
-		pass, _ = r.keepers[1].Admit(r.ctx, q)
+		pass, _ = h.keepers[1].Admit(h.ctx, q)
 		assert.Assert(t, pass.Trial)
 	})
 }
@@ -398,19 +399,19 @@
 // crashes endpoints is refused.
 func TestStoreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 3)
-		r.setStoreDown(true)
+		h := newHarness(t, 3)
+		h.setStoreDown(true)
 		q := request("a")
-		r.crashEndpoint(r.keepers[0], q, "e0", quarantine.Pass{})
-		r.crashEndpoint(r.keepers[1], q, "e1", quarantine.Pass{})
-		pass, refused := r.keepers[2].Admit(r.ctx, q)
+		h.crashEndpoint(h.keepers[0], q, "e0", quarantine.Pass{})
+		h.crashEndpoint(h.keepers[1], q, "e1", quarantine.Pass{})
+		pass, refused := h.keepers[2].Admit(h.ctx, q)
 		assert.Assert(t, refused == nil && pass.Trial)
-		_, refused = r.keepers[2].Admit(r.ctx, q)
+		_, refused = h.keepers[2].Admit(h.ctx, q)
 		assert.Assert(t, refused != nil, "one balancer has two trials at a time")
-		r.crashEndpoint(r.keepers[2], q, "e2", pass)
-		r.crashOnTrial(t, r.keepers[1], q)
-		for _, k := range r.keepers {
-			_, refused = k.Admit(r.ctx, q)
+		h.crashEndpoint(h.keepers[2], q, "e2", pass)
+		h.crashOnTrial(t, h.keepers[1], q)
+		for _, k := range h.keepers {
+			_, refused = k.Admit(h.ctx, q)
 			assert.Assert(t, refused != nil)
 		}
 	})
@@ -419,20 +420,20 @@
 // TestTrialAfterTrialWithoutResult: when a trial ends without a result, another one begins at once.
 func TestTrialAfterTrialWithoutResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 2)
+		h := newHarness(t, 2)
 		q := request("a")
-		r.crashEndpoint(r.keepers[0], q, "e0", quarantine.Pass{})
-		r.crashEndpoint(r.keepers[0], q, "e1", quarantine.Pass{})
-		pass, _ := r.keepers[0].Admit(r.ctx, q)
+		h.crashEndpoint(h.keepers[0], q, "e0", quarantine.Pass{})
+		h.crashEndpoint(h.keepers[0], q, "e1", quarantine.Pass{})
+		pass, _ := h.keepers[0].Admit(h.ctx, q)
 		assert.Assert(t, pass.Trial)
 		go func() {
 			time.Sleep(40 * time.Millisecond) // no endpoint was available
-			r.keepers[0].Over(q)
+			h.keepers[0].Over(q)
 		}()
-		pass, refused := r.keepers[1].Admit(r.ctx, q)
+		pass, refused := h.keepers[1].Admit(h.ctx, q)
 		assert.Assert(t, refused == nil && pass.Trial)
-		r.keepers[0].Over(q) // a trial that has already ended
-		_, refused = r.keepers[0].Admit(r.ctx, q)
+		h.keepers[0].Over(q) // a trial that has already ended
+		_, refused = h.keepers[0].Admit(h.ctx, q)
 		assert.Assert(t, refused != nil, "the trial of the other Keeper has ended")
 	})
 }
@@ -440,33 +441,33 @@
 // TestRefusalIsRecordedWhenTheStoreReturns: a refusal is recorded once the store is available
 // again, whether or not the Keeper that observed the crashes does the shared work of its zone.
 func TestRefusalIsRecordedWhenTheStoreReturns(t *testing.T) {
-	for _, foundBy := range []int{0, 1} {
+	for _, observer := range []int{0, 1} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newHarness(t, 2)
+			h := newHarness(t, 2)
 			q := request("a")
-			r.crashEndpoint(r.keepers[0], q, "e0", quarantine.Pass{})
-			r.crashEndpoint(r.keepers[0], q, "e1", quarantine.Pass{})
-			r.crashOnTrial(t, r.keepers[foundBy], q)
-			pass, _ := r.keepers[foundBy].Admit(r.ctx, q)
-			r.setStoreDown(true)
-			r.crashEndpoint(r.keepers[foundBy], q, "e2", pass)
+			h.crashEndpoint(h.keepers[0], q, "e0", quarantine.Pass{})
+			h.crashEndpoint(h.keepers[0], q, "e1", quarantine.Pass{})
+			h.crashOnTrial(t, h.keepers[observer], q)
+			pass, _ := h.keepers[observer].Admit(h.ctx, q)
+			h.setStoreDown(true)
+			h.crashEndpoint(h.keepers[observer], q, "e2", pass)
 			time.Sleep(20 * time.Second)
-			r.setStoreDown(false)
+			h.setStoreDown(false)
 			time.Sleep(20 * time.Second)
-			calls := r.countStoreCalls()
-			assert.DeepEqual(t, storedRecord(r, q).State, "refused")
-			assert.Equal(t, len(storedRecord(r, q).Crashes), 4)
+			calls := h.countStoreCalls()
+			assert.DeepEqual(t, storedRecord(h, q).State, "refused")
+			assert.Equal(t, len(storedRecord(h, q).Crashes), 4)
 			time.Sleep(time.Minute)
-			assert.Equal(t, r.countStoreCalls(), calls, "the record was written again")
+			assert.Equal(t, h.countStoreCalls(), calls, "the record was written again")
 		})
 	}
 }
 
 // storedRecord returns the store's record of a request.
-func storedRecord(r *harness, q quarantine.Request) (rec quarantine.Record) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if stored, ok := r.records["quarantine/"+string(q.Prints.Exact)]; ok {
+func storedRecord(h *harness, q quarantine.Request) (rec quarantine.Record) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if stored, ok := h.records["quarantine/"+string(q.Prints.Exact)]; ok {
 		if err := json.Unmarshal(stored.value, &rec); err != nil {
 			panic(err)
 		}
@@ -478,32 +479,32 @@
 // Connections are also reset, and responses cut or lost, while endpoints are running.
 func TestOnlyCrashedEndpointsCount(t *testing.T) {
 	for name, c := range map[string]struct {
-		change  func(r *harness)
+		change  func(h *harness)
 		crashed bool
 	}{
 		"nothing":         {func(*harness) {}, false},
-		"it starts again": {func(r *harness) { r.listEndpoint("e0", 2) }, true},
-		"its entry goes": {func(r *harness) {
-			r.directory.Apply(directory.Changes{Gone: []directory.Gone{{ID: "e0", Revision: 99}}}, time.Now())
+		"it starts again": {func(h *harness) { h.listEndpoint("e0", 2) }, true},
+		"its entry goes": {func(h *harness) {
+			h.directory.Apply(directory.Changes{Gone: []directory.Gone{{ID: "e0", Revision: 99}}}, time.Now())
 		}, true},
-		"it leaves":                     {func(r *harness) { r.directory.MarkLeaving("e0", 1, time.Now()) }, false},
-		"another one is at its address": {func(r *harness) { r.instances["e0"] = "other" }, true},
-		"its address is silent":         {func(r *harness) { delete(r.instances, "e0") }, false},
+		"it leaves":                      {func(h *harness) { h.directory.MarkLeaving("e0", 1, time.Now()) }, false},
+		"another one is at its address":  {func(h *harness) { h.instances["e0"] = "other" }, true},
+		"its responses name no instance": {func(h *harness) { delete(h.instances, "e0") }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newHarness(t, 1)
-				r.listEndpoint("e0", 1)
-				r.instances["e0"] = "e0"
+				h := newHarness(t, 1)
+				h.listEndpoint("e0", 1)
+				h.instances["e0"] = "e0"
 				if name == "another one is at its address" {
-					c.change(r)
+					c.change(h)
 				}
 				q := request("a")
-				<-r.keepers[0].Broke(quarantine.Attempt{Request: q, Endpoint: "e0", Start: 1, Addr: "e0"})
+				<-h.keepers[0].Broke(quarantine.Attempt{Request: q, Endpoint: "e0", Start: 1, Addr: "e0"})
 				time.Sleep(time.Second)
-				c.change(r)
+				c.change(h)
 				time.Sleep(10 * time.Second)
-				assert.Equal(t, len(r.keepers[0].List()) == 1, c.crashed)
+				assert.Equal(t, len(h.keepers[0].List()) == 1, c.crashed)
 			})
 		})
 	}
@@ -514,18 +515,18 @@
 // one is sent on trial.
 func TestRackFailureDoesNotRefusePopularRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 30)
+		h := newHarness(t, 30)
 		q := request("popular")
-		for i, k := range r.keepers {
+		for i, k := range h.keepers {
 			endpoint := fmt.Sprintf("e%d", i)
-			r.stopEndpoint(endpoint)
+			h.stopEndpoint(endpoint)
 			k.Broke(quarantine.Attempt{Request: q, Endpoint: endpoint, Start: 1, Addr: endpoint})
 		}
 		var refusals, trials atomic.Int64
 		for round := range 20 {
-			for _, k := range r.keepers {
+			for _, k := range h.keepers {
 				go func() {
-					pass, refused := k.Admit(r.ctx, q)
+					pass, refused := k.Admit(h.ctx, q)
 					if refused != nil {
 						refusals.Add(1)
 						return
@@ -549,31 +550,31 @@
 // them, and at those that start later.
 func TestOperatorReleaseAndRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 3)
+		h := newHarness(t, 3)
 		q := request("a")
-		r.crashUntilRefused(t, r.keepers[0], q)
+		h.crashUntilRefused(t, h.keepers[0], q)
 		time.Sleep(2 * time.Second)
-		assert.NilError(t, r.keepers[1].Release(r.ctx, q.Prints.Exact))
+		assert.NilError(t, h.keepers[1].Release(h.ctx, q.Prints.Exact))
 		time.Sleep(2 * time.Second)
-		assert.DeepEqual(t, r.actions(q), []string{"try", "try", "try"})
+		assert.DeepEqual(t, h.actions(q), []string{"try", "try", "try"})
 		time.Sleep(2 * time.Second)
-		r.crashOnTrial(t, r.keepers[2], q)
-		r.crashOnTrial(t, r.keepers[1], q)
-		assert.DeepEqual(t, r.actions(q), []string{"refuse", "refuse", "refuse"})
+		h.crashOnTrial(t, h.keepers[2], q)
+		h.crashOnTrial(t, h.keepers[1], q)
+		assert.DeepEqual(t, h.actions(q), []string{"refuse", "refuse", "refuse"})
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, storedRecord(r, q).State, "refused")
+		assert.Equal(t, storedRecord(h, q).State, "refused")
 
 		ordered := request("b")
-		assert.NilError(t, r.keepers[1].Order(r.ctx, ordered.Prints.Exact))
+		assert.NilError(t, h.keepers[1].Order(h.ctx, ordered.Prints.Exact))
 		time.Sleep(2 * time.Hour)
-		assert.DeepEqual(t, r.actions(ordered), []string{"refuse", "refuse", "refuse"})
-		_, refused := r.start().Admit(r.ctx, ordered)
+		assert.DeepEqual(t, h.actions(ordered), []string{"refuse", "refuse", "refuse"})
+		_, refused := h.startKeeper().Admit(h.ctx, ordered)
 		assert.Assert(t, refused != nil)
-		assert.NilError(t, r.keepers[3].Release(r.ctx, ordered.Prints.Exact))
+		assert.NilError(t, h.keepers[3].Release(h.ctx, ordered.Prints.Exact))
 		time.Sleep(2 * time.Second)
-		assert.DeepEqual(t, r.actions(ordered), []string{"send", "send", "send", "send"})
-		assert.ErrorIs(t, r.keepers[0].Release(r.ctx, request("c").Prints.Exact), quarantine.ErrUnknown)
-		assert.ErrorIs(t, r.keepers[0].Order(r.ctx, "abc"), quarantine.ErrInvalid)
+		assert.DeepEqual(t, h.actions(ordered), []string{"send", "send", "send", "send"})
+		assert.ErrorIs(t, h.keepers[0].Release(h.ctx, request("c").Prints.Exact), quarantine.ErrUnknown)
+		assert.ErrorIs(t, h.keepers[0].Order(h.ctx, "abc"), quarantine.ErrInvalid)
 	})
 }
 
@@ -581,37 +582,37 @@
 // completed, its history is dropped.
 func TestRefusalExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 2)
+		h := newHarness(t, 2)
 		q := request("a")
-		r.crashUntilRefused(t, r.keepers[0], q)
+		h.crashUntilRefused(t, h.keepers[0], q)
 		time.Sleep(crash.RefusalPeriod + time.Second)
-		assert.DeepEqual(t, r.actions(q), []string{"try", "try"})
-		pass, _ := r.keepers[1].Admit(r.ctx, q)
+		assert.DeepEqual(t, h.actions(q), []string{"try", "try"})
+		pass, _ := h.keepers[1].Admit(h.ctx, q)
 		assert.Assert(t, pass.Trial)
-		r.keepers[1].Ran(q)
+		h.keepers[1].Ran(q)
 		time.Sleep(time.Second)
-		assert.DeepEqual(t, r.actions(q), []string{"send", "send"})
+		assert.DeepEqual(t, h.actions(q), []string{"send", "send"})
 		time.Sleep(crash.RefusalPeriod + time.Minute)
-		assert.Assert(t, r.keepers[0].Quiet() && r.keepers[1].Quiet())
+		assert.Assert(t, h.keepers[0].Quiet() && h.keepers[1].Quiet())
 	})
 }
 
 // TestInvalidRecordsAndNotesAreIgnored: invalid records and notes change nothing.
 func TestInvalidRecordsAndNotesAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 1)
+		h := newHarness(t, 1)
 		q := request("a")
 		name := "quarantine/" + string(q.Prints.Exact)
 		for _, value := range []string{"", "null", "{}", "[]", "\xff", `{"state":"unheard-of"}`, `{"state":1}`, `{"state":"refused","ends":17}`} {
-			r.keepers[0].Observe(directory.Changes{Registrations: []directory.Record{{Key: name, Value: []byte(value), Revision: 5}}})
-			r.keepers[0].Hear(relay.Note{Topic: quarantine.Topic, Data: []byte(value)})
+			h.keepers[0].Observe(directory.Changes{Registrations: []directory.Record{{Key: name, Value: []byte(value), Revision: 5}}})
+			h.keepers[0].Hear(relay.Note{Topic: quarantine.Topic, Data: []byte(value)})
 		}
-		r.keepers[0].Observe(directory.Changes{Registrations: []directory.Record{
+		h.keepers[0].Observe(directory.Changes{Registrations: []directory.Record{
 			{Key: "quarantine/no-fingerprint", Value: []byte(`{"state":"ordered"}`), Revision: 6}, {Key: "relays/medina", Value: []byte("{}"), Revision: 7},
 		}})
-		_, refused := r.keepers[0].Admit(r.ctx, q)
+		_, refused := h.keepers[0].Admit(h.ctx, q)
 		assert.Assert(t, refused == nil)
-		assert.Assert(t, r.keepers[0].Quiet())
+		assert.Assert(t, h.keepers[0].Quiet())
 	})
 }
 
@@ -619,22 +620,22 @@
 // is written again.
 func TestLostRecordReleasesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 2)
+		h := newHarness(t, 2)
 		q := request("a")
-		r.crashUntilRefused(t, r.keepers[0], q)
+		h.crashUntilRefused(t, h.keepers[0], q)
 		time.Sleep(10 * time.Second)
 		name := "quarantine/" + string(q.Prints.Exact)
-		r.mu.Lock()
-		r.revision++
-		gone := directory.Changes{Registrations: []directory.Record{{Key: name, Revision: r.revision, Gone: true}}}
-		delete(r.records, name)
-		r.mu.Unlock()
-		for _, k := range r.keepers {
+		h.mu.Lock()
+		h.revision++
+		gone := directory.Changes{Registrations: []directory.Record{{Key: name, Revision: h.revision, Gone: true}}}
+		delete(h.records, name)
+		h.mu.Unlock()
+		for _, k := range h.keepers {
 			k.Observe(gone)
 		}
-		assert.DeepEqual(t, r.actions(q), []string{"refuse", "refuse"})
+		assert.DeepEqual(t, h.actions(q), []string{"refuse", "refuse"})
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, storedRecord(r, q).State, "refused")
+		assert.Equal(t, storedRecord(h, q).State, "refused")
 	})
 }
 
@@ -642,17 +643,17 @@
 // evict a refusal.
 func TestEntriesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newHarness(t, 1)
-		k := r.keepers[0]
+		h := newHarness(t, 1)
+		k := h.keepers[0]
 		crashing := request("guilty")
-		r.crashUntilRefused(t, k, crashing)
+		h.crashUntilRefused(t, k, crashing)
 		for i := range 1500 {
 			p := crash.Subject{Path: fmt.Sprint(i)}.Prints()
 			note := fmt.Sprintf(`{"what":"ended","exact":%q,"wide":%q,"service":"s","kind":"k","end":{"endpoint":"e","seen_by":"vm"}}`, p.Exact, p.Wide)
 			k.Hear(relay.Note{Topic: quarantine.Topic, Data: []byte(note)})
 		}
 		assert.Assert(t, len(k.List()) <= 1024, "%d", len(k.List()))
-		_, refused := k.Admit(r.ctx, crashing)
+		_, refused := k.Admit(h.ctx, crashing)
 		assert.Assert(t, refused != nil)
 	})
 }
--- a/quarantine/records.go
+++ b/quarantine/records.go
@@ -51,25 +51,25 @@
 // store that loses its keys releases nothing.
 func (k *Keeper) Observe(c directory.Changes) {
 	for _, r := range c.Registrations {
-		name, ok := strings.CutPrefix(r.Key, recordKeyPrefix)
+		text, ok := strings.CutPrefix(r.Key, recordKeyPrefix)
 		if !ok {
 			continue
 		}
-		f := crash.Fingerprint(name)
+		f := crash.Fingerprint(text)
 		if !f.Valid() {
-			k.cfg.Log.Warn("record not read", "key", r.Key, "error", "the key has no valid fingerprint")
+			k.cfg.Log.Warn("invalid record ignored", "key", r.Key, "error", "the key has no valid fingerprint")
 			continue
 		}
 		if r.Gone {
-			k.clearRecord(f, r.Revision)
+			k.markRecordGone(f, r.Revision)
 			continue
 		}
 		if err := k.applyRecord(f, r); err != nil {
-			k.cfg.Log.Warn("record not read", "key", r.Key, "error", err)
+			k.cfg.Log.Warn("invalid record ignored", "key", r.Key, "error", err)
 		}
 	}
 	if c.Whole {
-		k.clearUnlistedRecords(c)
+		k.markUnlistedRecordsGone(c)
 	}
 }
 
@@ -123,8 +123,8 @@
 	return history
 }
 
-// clearRecord clears recordRevision after the store's record of a request has ended.
-func (k *Keeper) clearRecord(f crash.Fingerprint, revision uint64) {
+// markRecordGone clears recordRevision after the store's record of a request has ended.
+func (k *Keeper) markRecordGone(f crash.Fingerprint, revision uint64) {
 	k.updateExisting(f, k.opts.Now(), func(ent *entry) {
 		if revision > ent.recordRevision {
 			ent.recordRevision = 0
@@ -132,13 +132,13 @@
 	})
 }
 
-// clearUnlistedRecords clears recordRevision of the entries whose record is not in a complete
-// reading of the store.
-func (k *Keeper) clearUnlistedRecords(c directory.Changes) {
+// markUnlistedRecordsGone clears recordRevision of the entries whose record is missing from a
+// complete listing of the store.
+func (k *Keeper) markUnlistedRecordsGone(c directory.Changes) {
 	listed := map[crash.Fingerprint]bool{}
 	for _, r := range c.Registrations {
-		if name, ok := strings.CutPrefix(r.Key, recordKeyPrefix); ok && !r.Gone {
-			listed[crash.Fingerprint(name)] = true
+		if text, ok := strings.CutPrefix(r.Key, recordKeyPrefix); ok && !r.Gone {
+			listed[crash.Fingerprint(text)] = true
 		}
 	}
 	k.mu.Lock()
@@ -188,11 +188,11 @@
 // writeRefusal tries to write a refusal to the store until it is recorded there or no longer holds.
 func (k *Keeper) writeRefusal(ctx context.Context, f crash.Fingerprint) {
 	for wait := minWriteBackoff; ctx.Err() == nil; wait = min(2*wait, maxWriteBackoff) {
-		rec, revision, holds, ok := k.refusalRecord(f)
+		rec, revision, validFor, ok := k.refusalRecord(f)
 		if !ok {
 			return
 		}
-		err := k.replaceRecord(ctx, f, rec, revision, holds)
+		err := k.replaceRecord(ctx, f, rec, revision, validFor)
 		if err == nil || errors.Is(err, relay.ErrTaken) {
 			k.cfg.Log.Info("refusal recorded", "fingerprint", string(f), "service", rec.Service, "taken", err != nil)
 			break
@@ -211,7 +211,7 @@
 
 // refusalRecord returns the record of a refusal, the revision of the record that it replaces, and
 // how long the refusal still holds. If the request is not refused, or the store has its refusal, it
-// ends the writing and returns false.
+// clears writingRecord and returns false.
 func (k *Keeper) refusalRecord(f crash.Fingerprint) (Record, uint64, time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -245,14 +245,14 @@
 	return rec
 }
 
-// replaceRecord writes a record in place of the one with the given revision. It expires after the
-// given time, or never if an operator ordered the refusal.
-func (k *Keeper) replaceRecord(ctx context.Context, f crash.Fingerprint, rec Record, revision uint64, holds time.Duration) error {
+// replaceRecord writes a record in place of the one with the given revision. It expires after
+// validFor, but not before minRecordTTL, or never if an operator ordered the refusal.
+func (k *Keeper) replaceRecord(ctx context.Context, f crash.Fingerprint, rec Record, revision uint64, validFor time.Duration) error {
 	value, err := json.Marshal(rec)
 	if err != nil {
 		return fmt.Errorf("quarantine: record: %w", err)
 	}
-	ttl := max(holds, minRecordTTL)
+	ttl := max(validFor, minRecordTTL)
 	if rec.State == stateRefusalOrdered {
 		ttl = 0
 	}
--- a/quarantine/verify.go
+++ b/quarantine/verify.go
@@ -28,9 +28,9 @@
 	// watchDuration is how long the directory entry of an endpoint is watched if the probes showed
 	// no crash. The entry of a crashed endpoint ends with its lease, after three heartbeats.
 	watchDuration = 8 * time.Second
-	// maxWatched bounds the endpoints that are checked at once. Further broken attempts are not
+	// maxChecks bounds the broken attempts whose endpoints are checked at once. Further ones are not
 	// checked.
-	maxWatched = 256
+	maxChecks = 256
 )
 
 // probeDelays are the pauses before each probe of an endpoint. The first probe may still go out on
@@ -42,13 +42,13 @@
 // a crash, or at once if too many checks are in progress.
 func (k *Keeper) Broke(a Attempt) <-chan struct{} {
 	probed := make(chan struct{})
-	if !k.beginWatch() {
-		k.cfg.Log.Warn("endpoint not checked for a crash: too many checks in progress", "id", a.Endpoint, "request", a.ID, "watched", maxWatched)
+	if !k.reserveCheck() {
+		k.cfg.Log.Warn("endpoint not checked for a crash: too many checks in progress", "id", a.Endpoint, "request", a.ID, "watched", maxChecks)
 		close(probed)
 		return probed
 	}
 	go func() {
-		defer k.endWatch()
+		defer k.releaseCheck()
 		ctx := k.runContext()
 		why := k.probe(ctx, a)
 		if why != "" {
@@ -65,22 +65,22 @@
 	return probed
 }
 
-// beginWatch reserves one of the maxWatched checks. It returns false if there is none left.
-func (k *Keeper) beginWatch() bool {
+// reserveCheck counts one more running check. It returns false if maxChecks are running already.
+func (k *Keeper) reserveCheck() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.watched >= maxWatched {
+	if k.runningChecks >= maxChecks {
 		return false
 	}
-	k.watched++
+	k.runningChecks++
 	return true
 }
 
-// endWatch ends the reservation of beginWatch.
-func (k *Keeper) endWatch() {
+// releaseCheck ends a check that reserveCheck counted.
+func (k *Keeper) releaseCheck() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.watched--
+	k.runningChecks--
 }
 
 // probe checks whether the endpoint is still running. It returns the evidence of a crash: its
@@ -139,7 +139,7 @@
 // the refusal in the store if there is one now.
 func (k *Keeper) reportCrash(a Attempt, why string) {
 	now := k.opts.Now()
-	k.releaseTrial(a.Request)
+	k.endOwnTrial(a.Request)
 	k.crashes.Inc(1)
 	k.cfg.Log.Info("endpoint crashed during a request", "id", a.Endpoint, "start", a.Start, "why", why, "request", a.ID,
 		"fingerprint", string(a.Prints.Exact), "service", a.Service, "kind", a.Kind, "trial", a.Trial, "alone", a.Alone)
@@ -169,7 +169,7 @@
 		return
 	}
 	now := k.opts.Now()
-	k.releaseTrial(r)
+	k.endOwnTrial(r)
 	f, history, _, _ := k.decidingHistory(r.Prints, now)
 	k.cfg.Log.Info("suspected request completed", "fingerprint", string(f), "request", r.ID, "evidence", evidence(history, now))
 	k.addCompletion(r.Prints, now)
