--- a/quarantine/notes.go
+++ b/quarantine/notes.go
@@ -81,7 +81,7 @@
 	}
 	var msg note
 	if err := json.Unmarshal(n.Data, &msg); err != nil || !msg.valid() {
-		k.cfg.Log.Warn("invalid note ignored", "from", n.Origin, "error", err)
+		k.cfg.Log.Warn("note not read", "from", n.Origin, "error", err)
 		return
 	}
 	now := k.opts.Now()
--- a/quarantine/records.go
+++ b/quarantine/records.go
@@ -57,7 +57,7 @@
 		}
 		f := crash.Fingerprint(text)
 		if !f.Valid() {
-			k.cfg.Log.Warn("invalid record ignored", "key", r.Key, "error", "the key has no valid fingerprint")
+			k.cfg.Log.Warn("record not read", "key", r.Key, "error", "the key has no valid fingerprint")
 			continue
 		}
 		if r.Gone {
@@ -65,7 +65,7 @@
 			continue
 		}
 		if err := k.applyRecord(f, r); err != nil {
-			k.cfg.Log.Warn("invalid record ignored", "key", r.Key, "error", err)
+			k.cfg.Log.Warn("record not read", "key", r.Key, "error", err)
 		}
 	}
 	if c.Whole {
