--- a/quarantine/notes.go
+++ b/quarantine/notes.go
@@ -38,8 +38,8 @@
 // prints returns the fingerprints of the request.
 func (n note) prints() crash.Prints { return crash.Prints{Exact: n.Exact, Wide: n.AnyQuery} }
 
-// crashData is the JSON form of a crash.Event. It has no time: the receiver derives it from the age
-// of the note.
+// crashData is the JSON form of a crash.Event, without the time. The receiver of a note derives the
+// time from the note's age; the reader of a Record takes the time at which it reads it.
 type crashData struct {
 	Endpoint string `json:"endpoint"`
 	Start    int64  `json:"start,omitempty"`
