--- a/upstream/body.go
+++ b/upstream/body.go
@@ -6,30 +6,32 @@
 	"sync"
 )
 
-// errAttemptClosed is returned by a read of an attempt's body after its Close.
+// errAttemptClosed is returned by a read from the reader of an attempt after its Close. By then
+// a later attempt may be reading the Body.
 var errAttemptClosed = errors.New("upstream: body belongs to a later attempt")
 
-// Body is a request body that several attempts can send in turn, as long as no more has
-// been read of it than a prefix of bounded size, which is kept in memory. Only Fill reads
-// ahead; otherwise the source is read as an attempt sends it.
+// Body is a request body that several attempts can send in turn. It keeps a prefix of limited
+// size in memory; once more than that has been read from the source, no further attempt is
+// possible. Only Fill reads ahead; otherwise the source is read as an attempt sends it.
 type Body struct {
 	mu        sync.Mutex
 	source    io.Reader
 	maxPrefix int
 	prefix    []byte
-	bytesRead int // from source
-	err       error
+	bytesRead int   // from source
+	err       error // last error of source, io.EOF at its end
 }
 
-// NewBody returns a body over src that keeps up to limit bytes in memory for a retry.
-func NewBody(src io.Reader, limit int) *Body {
-	return &Body{source: src, maxPrefix: limit}
+// NewBody returns a body that reads from source and keeps up to maxPrefix bytes in memory for a
+// retry.
+func NewBody(source io.Reader, maxPrefix int) *Body {
+	return &Body{source: source, maxPrefix: maxPrefix}
 }
 
-// Fill reads the source to its end. It is meant for bodies of up to limit bytes (see NewBody),
-// stops early in a longer one, which must not be sent afterwards, and returns the read error, if
-// any. After it, the HTTP server can detect that the caller disconnects while its request waits,
-// and a slow upload occupies no slot.
+// Fill reads the source to its end and returns the read error, if any. It is meant for bodies of
+// up to maxPrefix bytes (see NewBody). It stops early in a longer body, which must not be sent
+// afterwards. Once the body has been read, the HTTP server can detect that the caller disconnects
+// while its request waits, and a slow upload does not occupy a slot of an endpoint.
 func (b *Body) Fill() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -48,7 +50,8 @@
 // fillChunkBytes is the size of the buffer into which Fill reads.
 const fillChunkBytes = 4 << 10
 
-// Whole returns the whole body, or false unless it was read to its end and fits in the prefix.
+// Whole returns the whole body and true if it was read to its end and is still in memory, and
+// otherwise nil and false.
 func (b *Body) Whole() ([]byte, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -69,8 +72,8 @@
 }
 
 // Attempt returns a reader of the whole body for one attempt. A request with this reader has
-// no GetBody, and its body is not http.NoBody, so that http.Transport never resends it on its
-// own, whatever the method and headers.
+// no GetBody, and its body is not http.NoBody. http.Transport therefore cannot rewind the body,
+// and never resends the request on its own, whatever the method and headers.
 func (b *Body) Attempt() io.ReadCloser {
 	return &attemptBody{body: b}
 }
@@ -120,8 +123,8 @@
 	return a.closed
 }
 
-// record counts p as read from the source, and keeps it while all that was read fits in the
-// prefix. The caller holds b.mu.
+// record counts p as read from the source, and appends it to the prefix unless more than
+// maxPrefix bytes have been read by then. The caller holds b.mu.
 func (b *Body) record(p []byte) {
 	whole := b.bytesRead == len(b.prefix)
 	b.bytesRead += len(p)
--- a/upstream/buffer.go
+++ b/upstream/buffer.go
@@ -10,7 +10,8 @@
 )
 
 // buffer reads the body of a response into memory if it has at most limit bytes, so that a
-// truncated response is detected before the caller gets any of it. A longer body is streamed.
+// truncated response is detected before the caller gets any of it. A longer body is streamed,
+// and so is the connection of a response with status 101.
 // A truncated response becomes a MayHaveRun result without a response, unless its header
 // says that the request did not run.
 func (r *Result) buffer(limit int) {
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -40,7 +40,7 @@
 // Options configures a client. Fields that are zero take their defaults.
 type Options struct {
 	Connections int           // maximum of open connections of this client to one endpoint; 0 for no limit
-	HTTP2       bool          // use HTTP/2 without TLS
+	HTTP2       bool          // use HTTP/2 without TLS, and no HTTP/1
 	DialTimeout time.Duration // default 1 s
 	IdleTimeout time.Duration // after which an idle connection is closed; default 90 s
 	Fresh       bool          // open a new connection for each request
@@ -86,5 +86,5 @@
 }
 
 // Close closes the idle connections, at the end of a client or when it is unknown how long they
-// have been idle. The client stays usable and opens new ones.
+// have been idle, as after the machine was suspended. The client stays usable and opens new ones.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -6,21 +6,22 @@
 	"sync/atomic"
 )
 
-// errSealed is returned by a write on a connection that has been sealed.
+// errSealed is returned by a write on a sealed connection. It means that nothing of the request
+// was sent; earlier requests may have been sent on the connection.
 var errSealed = errors.New("upstream: connection sealed before anything was sent")
 
-// sealed is the value of conn.writes after which no write begins.
+// sealed is the value of conn.writes of a sealed connection, on which no write can begin.
 const sealed = -1
 
 // conn counts the writes that have begun on a connection, to prove that nothing of a request
-// was sent: once the connection is sealed at a count, no write has begun since that count was
-// read, and none will.
+// was sent: if the count has not changed since before the request, sealIfNoWriteSince seals the
+// connection, so that no write can begin later.
 type conn struct {
 	net.Conn
-	writes atomic.Int64
+	writes atomic.Int64 // begun so far, or sealed
 }
 
-// Write begins a write unless the connection is sealed.
+// Write counts the write and passes it on. On a sealed connection it fails with errSealed.
 func (c *conn) Write(p []byte) (int, error) {
 	for {
 		n := c.writes.Load()
@@ -43,10 +44,10 @@
 }
 
 // CloseWrite closes the sending direction, which upgraded connections need, or the whole
-// connection if it has no CloseWrite.
+// connection if the underlying one has no CloseWrite.
 func (c *conn) CloseWrite() error {
-	if h, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return h.CloseWrite()
+	if writeCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return writeCloser.CloseWrite()
 	}
 	return c.Close()
 }
--- a/upstream/conn_test.go
+++ b/upstream/conn_test.go
@@ -27,21 +27,21 @@
 // nothing is ever written, or the write begins first and the seal fails.
 func TestSealPreventsWrites(t *testing.T) {
 	for range 2000 {
-		under := &countingConn{}
-		c := &conn{Conn: under}
+		inner := &countingConn{}
+		c := &conn{Conn: inner}
 		var wg sync.WaitGroup
-		var held bool
+		var isSealed bool
 		var writeErr error
-		wg.Go(func() { held = c.sealIfNoWriteSince(0) })
+		wg.Go(func() { isSealed = c.sealIfNoWriteSince(0) })
 		wg.Go(func() { _, writeErr = c.Write([]byte("x")) })
 		wg.Wait()
-		if held {
+		if isSealed {
 			_, err := c.Write([]byte("later"))
 			assert.Assert(t, errors.Is(err, errSealed))
 			assert.Assert(t, errors.Is(writeErr, errSealed))
-			assert.Equal(t, under.writes, 0)
+			assert.Equal(t, inner.writes, 0)
 		} else {
-			assert.Equal(t, under.writes, 1)
+			assert.Equal(t, inner.writes, 1)
 		}
 	}
 }
--- a/upstream/dialect.go
+++ b/upstream/dialect.go
@@ -31,19 +31,20 @@
 	// FractionalRetryAfter says that callers accept fractions of a second in Retry-After.
 	FractionalRetryAfter bool
 
-	Instance   string // incarnation that a request is meant for; others reject it with status 421
-	InstanceID string // incarnation that responds to a probe
+	// An instance is one incarnation of an endpoint: its process from start to stop.
+	Instance   string // in a request: ID of the instance that it is meant for; others reject it with status 421
+	InstanceID string // in a response to a probe: ID of the instance that responds
 
 	NotRun      string // in a response: the endpoint did not run the request
 	NotRunValue string // value of NotRun with that meaning; empty if any value has it
-	Signature   string // in each response to a request that the endpoint completed
+	Signature   string // in each response to a request that the endpoint completed; checked with status 2xx
 	PlainOnly   bool   // a response with a Content-Encoding is not the endpoint's
 
 	Load      string // load report of the endpoint
 	ParseLoad func(string) placement.LoadReport
 
-	// Warmup says in the response to a probe for how many more milliseconds, a whole number,
-	// the endpoint is slow after its start.
+	// Warmup says in the response to a probe for how much longer the endpoint is slow after its
+	// start, in whole milliseconds.
 	Warmup string
 
 	// Limit says in a response how many requests per second the endpoint accepts from all
--- a/upstream/dialect_test.go
+++ b/upstream/dialect_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	signed   = "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\nServer-Load: 1,0,3,100\r\nContent-Length: 5\r\n\r\nwhole"
-	declined = "HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
+	signedResponse = "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\nServer-Load: 1,0,3,100\r\nContent-Length: 5\r\n\r\nwhole"
+	notRunResponse = "HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
 func scriptedEndpoint(t *testing.T, steps ...rawendpoint.Step) *rawendpoint.Scripted {
@@ -37,6 +37,7 @@
 	return c
 }
 
+// sendTo sends a GET request with ID r1, meant for instance i-1, with a timeout of 5 s.
 func sendTo(c *upstream.Client, addr string) upstream.Result {
 	in, err := http.NewRequest(http.MethodGet, "http://caller/x/%2e?q=1", nil)
 	if err != nil {
@@ -57,21 +58,21 @@
 		verdict verdict.Verdict
 		reason  reason.Code
 	}{
-		{"response", rawendpoint.Answer(signed), verdict.Ran, ""},
-		{"rejected as not run", rawendpoint.Answer(declined), verdict.NotRun, reason.EndpointRefused},
-		{"rejected as not run with 429", rawendpoint.Answer(strings.Replace(declined, "503 Busy", "429 Busy", 1)), verdict.NotRun, reason.EndpointRefused},
+		{"signed response", rawendpoint.Answer(signedResponse), verdict.Ran, ""},
+		{"rejected as not run", rawendpoint.Answer(notRunResponse), verdict.NotRun, reason.EndpointRefused},
+		{"rejected as not run with 429", rawendpoint.Answer(strings.Replace(notRunResponse, "503 Busy", "429 Busy", 1)), verdict.NotRun, reason.EndpointRefused},
 		{"another instance", rawendpoint.Answer("HTTP/1.1 421 No\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"), verdict.NotRun, reason.EndpointReplaced},
 		{"503 without Not-Executed", rawendpoint.Answer("HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"), verdict.MayHaveRun, reason.AnswerUnknown},
 		{"429 without Not-Executed", rawendpoint.Answer("HTTP/1.1 429 Busy\r\nRequest-Id: {id}\r\nContent-Length: 0\r\n\r\n"), verdict.MayHaveRun, reason.AnswerUnknown},
 		{"signed 500", rawendpoint.Answer("HTTP/1.1 500 Error\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\nContent-Length: 0\r\n\r\n"), verdict.Ran, ""},
-		{"response to another request", rawendpoint.Answer(strings.ReplaceAll(signed, "{id}", "r2")), verdict.MayHaveRun, reason.AnswerForeign},
-		{"rejection of another request", rawendpoint.Answer(strings.ReplaceAll(declined, "{id}", "r2")), verdict.MayHaveRun, reason.AnswerForeign},
-		{"response without a request ID", rawendpoint.Answer(strings.Replace(signed, "Request-Id: {id}\r\n", "", 1)), verdict.MayHaveRun, reason.AnswerForeign},
-		{"success without a signature", rawendpoint.Answer(strings.Replace(signed, "Response-Signature: s\r\n", "", 1)), verdict.MayHaveRun, reason.AnswerSpoiled},
-		{"encoded body", rawendpoint.Answer(strings.Replace(signed, "Content-Length", "Content-Encoding: gzip\r\nContent-Length", 1)), verdict.MayHaveRun, reason.AnswerSpoiled},
-		{"truncated body", rawendpoint.Cut(signed[:len(signed)-2]), verdict.MayHaveRun, reason.AnswerCut},
+		{"response to another request", rawendpoint.Answer(strings.ReplaceAll(signedResponse, "{id}", "r2")), verdict.MayHaveRun, reason.AnswerForeign},
+		{"rejection of another request", rawendpoint.Answer(strings.ReplaceAll(notRunResponse, "{id}", "r2")), verdict.MayHaveRun, reason.AnswerForeign},
+		{"response without a request ID", rawendpoint.Answer(strings.Replace(signedResponse, "Request-Id: {id}\r\n", "", 1)), verdict.MayHaveRun, reason.AnswerForeign},
+		{"success without a signature", rawendpoint.Answer(strings.Replace(signedResponse, "Response-Signature: s\r\n", "", 1)), verdict.MayHaveRun, reason.AnswerSpoiled},
+		{"encoded body", rawendpoint.Answer(strings.Replace(signedResponse, "Content-Length", "Content-Encoding: gzip\r\nContent-Length", 1)), verdict.MayHaveRun, reason.AnswerSpoiled},
+		{"truncated body", rawendpoint.Cut(signedResponse[:len(signedResponse)-2]), verdict.MayHaveRun, reason.AnswerCut},
 		{"truncated chunked body", rawendpoint.Cut("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n"), verdict.MayHaveRun, reason.AnswerCut},
-		{"body without length, ended by the close", rawendpoint.Cut(strings.Replace(signed, "Content-Length: 5\r\n", "", 1)), verdict.Ran, ""},
+		{"body without length, ended by the close", rawendpoint.Cut(strings.Replace(signedResponse, "Content-Length: 5\r\n", "", 1)), verdict.Ran, ""},
 		{"not an HTTP response", rawendpoint.Cut("garbage\r\n\r\n"), verdict.MayHaveRun, reason.AnswerUnknown},
 		{"reset connection", rawendpoint.Reset(), verdict.MayHaveRun, reason.AnswerUnknown},
 	}
@@ -107,7 +108,7 @@
 // TestRequestIsForwardedUnchanged checks that path, query and Host are forwarded as they came, and
 // that the remaining time and the expected instance are added.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
-	e := scriptedEndpoint(t, rawendpoint.Answer(signed))
+	e := scriptedEndpoint(t, rawendpoint.Answer(signedResponse))
 	res := sendTo(platformClient(t, false), e.Addr())
 	res.Close()
 	got := e.Requests()[0]
@@ -124,7 +125,7 @@
 // that requests reuse one otherwise.
 func TestFreshConnections(t *testing.T) {
 	for _, fresh := range []bool{false, true} {
-		e := scriptedEndpoint(t, rawendpoint.Answer(signed))
+		e := scriptedEndpoint(t, rawendpoint.Answer(signedResponse))
 		c := platformClient(t, fresh)
 		for range 3 {
 			res := sendTo(c, e.Addr())
@@ -171,10 +172,11 @@
 	}
 }
 
-// TestLongIdleConnectionIsNotUsed checks that nothing is sent on a connection that was idle for
-// longer than MostIdle, with verdict NotRun, and that one that is new or was idle for less is used.
+// TestLongIdleConnectionIsNotUsed checks that a connection that is new or was idle for less than
+// MostIdle is used, that nothing is sent on one that was idle for longer, and that the verdict is
+// then NotRun.
 func TestLongIdleConnectionIsNotUsed(t *testing.T) {
-	e := scriptedEndpoint(t, rawendpoint.Answer(signed))
+	e := scriptedEndpoint(t, rawendpoint.Answer(signedResponse))
 	c := platformClient(t, false)
 	send := func(mostIdle time.Duration) upstream.Result {
 		in, err := http.NewRequest(http.MethodPost, "http://caller/x/", nil)
@@ -205,7 +207,7 @@
 // TestWithdrawnRequestIsNotSent checks that nothing is sent if Admitted returns false once there is
 // a connection, be it new or reused.
 func TestWithdrawnRequestIsNotSent(t *testing.T) {
-	e := scriptedEndpoint(t, rawendpoint.Answer(signed))
+	e := scriptedEndpoint(t, rawendpoint.Answer(signedResponse))
 	c := platformClient(t, false)
 	send := func(admitted bool) upstream.Result {
 		in, err := http.NewRequest(http.MethodPost, "http://caller/x/", nil)
@@ -215,13 +217,13 @@
 			Deadline: time.Now().Add(5 * time.Second), BufferBytes: 1 << 10, Admitted: func() bool { return admitted },
 		})
 	}
-	for _, earlier := range []int{0, 1, 2} {
+	for _, earlierRequests := range []int{0, 1, 2} {
 		res := send(false)
 		assert.Equal(t, res.Verdict, verdict.NotRun)
 		assert.Equal(t, res.Reason, reason.Withdrawn)
 		assert.Assert(t, res.Withdrawn)
 		res.Close()
-		assert.Equal(t, len(e.Requests()), earlier)
+		assert.Equal(t, len(e.Requests()), earlierRequests)
 		sent := send(true)
 		assert.Equal(t, sent.Verdict, verdict.Ran)
 		sent.Close()
--- a/upstream/http2_test.go
+++ b/upstream/http2_test.go
@@ -17,20 +17,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// http2Endpoint is an HTTP/2 server that works on single frames. It counts the requests that
-// arrived whole and ends each by calling end.
+// http2Endpoint is an HTTP/2 server that reads and writes single frames. It counts the requests
+// that arrived whole and calls respond for each.
 type http2Endpoint struct {
 	listener net.Listener
-	end      func(fr *http2.Framer, stream uint32) (open bool) // open is false to close the connection
+	respond  func(fr *http2.Framer, stream uint32) (open bool) // open is false to close the connection
 
 	mu   sync.Mutex
 	runs int
 }
 
-func newHTTP2Endpoint(t *testing.T, end func(*http2.Framer, uint32) bool) *http2Endpoint {
+func newHTTP2Endpoint(t *testing.T, respond func(*http2.Framer, uint32) bool) *http2Endpoint {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	e := &http2Endpoint{listener: l, end: end}
+	e := &http2Endpoint{listener: l, respond: respond}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -44,7 +44,7 @@
 	return e
 }
 
-func (e *http2Endpoint) count() int {
+func (e *http2Endpoint) runCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs
@@ -67,14 +67,14 @@
 			_ = fr.WriteSettingsAck()
 		}
 		h := f.Header()
-		ends := (h.Type == http2.FrameHeaders || h.Type == http2.FrameData) && h.Flags.Has(http2.FlagDataEndStream)
-		if !ends {
+		endOfStream := (h.Type == http2.FrameHeaders || h.Type == http2.FrameData) && h.Flags.Has(http2.FlagDataEndStream)
+		if !endOfStream {
 			continue
 		}
 		e.mu.Lock()
 		e.runs++
 		e.mu.Unlock()
-		if !e.end(fr, h.StreamID) {
+		if !e.respond(fr, h.StreamID) {
 			return
 		}
 	}
@@ -83,7 +83,7 @@
 // TestHTTP2IsNotResent checks that a request is sent once. http.Transport resends some requests
 // after HTTP/2 errors, for example after REFUSED_STREAM or GOAWAY.
 func TestHTTP2IsNotResent(t *testing.T) {
-	ends := map[string]func(*http2.Framer, uint32) bool{
+	failures := map[string]func(*http2.Framer, uint32) bool{
 		"protocol error": func(fr *http2.Framer, s uint32) bool { return fr.WriteRSTStream(s, http2.ErrCodeProtocol) == nil },
 		"refused stream": func(fr *http2.Framer, s uint32) bool { return fr.WriteRSTStream(s, http2.ErrCodeRefusedStream) == nil },
 		"internal error": func(fr *http2.Framer, s uint32) bool { return fr.WriteRSTStream(s, http2.ErrCodeInternal) == nil },
@@ -93,17 +93,17 @@
 		},
 		"closed": func(*http2.Framer, uint32) bool { return false },
 	}
-	for name, end := range ends {
+	for name, fail := range failures {
 		for _, method := range methods {
 			for _, body := range []string{"", "x"} {
 				t.Run(fmt.Sprintf("%s/%s/%d bytes", name, method, len(body)), func(t *testing.T) {
-					e := newHTTP2Endpoint(t, end)
+					e := newHTTP2Endpoint(t, fail)
 					c := upstream.NewClient(upstream.Options{HTTP2: true})
 					defer c.Close()
 					header := http.Header{"Idempotency-Key": {"once"}}
 					a := send(c, e.listener.Addr().String(), method, "petition", body, header, 5*time.Second)
 					assert.Equal(t, a.verdict, verdict.MayHaveRun)
-					assert.Equal(t, e.count(), 1)
+					assert.Equal(t, e.runCount(), 1)
 				})
 			}
 		}
@@ -113,12 +113,12 @@
 // TestHTTP2ReusedConnection checks that the second request on a connection is not resent either,
 // and gets verdict MayHaveRun.
 func TestHTTP2ReusedConnection(t *testing.T) {
-	answered := false
+	responded := false
 	e := newHTTP2Endpoint(t, func(fr *http2.Framer, s uint32) bool {
-		if answered {
+		if responded {
 			return fr.WriteRSTStream(s, http2.ErrCodeRefusedStream) == nil
 		}
-		answered = true
+		responded = true
 		var block bytes.Buffer
 		_ = hpack.NewEncoder(&block).WriteField(hpack.HeaderField{Name: ":status", Value: "204"})
 		return fr.WriteHeaders(http2.HeadersFrameParam{StreamID: s, BlockFragment: block.Bytes(), EndHeaders: true, EndStream: true}) == nil
@@ -128,5 +128,5 @@
 	addr := e.listener.Addr().String()
 	assert.Equal(t, send(c, addr, "GET", "warm", "", http.Header{}, 5*time.Second).verdict, verdict.Ran)
 	assert.Equal(t, send(c, addr, "POST", "petition", "", http.Header{}, 5*time.Second).verdict, verdict.MayHaveRun)
-	assert.Equal(t, e.count(), 2)
+	assert.Equal(t, e.runCount(), 2)
 }
--- a/upstream/probe.go
+++ b/upstream/probe.go
@@ -13,16 +13,17 @@
 const maxProbeBytes = 4 << 10
 
 // Probe sends a GET request for path to the endpoint at addr and returns what the response says
-// about the endpoint, whatever its status. It fails if there is no response after the time
-// within. Probes and requests share connections, so that a request often follows a probe on
+// about the endpoint, whatever its status. It fails if the response is not complete within the
+// timeout. Probes and requests share connections, so that a request often follows a probe on
 // the same one.
-func (c *Client) Probe(ctx context.Context, addr, path string, within time.Duration) (Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+func (c *Client) Probe(ctx context.Context, addr, path string, timeout time.Duration) (Report, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	target, err := url.Parse("http://" + addr + path)
 	if err != nil {
 		return Report{}, fmt.Errorf("upstream: probe path: %w", err)
 	}
+	// The empty User-Agent keeps net/http from sending its own.
 	r := &http.Request{Method: http.MethodGet, URL: target, Host: addr, Header: http.Header{"User-Agent": {""}}}
 	sent := time.Now()
 	response, err := c.transport.RoundTrip(r.WithContext(ctx))
--- a/upstream/report.go
+++ b/upstream/report.go
@@ -15,24 +15,27 @@
 )
 
 // Report is all that the status and header of one response, to a request or to a probe, say about
-// the endpoint itself. Only Reader reads these headers.
+// the endpoint itself. Only a Reader interprets the headers of a response that are about the
+// endpoint.
 type Report struct {
 	Asked time.Time // when the request was sent
 	Heard time.Time // when the header of the response arrived; zero if there was no response of the endpoint's own
-	Ran   bool      // the response is to a request that the endpoint ran
+	Ran   bool      // the endpoint ran the request; false for a probe, and for a status that may mean the opposite (see promisesNotRun)
 
 	Instance string // ID of the incarnation; empty if the response does not name it
 	Load     placement.LoadReport
 	Warmup   Warmup
 	Limit    limit.Answer
-	Word     admission.Word
-	// Unread names the headers that are unknown or have a malformed value.
+	Word     admission.Word // whether the endpoint is leaving, and its backoff
+	// Unread names the headers that are unknown, and the headers Dialect.Leaving and Retry-After
+	// if a value is malformed.
 	Unread []string
 }
 
-// Warmup is for how much longer an endpoint is slow after its start, as it says itself.
+// Warmup is the remaining time for which an endpoint is slow after its start, as the endpoint
+// reports it.
 type Warmup struct {
-	Told bool          // the response says it
+	Told bool          // the response has a valid value
 	Left time.Duration // 0 once the endpoint is warm, or if Told is false
 }
 
@@ -43,7 +46,7 @@
 func (r Report) None() bool { return r.Heard.IsZero() }
 
 // Undated returns the part of a report that holds even if its age is unknown. An endpoint that
-// is leaving never takes that back, and a backoff that is counted from too late a time only
+// is leaving never takes that back, and if a backoff is counted from too late a time, it merely
 // ends later. Loads, limits and warm-ups hold only for the time of the response and are left out.
 func (r Report) Undated() Report {
 	return Report{Asked: r.Asked, Heard: r.Heard, Ran: r.Ran, Instance: r.Instance, Word: r.Word, Unread: r.Unread, Limit: limit.Answer{Mute: true, Asked: r.Asked, Heard: r.Heard}}
@@ -55,7 +58,7 @@
 	// needs more time can repeat the header.
 	maxWarmup  = time.Hour
 	maxBackoff = time.Hour
-	// leavingValue is the value of the header Dialect.Leaving of an endpoint that is leaving.
+	// leavingValue is the value of the header Dialect.Leaving that says that the endpoint is leaving.
 	leavingValue = "1"
 	retryAfter   = "Retry-After"
 )
@@ -102,13 +105,13 @@
 	if d.InstanceID != "" {
 		out.Instance = h.Get(d.InstanceID)
 	}
-	leaving, leavingRead := d.parseLeaving(h)
-	backoff, backoffRead := d.parseBackoff(status, h, heard)
+	leaving, leavingValid := d.parseLeaving(h)
+	backoff, backoffValid := d.parseBackoff(status, h, heard)
 	out.Word = admission.Word{Leaving: leaving || out.Load.State == placement.Draining, Backoff: backoff}
-	if !leavingRead {
+	if !leavingValid {
 		out.Unread = append(out.Unread, d.Leaving)
 	}
-	if !backoffRead {
+	if !backoffValid {
 		out.Unread = append(out.Unread, retryAfter)
 	}
 	for name := range h {
@@ -119,8 +122,8 @@
 	return out
 }
 
-// parseWarmup returns for how much longer the endpoint warms up. A value that is malformed,
-// negative or longer than maxWarmup is ignored.
+// parseWarmup returns the remaining warm-up of the endpoint. A value that is malformed, negative
+// or longer than maxWarmup is ignored.
 func (d *Dialect) parseWarmup(h http.Header) Warmup {
 	if d.Warmup == "" {
 		return Warmup{}
@@ -132,8 +135,8 @@
 	return Warmup{Told: true, Left: time.Duration(ms) * time.Millisecond}
 }
 
-// parseLimit returns the endpoint's rate limit, or a mute answer if the dialect has no header for
-// it.
+// parseLimit returns the endpoint's rate limit, or an Answer with Mute set if the dialect has no
+// header for it.
 func (d *Dialect) parseLimit(h http.Header, asked, heard time.Time) limit.Answer {
 	if d.Limit == "" {
 		return limit.Answer{Mute: true, Asked: asked, Heard: heard}
@@ -142,53 +145,55 @@
 	return limit.Answer{Said: said, Rate: rate, Asked: asked, Heard: heard}
 }
 
-// parseLeaving reports whether the endpoint is leaving, which one value of several suffices to
-// say. read is false if any value is not leavingValue.
-func (d *Dialect) parseLeaving(h http.Header) (leaving, read bool) {
+// parseLeaving reports whether the endpoint is leaving: at least one value of the header
+// Dialect.Leaving is leavingValue. valid is false if there is any other value.
+func (d *Dialect) parseLeaving(h http.Header) (leaving, valid bool) {
 	if d.Leaving == "" {
 		return false, true
 	}
-	read = true
+	valid = true
 	for _, value := range h.Values(d.Leaving) {
 		if strings.TrimSpace(value) == leavingValue {
 			leaving = true
 		} else {
-			read = false
+			valid = false
 		}
 	}
-	return leaving, read
+	return leaving, valid
 }
 
 // parseBackoff returns for how long the endpoint wants no requests. Retry-After applies to the
-// endpoint with status 503, and with 429 only if the endpoint did not run the request: otherwise
-// its application means the caller. read is false if a value is malformed.
-func (d *Dialect) parseBackoff(status int, h http.Header, heard time.Time) (longest time.Duration, read bool) {
-	ofEndpoint := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests && d.saysNotRun(status, h)
-	if !ofEndpoint {
+// endpoint with status 503, and with 429 only if the endpoint did not run the request. Any other
+// Retry-After comes from the application on the endpoint and is meant for the caller. valid is
+// false if a value that applies is malformed.
+func (d *Dialect) parseBackoff(status int, h http.Header, heard time.Time) (longest time.Duration, valid bool) {
+	appliesToEndpoint := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests && d.saysNotRun(status, h)
+	if !appliesToEndpoint {
 		return 0, true
 	}
-	longest, read = RetryAfter(h, heard)
-	return min(longest, maxBackoff), read
+	longest, valid = RetryAfter(h, heard)
+	return min(longest, maxBackoff), valid
 }
 
 // RetryAfter returns the longest of the times in the Retry-After headers of a response that arrived
-// at heard. Malformed values are skipped; read is false if there is one.
-func RetryAfter(h http.Header, heard time.Time) (longest time.Duration, read bool) {
+// at heard. Malformed values are skipped; valid is false if there is one.
+func RetryAfter(h http.Header, heard time.Time) (longest time.Duration, valid bool) {
 	date, err := http.ParseTime(h.Get("Date"))
 	if err != nil {
 		date = heard
 	}
-	read = true
+	valid = true
 	for _, value := range h.Values(retryAfter) {
 		after, ok := parseRetryAfter(value, date)
-		longest, read = max(longest, after), read && ok
+		longest, valid = max(longest, after), valid && ok
 	}
-	return longest, read
+	return longest, valid
 }
 
 // parseRetryAfter parses a value of Retry-After: seconds, with or without fractions, limited to
-// maxBackoff, or a date. A date is counted from the given date, that of the response, so that the
-// clocks of endpoint and balancer are not compared. It returns 0 for a date that has passed.
+// maxBackoff, or a date. A date is converted to the time since date, the Date of the response, so
+// that the clocks of endpoint and balancer are not compared. The result is 0 for a date that has
+// passed.
 func parseRetryAfter(value string, date time.Time) (after time.Duration, ok bool) {
 	if seconds, ok := decimal.Parse(value); ok {
 		return time.Duration(min(seconds, maxBackoff.Seconds()) * float64(time.Second)), true
--- a/upstream/report_test.go
+++ b/upstream/report_test.go
@@ -16,8 +16,8 @@
 
 var heardAt = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-// read reads the report of a response in the platform's dialect, received at heardAt.
-func read(status int, h http.Header) upstream.Report {
+// readReport returns the report of a response in the platform's dialect, received at heardAt.
+func readReport(status int, h http.Header) upstream.Report {
 	d := platform.Dialect()
 	return upstream.NewReader(&d).Read(status, h, heardAt.Add(-time.Second), heardAt)
 }
@@ -42,7 +42,7 @@
 		"a long value":     {values: []string{strings.Repeat("1", 8<<10)}, unread: true},
 	} {
 		for _, status := range []int{200, 404, 429, 500, 503} {
-			r := read(status, http.Header{"Server-Leaving": c.values})
+			r := readReport(status, http.Header{"Server-Leaving": c.values})
 			assert.Equal(t, r.Word, admission.Word{Leaving: c.leaving}, "%s, %d", name, status)
 			assert.Equal(t, slices.Contains(r.Unread, "Server-Leaving"), c.unread, "%s, %d", name, status)
 		}
@@ -68,7 +68,7 @@
 		"a date that has passed":  {values: []string{heardAt.Add(-2 * time.Hour).Format(http.TimeFormat)}},
 		"a date far away":         {values: []string{"Fri, 31 Dec 9999 23:59:59 GMT"}, want: time.Hour},
 		"two":                     {values: []string{"2", "5"}, want: 5 * time.Second},
-		"two, one unreadable":     {values: []string{"soon", "5"}, want: 5 * time.Second, unread: true},
+		"two, one malformed":      {values: []string{"soon", "5"}, want: 5 * time.Second, unread: true},
 		"negative":                {values: []string{"-3"}, unread: true},
 		"no number":               {values: []string{"NaN"}, unread: true},
 		"infinite":                {values: []string{"Inf"}, unread: true},
@@ -77,7 +77,7 @@
 		"empty":                   {values: []string{""}, unread: true},
 		"long":                    {values: []string{strings.Repeat("3", 8<<10)}, unread: true},
 	} {
-		r := read(503, http.Header{"Date": {date}, "Retry-After": c.values})
+		r := readReport(503, http.Header{"Date": {date}, "Retry-After": c.values})
 		assert.Equal(t, r.Word, admission.Word{Backoff: c.want}, name)
 		assert.Equal(t, slices.Contains(r.Unread, "Retry-After"), c.unread, name)
 	}
@@ -96,30 +96,30 @@
 		if c.notRun {
 			h.Set("Not-Executed", "1")
 		}
-		assert.Equal(t, read(c.status, h).Word.Backoff, c.want, "%+v", c)
+		assert.Equal(t, readReport(c.status, h).Word.Backoff, c.want, "%+v", c)
 	}
 }
 
 // TestWhichResponsesYieldReports checks that every response of the endpoint's own yields a report,
 // even one that is not forwarded, and that no other response does.
 func TestWhichResponsesYieldReports(t *testing.T) {
-	const word = "Server-Leaving: 1\r\nRetry-After: 2\r\n"
+	const headers = "Server-Leaving: 1\r\nRetry-After: 2\r\n"
 	for name, c := range map[string]struct {
-		step  rawendpoint.Step
-		speak bool
+		step rawendpoint.Step
+		want bool // a report
 	}{
-		"response":                    {rawendpoint.Answer(strings.Replace(signed, "Content-Length", word+"Content-Length", 1)), true},
-		"rejected as not run":         {rawendpoint.Answer(strings.Replace(declined, "Content-Length", word+"Content-Length", 1)), true},
-		"503 without Not-Executed":    {rawendpoint.Answer("HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\n" + word + "Content-Length: 0\r\n\r\n"), true},
-		"truncated response":          {rawendpoint.Cut(strings.Replace(signed[:len(signed)-2], "Content-Length", word+"Content-Length", 1)), true},
-		"another instance":            {rawendpoint.Answer("HTTP/1.1 421 No\r\nRequest-Id: {id}\r\n" + word + "Content-Length: 0\r\n\r\n"), false},
-		"response to another request": {rawendpoint.Answer("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Signature: s\r\n" + word + "Content-Length: 0\r\n\r\n"), false},
-		"success without a signature": {rawendpoint.Answer("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\n" + word + "Content-Length: 0\r\n\r\n"), false},
+		"response":                    {rawendpoint.Answer(strings.Replace(signedResponse, "Content-Length", headers+"Content-Length", 1)), true},
+		"rejected as not run":         {rawendpoint.Answer(strings.Replace(notRunResponse, "Content-Length", headers+"Content-Length", 1)), true},
+		"503 without Not-Executed":    {rawendpoint.Answer("HTTP/1.1 503 Busy\r\nRequest-Id: {id}\r\n" + headers + "Content-Length: 0\r\n\r\n"), true},
+		"truncated response":          {rawendpoint.Cut(strings.Replace(signedResponse[:len(signedResponse)-2], "Content-Length", headers+"Content-Length", 1)), true},
+		"another instance":            {rawendpoint.Answer("HTTP/1.1 421 No\r\nRequest-Id: {id}\r\n" + headers + "Content-Length: 0\r\n\r\n"), false},
+		"response to another request": {rawendpoint.Answer("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Signature: s\r\n" + headers + "Content-Length: 0\r\n\r\n"), false},
+		"success without a signature": {rawendpoint.Answer("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\n" + headers + "Content-Length: 0\r\n\r\n"), false},
 		"no response":                 {rawendpoint.Reset(), false},
 	} {
 		res := sendTo(platformClient(t, false), scriptedEndpoint(t, c.step).Addr())
-		assert.Equal(t, res.Report.Word.Leaving, c.speak, name)
-		assert.Equal(t, res.Report.None(), !c.speak, name)
+		assert.Equal(t, res.Report.Word.Leaving, c.want, name)
+		assert.Equal(t, res.Report.None(), !c.want, name)
 		res.Close()
 	}
 }
@@ -127,7 +127,7 @@
 // TestUndatedReport checks that leaving and backoff remain in a report of unknown age, and that
 // load, limit and warm-up do not.
 func TestUndatedReport(t *testing.T) {
-	r := read(503, http.Header{"Server-Leaving": {"1"}, "Retry-After": {"3"}, "Server-Load": {"1,0,3"}, "Server-Limit": {"2"}, "Warmup-Ms": {"9"}}).Undated()
+	r := readReport(503, http.Header{"Server-Leaving": {"1"}, "Retry-After": {"3"}, "Server-Load": {"1,0,3"}, "Server-Limit": {"2"}, "Warmup-Ms": {"9"}}).Undated()
 	assert.Equal(t, r.Word, admission.Word{Leaving: true, Backoff: 3 * time.Second})
 	assert.Assert(t, !r.Load.Known && !r.Warmup.Told && r.Limit.Mute)
 }
@@ -150,7 +150,7 @@
 	f.Add(429, "Fri, 31 Dec 9999 23:59:59 GMT", "0", "NaN", "a,b", "-1", "Sun, 01 Mar 2026 12:00:00 GMT")
 	f.Add(200, "\x00", " 1", "1e9", "", "9999999999999999999", "tomorrow")
 	f.Fuzz(func(t *testing.T, status int, retryAfter, leaving, limit, load, warmup, date string) {
-		r := read(status, http.Header{
+		r := readReport(status, http.Header{
 			"Retry-After": {retryAfter}, "Server-Leaving": {leaving}, "Server-Limit": {limit}, "Server-Load": {load}, "Warmup-Ms": {warmup}, "Date": {date},
 		})
 		assert.Assert(t, r.Word.Backoff >= 0 && r.Word.Backoff <= time.Hour, "%v", r.Word.Backoff)
--- a/upstream/send.go
+++ b/upstream/send.go
@@ -49,7 +49,7 @@
 	// Withdrawn says that nothing was sent, because Admitted returned false.
 	Withdrawn bool
 	// Broken says that the request may have been sent and its connection failed before the end
-	// of the response and before the deadline, as when the endpoint stops.
+	// of the response and before the deadline, for example because the endpoint stopped.
 	Broken bool
 	Err    error // why there is no response
 	cancel func()
@@ -74,35 +74,36 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(remaining, func() { cancel(context.DeadlineExceeded) })
 	defer timer.Stop()
-	x := &connTracker{mostIdle: r.MostIdle}
+	tracker := &connTracker{mostIdle: r.MostIdle}
 	if !c.http2 {
-		x.admitted = r.Admitted
+		tracker.admitted = r.Admitted
 	}
-	response, err := c.transport.RoundTrip(c.outgoing(httptrace.WithClientTrace(ctx, x.trace(r)), r, remaining))
-	end := func() { cancel(context.Canceled) }
+	response, err := c.transport.RoundTrip(c.outgoingRequest(httptrace.WithClientTrace(ctx, tracker.trace(r)), r, remaining))
+	release := func() { cancel(context.Canceled) }
 	if err != nil {
-		// The order matters: the verdict is determined before the connection is released.
-		res := x.failureResult(context.Cause(ctx), c.http2, err)
-		end()
+		// The order matters: failureResult must seal the connection before the cancellation
+		// releases it, and needs the cause from before the cancellation.
+		res := tracker.failureResult(context.Cause(ctx), c.http2, err)
+		release()
 		return res
 	}
-	res := c.responseResult(response, r.ID, end)
+	res := c.responseResult(response, r.ID, release)
 	report := c.readReport(&res, response, sent, time.Now())
 	if res.Response != nil && r.BufferBytes > 0 {
 		res.buffer(r.BufferBytes)
 	}
 	if !timer.Stop() { // the deadline passed while the response arrived
 		_ = response.Body.Close() // also closes the connection
-		end()
+		release()
 		res = lateResult(res.Verdict)
 	}
 	res.Report = report
 	return res
 }
 
-// outgoing returns the HTTP request to send to the endpoint. remaining is the time left until
-// its deadline.
-func (c *Client) outgoing(ctx context.Context, r Request, remaining time.Duration) *http.Request {
+// outgoingRequest returns the HTTP request to send to the endpoint. remaining is the time left
+// until its deadline.
+func (c *Client) outgoingRequest(ctx context.Context, r Request, remaining time.Duration) *http.Request {
 	u := &url.URL{
 		Scheme: "http", Host: r.Addr, Path: r.In.URL.Path, RawPath: r.In.URL.RawPath,
 		RawQuery: r.In.URL.RawQuery, ForceQuery: r.In.URL.ForceQuery,
@@ -131,38 +132,38 @@
 	admitted func() bool   // nil for always
 
 	mu            sync.Mutex
-	gotConnection bool
-	conn          *conn
+	gotConnection bool  // the transport picked a connection
+	conn          *conn // that connection; nil if this package's dialer did not open it
 	writesBefore  int64 // writes on the connection before this attempt
 	idleTooLong   bool  // the connection had been idle for longer than mostIdle and is sealed
 	withdrawn     bool  // admitted returned false, and the connection is sealed
 }
 
-// gotConn records the connection that the transport picked for the attempt, and decides whether
-// the request may be sent on it.
-func (x *connTracker) gotConn(info httptrace.GotConnInfo) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.gotConnection = true
-	x.conn, _ = info.Conn.(*conn) // nil if this package's dialer did not open it
-	if x.conn != nil {
-		x.writesBefore = x.conn.writes.Load()
+// gotConn records the connection that the transport picked for the attempt, and seals it if the
+// request must not be sent on it. It is the GotConn hook of httptrace.
+func (t *connTracker) gotConn(info httptrace.GotConnInfo) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.gotConnection = true
+	t.conn, _ = info.Conn.(*conn)
+	if t.conn != nil {
+		t.writesBefore = t.conn.writes.Load()
 	}
-	if x.conn == nil {
+	if t.conn == nil {
 		return
 	}
-	x.withdrawn = x.admitted != nil && !x.admitted() && x.conn.sealIfNoWriteSince(x.writesBefore)
-	x.idleTooLong = !x.withdrawn && x.mostIdle > 0 && info.Reused && info.IdleTime > x.mostIdle && x.conn.sealIfNoWriteSince(x.writesBefore)
+	t.withdrawn = t.admitted != nil && !t.admitted() && t.conn.sealIfNoWriteSince(t.writesBefore)
+	t.idleTooLong = !t.withdrawn && t.mostIdle > 0 && info.Reused && info.IdleTime > t.mostIdle && t.conn.sealIfNoWriteSince(t.writesBefore)
 }
 
 // trace returns the hooks for net/http that call gotConn and r.Informational.
-func (x *connTracker) trace(r Request) *httptrace.ClientTrace {
-	t := &httptrace.ClientTrace{GotConn: x.gotConn}
+func (t *connTracker) trace(r Request) *httptrace.ClientTrace {
+	hooks := &httptrace.ClientTrace{GotConn: t.gotConn}
 	if r.Informational != nil {
-		t.Got1xxResponse = func(code int, header textproto.MIMEHeader) error {
+		hooks.Got1xxResponse = func(code int, header textproto.MIMEHeader) error {
 			r.Informational(code, http.Header(header))
 			return nil
 		}
 	}
-	return t
+	return hooks
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -16,9 +16,10 @@
 	"pgregory.net/rapid"
 )
 
+// blockedTimeout is the timeout of a request that the endpoint never responds to.
 const blockedTimeout = 300 * time.Millisecond
 
-func endpoint(t interface {
+func faultyEndpoint(t interface {
 	assert.TestingT
 	Cleanup(func())
 },
@@ -58,9 +59,9 @@
 	return out
 }
 
-// check compares the verdict and body of an attempt with ran, which is how often the endpoint ran
-// the request with that key.
-func check(t assert.TestingT, a attempt, key string, ran int) {
+// checkVerdict compares the verdict and body of an attempt with ran, which is how often the
+// endpoint ran the request with that key.
+func checkVerdict(t assert.TestingT, a attempt, key string, ran int) {
 	assert.Assert(t, ran <= 1, "%s ran %d times", key, ran)
 	switch a.verdict {
 	case verdict.NotRun:
@@ -92,7 +93,7 @@
 }
 
 func testNoResendAfterClose(t *testing.T, method string, idempotencyKey, reused bool, f rawendpoint.Fault) {
-	e := endpoint(t)
+	e := faultyEndpoint(t)
 	c := upstream.NewClient(upstream.Options{})
 	defer c.Close()
 	header := http.Header{}
@@ -113,7 +114,7 @@
 // each verdict with how often the endpoint ran the request.
 func TestVerdictsMatchRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := endpoint(t)
+		e := faultyEndpoint(t)
 		c := upstream.NewClient(upstream.Options{})
 		defer c.Close()
 		steps := rapid.IntRange(1, 6).Draw(t, "steps")
@@ -130,17 +131,18 @@
 			if method == http.MethodHead {
 				a.whole = false // no body to compare
 			}
-			check(t, a, key, e.Ran(key))
+			checkVerdict(t, a, key, e.Ran(key))
 		}
 	})
 }
 
-// TestCancelWhileDialing checks that a request whose deadline passes before it gets a connection
-// did not run and does not run later.
-func TestCancelWhileDialing(t *testing.T) {
+// TestDeadlineBeforeConnection checks that a request whose deadline passes before it gets a
+// connection has verdict NotRun and does not run later. It waits because another request uses the
+// only connection that the client may open.
+func TestDeadlineBeforeConnection(t *testing.T) {
 	c := upstream.NewClient(upstream.Options{Connections: 1})
 	defer c.Close()
-	e := endpoint(t)
+	e := faultyEndpoint(t)
 	e.Set(rawendpoint.SilentAfterRead)
 	blocked := make(chan attempt, 1)
 	go func() { blocked <- send(c, e.Addr(), "POST", "first", "x", http.Header{}, blockedTimeout) }()
@@ -159,7 +161,7 @@
 // taken for a shorter body.
 func TestTruncatedBodyIsAnError(t *testing.T) {
 	for _, f := range []rawendpoint.Fault{rawendpoint.CutBody, rawendpoint.CutChunked} {
-		e := endpoint(t)
+		e := faultyEndpoint(t)
 		e.Set(f)
 		c := upstream.NewClient(upstream.Options{})
 		a := send(c, e.Addr(), "GET", "k", "", http.Header{}, time.Minute)
@@ -172,7 +174,7 @@
 // TestResponseToAnotherRequestIsDiscarded checks that a response with the ID of another request
 // never reaches the caller.
 func TestResponseToAnotherRequestIsDiscarded(t *testing.T) {
-	e := endpoint(t)
+	e := faultyEndpoint(t)
 	e.Set(rawendpoint.AnswerForeign)
 	c := upstream.NewClient(upstream.Options{})
 	defer c.Close()
--- a/upstream/verdict.go
+++ b/upstream/verdict.go
@@ -11,9 +11,9 @@
 	"github.com/lotuswing/lotuswing/coord/verdict"
 )
 
-// Only this file decides the verdict of an attempt: classify for a response, failureResult for
-// an attempt without one, and lateResult for a response after the deadline. Whatever is not
-// proved is MayHaveRun.
+// The verdict of an attempt is decided by classify for a response, failureResult for an attempt
+// without one, lateResult for a response after the deadline, and Result.buffer for a truncated
+// response. Whatever is not proved is MayHaveRun.
 
 // responseClass is what a response proves about its request.
 type responseClass struct {
@@ -53,7 +53,8 @@
 
 // saysNotRun reports whether a response says that the endpoint did not run the request. Where
 // the dialect defines a value for that, it counts only with status 429 or 5xx: in other
-// responses the same header says that the request ran.
+// responses the same header says that the request ran. Status 421 says so by itself where requests
+// name the instance that they are meant for.
 func (d *Dialect) saysNotRun(status int, h http.Header) bool {
 	if d.Instance != "" && status == http.StatusMisdirectedRequest {
 		return true
@@ -65,7 +66,7 @@
 	return value != "" && (d.NotRunValue == "" || value == d.NotRunValue)
 }
 
-// corruptionReason says why a response cannot be the endpoint's own, or returns "".
+// corruptionReason returns why a response cannot be the endpoint's own, or "" if it can.
 func (d *Dialect) corruptionReason(status int, h http.Header) string {
 	success := status >= http.StatusOK && status < http.StatusMultipleChoices
 	switch {
@@ -89,21 +90,21 @@
 }
 
 // responseResult returns the result of an attempt that got a response to the request with the
-// given ID. end releases the attempt's context.
-func (c *Client) responseResult(response *http.Response, id string, end func()) Result {
-	res := Result{Response: response, cancel: end}
-	j := c.dialect.classify(response.StatusCode, response.Header, id)
-	if j.err != nil {
+// given ID. release ends the attempt's context.
+func (c *Client) responseResult(response *http.Response, id string, release func()) Result {
+	res := Result{Response: response, cancel: release}
+	class := c.dialect.classify(response.StatusCode, response.Header, id)
+	if class.err != nil {
 		res.Close() // also closes the connection, which can no longer be trusted
-		return Result{Verdict: j.verdict, Reason: j.reason, Err: j.err}
+		return Result{Verdict: class.verdict, Reason: class.reason, Err: class.err}
 	}
-	res.Verdict, res.Reason = j.verdict, j.reason
+	res.Verdict, res.Reason = class.verdict, class.reason
 	return res
 }
 
 // readReport returns what a response says about the endpoint that the request was sent to. The
 // report is empty if another incarnation at the address responded, if the response is to
-// another request, or if it may have been made or changed on the way.
+// another request, or if an intermediary may have produced or changed it.
 func (c *Client) readReport(res *Result, response *http.Response, sent, heard time.Time) Report {
 	switch res.Reason {
 	case reason.AnswerForeign, reason.AnswerSpoiled, reason.EndpointReplaced:
@@ -115,21 +116,22 @@
 }
 
 // failureResult returns what an attempt without a response proves. cause is why its context
-// ended, nil if it did not; err is the transport's error.
-func (x *connTracker) failureResult(cause error, http2 bool, err error) Result {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// ended, nil if it did not; err is the transport's error. It does not seal an HTTP/2
+// connection, because other requests share it.
+func (t *connTracker) failureResult(cause error, http2 bool, err error) Result {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	switch {
-	case !x.gotConnection:
+	case !t.gotConnection:
 		return Result{Verdict: verdict.NotRun, Reason: noConnectionReason(cause), Err: err}
-	case x.withdrawn: // sealed before anything could be written
-		_ = x.conn.Close()
+	case t.withdrawn: // sealed before anything could be written
+		_ = t.conn.Close()
 		return Result{Verdict: verdict.NotRun, Reason: reason.Withdrawn, Withdrawn: true, Err: err}
-	case x.idleTooLong: // sealed before anything could be written
-		_ = x.conn.Close()
+	case t.idleTooLong: // sealed before anything could be written
+		_ = t.conn.Close()
 		return Result{Verdict: verdict.NotRun, Reason: reason.NothingWritten, Rested: true, Err: err}
-	case x.conn != nil && !http2 && x.conn.sealIfNoWriteSince(x.writesBefore):
-		_ = x.conn.Close() // sealed: nothing was written, and nothing can be any more
+	case t.conn != nil && !http2 && t.conn.sealIfNoWriteSince(t.writesBefore):
+		_ = t.conn.Close() // sealed: nothing was written, and nothing can be any more
 		return Result{Verdict: verdict.NotRun, Reason: reason.NothingWritten, Err: err}
 	case errors.Is(cause, context.DeadlineExceeded):
 		return Result{Verdict: verdict.MayHaveRun, Reason: reason.AnswerLate, Err: err}
