--- a/bootstrap/bench_test.go
+++ b/bootstrap/bench_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// deployment returns records of a deployment's size: entries of 719 endpoints and a
-// configuration of 848 routes, with random names.
+// deployment returns the records of a deployment: the entries of 719 endpoints and a configuration
+// of 848 routes, with random names.
 func deployment() []directory.Record {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var records []directory.Record
@@ -36,7 +36,8 @@
 	return append(records, directory.Record{Key: "op/config", Value: config, Revision: 2000})
 }
 
-// BenchmarkPack: 2.4 ms a copy of 37 KB, made once for all who ask within a second.
+// BenchmarkPack measures the packing of a copy: 2.4 ms for 37 KB. A copy is packed once for all requests
+// within a second.
 func BenchmarkPack(b *testing.B) {
 	records := deployment()
 	for b.Loop() {
@@ -46,8 +47,8 @@
 	}
 }
 
-// BenchmarkUnpack compares a copy (1.3 ms, 37 KB) with the JSON in which the store
-// sends the same records (4.8 ms, 451 KB), which each balancer decoded before.
+// BenchmarkUnpack compares the decoding of a copy (1.3 ms, 37 KB) with that of the JSON in which the
+// store sends the same records (4.8 ms, 451 KB), which each balancer decoded before there were copies.
 func BenchmarkUnpack(b *testing.B) {
 	records := deployment()
 	b.Run("copy", func(b *testing.B) {
--- a/bootstrap/bootstrap.go
+++ b/bootstrap/bootstrap.go
@@ -1,34 +1,33 @@
-// Package bootstrap brings a balancer that has just started its first copy of what
-// the store holds, so that a fleet that starts at once is back in service at once.
+// Package bootstrap obtains the first copy of the store's content for a balancer that has just
+// started, so that a fleet whose balancers all start at the same time is quickly back in service.
 //
-// A store has one link for all. If each balancer read everything from it, a fleet would
-// wait for that link. So the few registered relays read the store, and the others ask a
-// relay for its copy, packed. A balancer hands a copy to a few others and sends whoever asks after
-// them on to these, so that the copies spread as a tree whose depth is the logarithm of
-// the fleet's size (Recipients). Nobody waits for a single machine: whoever hears nothing
-// asks the next one meanwhile (Order), and reads the store itself in the end (ReadAfter).
-// Where the store tells of no relay, or nothing at all, the seeds of the settings are
-// asked, so that a balancer that starts while the store is down serves with what the
-// others know.
+// All balancers share the store's network link. If each of them read everything from the store, the
+// whole fleet would wait for that link. So only the few registered relays read the store, and the
+// other balancers request a compressed copy from a relay. A balancer sends its copy to a limited
+// number of others and redirects later requests to these recipients, so that the copies spread along
+// a tree whose depth is logarithmic in the fleet's size (Recipients). No balancer depends on a single
+// machine: if a peer does not answer in time, the next one is asked as well (Candidates), and in the
+// end the balancer reads the store itself (ReadAfter). If the store lists no relay or does not
+// answer, the seeds from the settings are asked, so that a balancer that starts while the store is
+// down can serve with what its peers know.
 //
-// Where there are thousands of endpoints, a balancer serves before it knows all of them: it
-// first asks for a part, which holds everything else and some of the endpoints, then for a
-// copy of everything. Both spread in the same way.
+// With thousands of endpoints, a balancer serves before it knows all of them: it first requests a
+// part, which holds some of the endpoints and everything else, and then a complete copy. Both spread
+// in the same way.
 //
-// What is handed on are the store's own records with their revisions. A copy that is
-// old, comes twice or comes late is no worse than a read of the store that may be
-// stale: no record replaces a newer one, and the following that begins afterwards
-// tells what the copy lacks.
+// A copy consists of the store's own records with their revisions. A copy that is old, late or a
+// duplicate does no more harm than a stale read of the store: no record replaces a newer one, and the
+// balancer then follows the store's changes and so learns what the copy lacks.
 //
-// The package owns the search for the first copy (Starter) and the account of whom
-// this balancer gave one (Giver). It relies on a State, which holds what is known, on a
-// Store and on Peers for their calls. The rules are in rules.go and have no clock.
+// Fetcher searches for the first copy, and Giver sends this balancer's copy to others and remembers
+// the recipients. They use a State, which holds what is known, and call a Store and Peers. The rules
+// in rules.go depend on their arguments alone and read no clock.
 //
 // # Usage
 //
-//	giver := bootstrap.NewGiver(state, rate) // answers Copy calls of others
-//	starter := bootstrap.New(bootstrap.Config{State: state, Store: store, Peers: peers, Giver: giver, Log: log})
-//	result := starter.Run(ctx) // until a first copy is in force
+//	giver := bootstrap.NewGiver(state, rate) // answers Copy calls from other balancers
+//	fetcher := bootstrap.New(bootstrap.Config{State: state, Store: store, Peers: peers, Giver: giver, Log: log})
+//	result := fetcher.Run(ctx) // returns once a first copy has been applied
 package bootstrap
 
 import (
@@ -44,78 +43,82 @@
 
 // Peer is another balancer.
 type Peer struct {
-	Addr string // at which it answers other balancers
-	Zone string // empty where that is not known
+	Addr string // address at which it answers other balancers
+	Zone string // empty if unknown
 }
 
-// State is what this balancer knows of the store.
+// State is what this balancer knows of the content of the store.
 type State interface {
-	// Known is closed as soon as a first copy is in force.
+	// Known returns a channel that is closed once a complete copy has been applied.
 	Known() <-chan struct{}
-	// Records returns everything, with the revision up to which all is known.
+	// Records returns all records and the revision up to which all changes are known.
 	Records() ([]directory.Record, uint64)
-	// Apply brings everything that another balancer knew into force.
+	// Apply applies a complete copy from another balancer; at is its revision.
 	Apply(records []directory.Record, at uint64)
-	// Partly is closed as soon as a part is known that is enough to serve, or everything.
+	// Partly returns a channel that is closed once enough is known to serve requests: a part
+	// or a complete copy.
 	Partly() <-chan struct{}
-	// Part returns such a part, and Whole reports whether it would be everything, or nearly.
+	// Part returns the records that a balancer needs to begin to serve, and Whole reports
+	// whether they would be all records, or nearly all.
 	Part() []directory.Record
 	Whole() bool
-	// ApplyPart brings a part of what another balancer knew into force.
+	// ApplyPart applies a part from another balancer.
 	ApplyPart(records []directory.Record)
 	// Relays returns the registered relays, this balancer among them if it is one.
 	Relays() []Peer
 }
 
-// Store is the store that all balancers read. What it tells it brings into force.
+// Store is the store that all balancers read. Its methods also apply what they read to the State.
 type Store interface {
-	// Read reads everything.
+	// Read reads all records.
 	Read(ctx context.Context) error
-	// ReadRegistrations reads the registrations of relays alone.
+	// ReadRegistrations reads only the registrations of relays.
 	ReadRegistrations(ctx context.Context) error
 }
 
-// Peers asks other balancers.
+// Peers calls other balancers.
 type Peers interface {
+	// Copy requests a copy from the balancer at addr.
 	Copy(ctx context.Context, addr string, args CopyArgs) (CopyReply, error)
 }
 
-// Config of a Starter.
+// Config is the configuration of a Fetcher.
 type Config struct {
 	Self  Peer
-	Seeds []string // addresses of balancers to ask where no relay is known, this one's perhaps among them
-	Cores float64  // processor share; balancers with more of it read the store first
+	Seeds []string // addresses of balancers to ask if no relay is known; may include this balancer's own
+	Cores float64  // processor share; balancers with a larger one read the store earlier
 	State State
 	Store Store
 	Peers Peers
-	Giver *Giver // is told of the copy, and hands it on as it is
+	Giver *Giver // receives each copy before it is decoded, and sends it to others in its packed form
 	Log   hclog.Logger
 
 	Options Options
 }
 
-// Options of a Starter. Zero fields take the defaults.
+// Options are the timing options of a Fetcher. Zero fields take the defaults.
 type Options struct {
-	// LookEvery is the time between two readings of the registrations while no copy has come;
-	// default 400 ms, by when a fleet that starts has its copies.
+	// LookEvery is the interval between reads of the relay registrations while no copy has
+	// arrived; default 400 ms, by which time a fleet that starts has its copies.
 	LookEvery time.Duration
-	// AskNextAfter is how long an answer is awaited before the next balancer is asked beside it;
+	// AskNextAfter is how long to wait for an answer before the next balancer is asked as well;
 	// default 60 ms, three times what a copy takes from a relay that has one.
 	AskNextAfter time.Duration
-	// WaitAtPeer is how long a balancer that has no copy yet itself may keep the
-	// question; default 300 ms. AskLimit bounds a whole question; default 800 ms.
+	// WaitAtPeer is how long a peer that has no copy yet may hold the request until it has one;
+	// default 300 ms. AskTimeout is the timeout of the whole request; default 800 ms.
 	WaitAtPeer time.Duration
-	AskLimit   time.Duration
-	// AskAgainAfter is when a balancer that gave no copy may be asked again; default
-	// 500 ms.
+	AskTimeout time.Duration
+	// AskAgainAfter is the time after a request to a balancer until it may be asked again;
+	// default 500 ms.
 	AskAgainAfter time.Duration
-	// ReadSpread is the time over which balancers that find no relay begin to read the
-	// store; default 1 s. See ReadAfter.
+	// ReadSpread is the period over which balancers that find no relay spread their first reads
+	// of the store; default 1 s. See ReadAfter.
 	ReadSpread time.Duration
-	// ReadAfterPart is how long a balancer that serves with a part waits for a copy of everything
-	// before it reads the store; default 2 s.
+	// ReadAfterPart is how long a balancer that serves with a part waits for a complete copy
+	// before it reads the store; default 2 s. Until then it is also the timeout of each request,
+	// and the interval between reads of the registrations.
 	ReadAfterPart time.Duration
-	// RetryPause is the mean pause after a failed call of the store; default 500 ms.
+	// RetryPause is the mean pause after a failed call to the store; default 500 ms.
 	RetryPause time.Duration
 }
 
@@ -123,7 +126,7 @@
 	o.LookEvery = cmp.Or(o.LookEvery, 400*time.Millisecond)
 	o.AskNextAfter = cmp.Or(o.AskNextAfter, 60*time.Millisecond)
 	o.WaitAtPeer = cmp.Or(o.WaitAtPeer, 300*time.Millisecond)
-	o.AskLimit = cmp.Or(o.AskLimit, 800*time.Millisecond)
+	o.AskTimeout = cmp.Or(o.AskTimeout, 800*time.Millisecond)
 	o.AskAgainAfter = cmp.Or(o.AskAgainAfter, 500*time.Millisecond)
 	o.ReadSpread = cmp.Or(o.ReadSpread, time.Second)
 	o.ReadAfterPart = cmp.Or(o.ReadAfterPart, 2*time.Second)
@@ -131,55 +134,55 @@
 	return o
 }
 
-// Starter brings the first copy into force.
-type Starter struct {
+// Fetcher obtains the first copy from a peer or the store, and applies it.
+type Fetcher struct {
 	cfg  Config
 	opts Options
 }
 
-// New returns a starter.
-func New(cfg Config) *Starter {
+// New returns a Fetcher. Without a logger in cfg it logs nothing.
+func New(cfg Config) *Fetcher {
 	if cfg.Log == nil {
 		cfg.Log = hclog.NewNullLogger()
 	}
-	return &Starter{cfg: cfg, opts: cfg.Options.withDefaults()}
+	return &Fetcher{cfg: cfg, opts: cfg.Options.withDefaults()}
 }
 
-// Result tells how the first copy came.
+// Result describes how the first copy was obtained.
 type Result struct {
-	From  string        // the address of a balancer, or FromStore; empty where none has come
-	After time.Duration // since the start
-	Asked int           // questions to other balancers
+	From  string        // address of the balancer that sent the copy, or FromStore; empty if none was obtained
+	After time.Duration // time since the start of Run
+	Asked int           // number of requests to other balancers
 }
 
-// FromStore stands for the store where others stand with their addresses.
+// FromStore is the value of Result.From if the balancer read the store itself.
 const FromStore = "store"
 
-// Run returns when a first copy is in force, or when ctx has ended.
-func (s *Starter) Run(ctx context.Context) Result {
+// Run searches for a first copy and returns once one has been applied or ctx has ended.
+func (f *Fetcher) Run(ctx context.Context) Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	began := time.Now()
-	p := s.newProgress(began)
-	for ctx.Err() == nil && !pause.Over(s.cfg.State.Known()) {
-		p.begin(ctx, time.Now())
-		p.await(ctx, time.Now())
+	s := f.newSearch(began)
+	for ctx.Err() == nil && !pause.Over(f.cfg.State.Known()) {
+		s.startDueCalls(ctx, time.Now())
+		s.awaitResult(ctx, time.Now())
 	}
-	r := Result{From: p.source, After: time.Since(began), Asked: p.asked}
+	r := Result{From: s.source, After: time.Since(began), Asked: s.asked}
 	if ctx.Err() == nil {
-		s.cfg.Log.Info("first copy in force", "from", r.From, "after", r.After.Round(time.Millisecond), "asked", r.Asked)
+		f.cfg.Log.Info("first copy in force", "from", r.From, "after", r.After.Round(time.Millisecond), "asked", r.Asked)
 	}
 	return r
 }
 
-// newProgress begins the search for a copy at a time.
-func (s *Starter) newProgress(now time.Time) *progress {
-	return &progress{
-		Starter: s,
-		order:   NewOrder(s.cfg.Self, s.cfg.Seeds, rand.Uint64(), s.opts.AskAgainAfter),
-		random:  rand.Float64(),
-		lookAt:  now,
-		askAt:   now.Add(s.opts.AskNextAfter), // seeds, where the relays are not known by then
-		events:  make(chan event),
+// newSearch returns a search that starts at now.
+func (f *Fetcher) newSearch(now time.Time) *search {
+	return &search{
+		Fetcher:         f,
+		candidates:      NewCandidates(f.cfg.Self, f.cfg.Seeds, rand.Uint64(), f.opts.AskAgainAfter),
+		random:          rand.Float64(),
+		registrationsAt: now,
+		askAt:           now.Add(f.opts.AskNextAfter), // ask the seeds if the relays are still unknown by then
+		results:         make(chan callResult),
 	}
 }
--- a/bootstrap/bootstrap_test.go
+++ b/bootstrap/bootstrap_test.go
@@ -14,52 +14,52 @@
 	"gotest.tools/v3/assert"
 )
 
-// fleet is a store and balancers in memory, in virtual time.
+// fleet simulates a store and its balancers in memory, in virtual time.
 type fleet struct {
-	mu      sync.Mutex
-	down    bool             // the store does not answer
-	relays  []bootstrap.Peer // as the store has them
-	dead    map[string]bool  // balancers that answer nothing
-	members map[string]*member
-	seeds   []string
-	reads   int           // of everything
-	took    time.Duration // of one reading
-	part    time.Duration // after which a reading has brought a part; 0 for a store that is as small as one
-	copied  time.Duration // of one copy of everything on its way, beside what a part takes
+	mu       sync.Mutex
+	down     bool             // calls to the store fail
+	relays   []bootstrap.Peer // registered in the store
+	dead     map[string]bool  // balancers that never answer
+	members  map[string]*member
+	seeds    []string
+	reads    int           // calls of Read
+	readTime time.Duration // duration of one Read
+	partTime time.Duration // time until Read has applied a part; 0 if the store is so small that there are no parts
+	copyTime time.Duration // additional transfer time of a complete copy over that of a part
 }
 
-// member is one balancer; it is the State, Store and Peers of its own Starter.
+// member is one balancer, which implements State, Store and Peers for its own Fetcher.
 type member struct {
-	fleet  *fleet
-	self   bootstrap.Peer
-	giver  *bootstrap.Giver
-	known  chan struct{}
-	partly chan struct{}
-	relays []bootstrap.Peer
-	at     uint64
-	since  time.Duration // from the start until the copy was in force
-	served time.Duration // the same for a part, or the copy where that came first
-	from   time.Time
+	fleet         *fleet
+	self          bootstrap.Peer
+	giver         *bootstrap.Giver
+	known         chan struct{}
+	partly        chan struct{}
+	relays        []bootstrap.Peer
+	at            uint64
+	completeAfter time.Duration // time from the start until a complete copy was applied
+	servableAfter time.Duration // time from the start until a part or a complete copy was applied
+	startedAt     time.Time
 }
 
 var (
-	errDown = errors.New("store is down")
-	errDead = errors.New("no answer")
+	errDown        = errors.New("store is down")
+	errUnreachable = errors.New("connection refused")
 )
 
 func newFleet() *fleet {
-	return &fleet{dead: map[string]bool{}, members: map[string]*member{}, took: 50 * time.Millisecond}
+	return &fleet{dead: map[string]bool{}, members: map[string]*member{}, readTime: 50 * time.Millisecond}
 }
 
-// begin starts a balancer.
-func (f *fleet) begin(ctx context.Context, self bootstrap.Peer, cores float64) *member {
-	m := &member{fleet: f, self: self, known: make(chan struct{}), partly: make(chan struct{}), from: time.Now()}
+// start starts a balancer.
+func (f *fleet) start(ctx context.Context, self bootstrap.Peer, cores float64) *member {
+	m := &member{fleet: f, self: self, known: make(chan struct{}), partly: make(chan struct{}), startedAt: time.Now()}
 	m.giver = bootstrap.NewGiver(m, 0)
 	f.mu.Lock()
 	f.members[self.Addr] = m
 	f.mu.Unlock()
-	s := bootstrap.New(bootstrap.Config{Self: self, Seeds: f.seeds, Cores: cores, State: m, Store: m, Peers: m, Giver: m.giver})
-	go s.Run(ctx)
+	fetcher := bootstrap.New(bootstrap.Config{Self: self, Seeds: f.seeds, Cores: cores, State: m, Store: m, Peers: m, Giver: m.giver})
+	go fetcher.Run(ctx)
 	return m
 }
 
@@ -72,9 +72,9 @@
 func (m *member) Apply(_ []directory.Record, at uint64) {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
-	m.serve()
+	m.markServable()
 	if m.at == 0 {
-		m.at, m.since = at, time.Since(m.from)
+		m.at, m.completeAfter = at, time.Since(m.startedAt)
 		close(m.known)
 	}
 }
@@ -85,18 +85,18 @@
 	return []directory.Record{{Key: "k", Value: []byte("v"), Revision: 1}}
 }
 
-func (m *member) Whole() bool { return m.fleet.part == 0 }
+func (m *member) Whole() bool { return m.fleet.partTime == 0 }
 
 func (m *member) ApplyPart([]directory.Record) {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
-	m.serve()
+	m.markServable()
 }
 
-// serve notes that callers can be served; the fleet's lock is held.
-func (m *member) serve() {
-	if m.served == 0 {
-		m.served = time.Since(m.from)
+// markServable records that the member can serve requests. The caller holds fleet.mu.
+func (m *member) markServable() {
+	if m.servableAfter == 0 {
+		m.servableAfter = time.Since(m.startedAt)
 		close(m.partly)
 	}
 }
@@ -123,11 +123,11 @@
 	m.fleet.reads++
 	down := m.fleet.down
 	m.fleet.mu.Unlock()
-	if part := m.fleet.part; part > 0 && !down {
-		time.Sleep(part)
+	if partTime := m.fleet.partTime; partTime > 0 && !down {
+		time.Sleep(partTime)
 		m.ApplyPart(nil)
 	}
-	time.Sleep(m.fleet.took - m.fleet.part)
+	time.Sleep(m.fleet.readTime - m.fleet.partTime)
 	if down {
 		return errDown
 	}
@@ -145,18 +145,19 @@
 		<-ctx.Done()
 		return bootstrap.CopyReply{}, ctx.Err()
 	case peer == nil:
-		return bootstrap.CopyReply{}, errDead
+		return bootstrap.CopyReply{}, errUnreachable
 	}
 	reply, err := peer.giver.Answer(ctx, args)
 	if len(reply.Packed) > 0 && !reply.Part {
-		time.Sleep(m.fleet.copied)
+		time.Sleep(m.fleet.copyTime)
 	}
 	return reply, err
 }
 
-// begin returns a context, and a function that ends it and lets the calls that are
-// under way end: virtual time stands still once the test's own goroutine is gone.
-func begin(t *testing.T) (context.Context, func()) {
+// start returns a context for the balancers of a test, and a function that cancels it and waits until
+// the calls in progress have returned: virtual time no longer advances once the test's own goroutine
+// has ended.
+func start(t *testing.T) (context.Context, func()) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	return ctx, func() {
@@ -165,157 +166,160 @@
 	}
 }
 
-// peers names balancers of a zone.
-func peers(zone string, n int) (list []bootstrap.Peer) {
+// zonePeers returns n balancers of a zone.
+func zonePeers(zone string, n int) (list []bootstrap.Peer) {
 	for i := range n {
 		list = append(list, bootstrap.Peer{Addr: fmt.Sprint(zone, i), Zone: zone})
 	}
 	return list
 }
 
-// slowest returns how long the last one took, and the revision that all have.
+// slowest waits until all members have a complete copy, checks its revision, and returns the longest
+// time that a member took.
 func slowest(t *testing.T, all []*member) time.Duration {
 	t.Helper()
 	var most time.Duration
 	for _, m := range all {
 		<-m.known
 		assert.Equal(t, m.at, uint64(7))
-		most = max(most, m.since)
+		most = max(most, m.completeAfter)
 	}
 	return most
 }
 
-// TestFleetStartsAtOnce: only the registered relays read the store, and everybody has
-// a copy soon after them.
-func TestFleetStartsAtOnce(t *testing.T) {
+// TestOnlyRelaysReadStore tests that in a fleet that starts together only the registered relays read the
+// store, and that all balancers have a copy soon after them.
+func TestOnlyRelaysReadStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := begin(t)
+		ctx, stop := start(t)
 		defer stop()
 		f := newFleet()
 		var all []*member
-		a, b := peers("a", 200), peers("b", 100)
+		a, b := zonePeers("a", 200), zonePeers("b", 100)
 		f.relays = []bootstrap.Peer{a[17], b[3]}
 		for _, p := range append(a, b...) {
-			all = append(all, f.begin(ctx, p, 0.16))
+			all = append(all, f.start(ctx, p, 0.16))
 		}
 		assert.Assert(t, slowest(t, all) < 150*time.Millisecond, "%v", slowest(t, all))
 		assert.Equal(t, f.reads, 2)
 	})
 }
 
-// TestPartComesFirst: where there are thousands of endpoints everybody serves with a part long
-// before the relays have read everything, and everybody has everything in the end.
-func TestPartComesFirst(t *testing.T) {
+// TestServesWithPartFirst tests that with thousands of endpoints all balancers serve with a part long
+// before the relays have read the whole store, and that all get a complete copy in the end.
+func TestServesWithPartFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := begin(t)
+		ctx, stop := start(t)
 		defer stop()
 		f := newFleet()
-		f.took, f.part, f.copied = 800*time.Millisecond, 60*time.Millisecond, 140*time.Millisecond
+		f.readTime, f.partTime, f.copyTime = 800*time.Millisecond, 60*time.Millisecond, 140*time.Millisecond
 		var all []*member
-		a, b := peers("a", 160), peers("b", 160)
+		a, b := zonePeers("a", 160), zonePeers("b", 160)
 		f.relays = []bootstrap.Peer{a[17], b[3]}
 		for _, p := range append(a, b...) {
-			all = append(all, f.begin(ctx, p, 0.16))
+			all = append(all, f.start(ctx, p, 0.16))
 		}
 		whole := slowest(t, all)
-		var served time.Duration
+		var servableAfter time.Duration
 		for _, m := range all {
-			served = max(served, m.served)
+			servableAfter = max(servableAfter, m.servableAfter)
 		}
-		t.Logf("served after %v, everything after %v", served, whole)
-		assert.Assert(t, served < 250*time.Millisecond, "%v", served)
+		t.Logf("served after %v, complete after %v", servableAfter, whole)
+		assert.Assert(t, servableAfter < 250*time.Millisecond, "%v", servableAfter)
 		assert.Assert(t, whole < 3*time.Second, "%v", whole)
 		assert.Equal(t, f.reads, 2)
 	})
 }
 
-// TestDeadRelaysHoldNobodyUp: with the own relay silent another one is asked meanwhile;
-// with all of them silent some balancers read the store, the larger ones first.
-func TestDeadRelaysHoldNobodyUp(t *testing.T) {
+// TestUnresponsiveRelaysDoNotDelayStart tests that a balancer asks another relay while the one in its
+// zone does not answer, and that balancers read the store themselves if no relay answers.
+func TestUnresponsiveRelaysDoNotDelayStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := begin(t)
+		ctx, stop := start(t)
 		defer stop()
 		f := newFleet()
 		f.relays = []bootstrap.Peer{{Addr: "silent", Zone: "a"}, {Addr: "gone", Zone: "b"}, {Addr: "c0", Zone: "c"}}
 		f.dead["silent"] = true
 		var all []*member
-		for _, p := range append(peers("a", 30), peers("c", 1)...) {
-			all = append(all, f.begin(ctx, p, 0.16))
+		for _, p := range append(zonePeers("a", 30), zonePeers("c", 1)...) {
+			all = append(all, f.start(ctx, p, 0.16))
 		}
 		assert.Assert(t, slowest(t, all) < 500*time.Millisecond, "%v", slowest(t, all))
 		assert.Equal(t, f.reads, 1)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := begin(t)
+		ctx, stop := start(t)
 		defer stop()
 		f := newFleet()
 		f.relays = []bootstrap.Peer{{Addr: "silent", Zone: "a"}, {Addr: "silent2", Zone: "b"}}
 		f.dead["silent"], f.dead["silent2"] = true, true
-		all := []*member{f.begin(ctx, bootstrap.Peer{Addr: "x", Zone: "a"}, 0.8), f.begin(ctx, bootstrap.Peer{Addr: "y", Zone: "b"}, 0.8)}
+		all := []*member{f.start(ctx, bootstrap.Peer{Addr: "x", Zone: "a"}, 0.8), f.start(ctx, bootstrap.Peer{Addr: "y", Zone: "b"}, 0.8)}
 		assert.Assert(t, slowest(t, all) < 1600*time.Millisecond, "%v", slowest(t, all))
 	})
 }
 
-// TestFirstStartOfAll: with no relay registered the store is read, by the balancers one
-// after the other.
-func TestFirstStartOfAll(t *testing.T) {
+// TestStartWithoutRelays tests that with neither relays nor seeds the balancers read the store
+// themselves, at times spread over a second.
+func TestStartWithoutRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := begin(t)
+		ctx, stop := start(t)
 		defer stop()
 		f := newFleet()
 		var all []*member
-		for _, p := range peers("a", 20) {
-			all = append(all, f.begin(ctx, p, 0.2))
+		for _, p := range zonePeers("a", 20) {
+			all = append(all, f.start(ctx, p, 0.2))
 		}
 		assert.Assert(t, slowest(t, all) < 1100*time.Millisecond, "%v", slowest(t, all))
 	})
 }
 
-// TestFirstStartWithSeeds: with no relay registered only the seeds read the store.
-func TestFirstStartWithSeeds(t *testing.T) {
+// TestStartWithSeedsOnly tests that with no relay registered most balancers get their copy from a seed,
+// so that few others read the store.
+func TestStartWithSeedsOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := begin(t)
+		ctx, stop := start(t)
 		defer stop()
 		f := newFleet()
 		f.seeds = []string{"a0", "a1", "gone"}
 		var all []*member
-		for _, p := range peers("a", 100) {
-			all = append(all, f.begin(ctx, p, 0.16))
+		for _, p := range zonePeers("a", 100) {
+			all = append(all, f.start(ctx, p, 0.16))
 		}
 		assert.Assert(t, slowest(t, all) < 300*time.Millisecond, "%v", slowest(t, all))
-		assert.Assert(t, f.reads < 30, "%d readings", f.reads) // those whose random time comes first
+		assert.Assert(t, f.reads < 30, "%d reads", f.reads) // the seeds, and balancers whose random delay ended before they had a copy
 	})
 }
 
-// TestStartWhileTheStoreIsDown: a balancer has its copy from a seed that runs, though
-// the store answers nothing, or not at all.
-func TestStartWhileTheStoreIsDown(t *testing.T) {
+// TestStartFromSeedWhileStoreIsDown tests that a balancer gets its copy from a running seed while calls
+// to the store fail.
+func TestStartFromSeedWhileStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := begin(t)
+		ctx, stop := start(t)
 		defer stop()
 		f := newFleet()
 		f.seeds = []string{"gone", "a0"}
-		first := f.begin(ctx, bootstrap.Peer{Addr: "a0", Zone: "a"}, 0.2)
+		first := f.start(ctx, bootstrap.Peer{Addr: "a0", Zone: "a"}, 0.2)
 		<-first.known
 		f.mu.Lock()
 		f.down = true
 		f.mu.Unlock()
-		late := f.begin(ctx, bootstrap.Peer{Addr: "b0", Zone: "b"}, 0.2)
-		assert.Assert(t, slowest(t, []*member{late}) < 300*time.Millisecond, "%v", late.since)
+		late := f.start(ctx, bootstrap.Peer{Addr: "b0", Zone: "b"}, 0.2)
+		assert.Assert(t, slowest(t, []*member{late}) < 300*time.Millisecond, "%v", late.completeAfter)
 	})
 }
 
-// TestStoreDownAtTheStart: nobody gives up, and all have a copy soon after its return.
-func TestStoreDownAtTheStart(t *testing.T) {
+// TestFleetStartsOnceStoreRecovers tests that balancers that start while the store is down keep trying,
+// and that all have a copy soon after the store has recovered.
+func TestFleetStartsOnceStoreRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := begin(t)
+		ctx, stop := start(t)
 		defer stop()
 		f := newFleet()
 		f.down = true
 		var all []*member
-		list := peers("a", 20)
+		list := zonePeers("a", 20)
 		for _, p := range list {
-			all = append(all, f.begin(ctx, p, 0.2))
+			all = append(all, f.start(ctx, p, 0.2))
 		}
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
@@ -327,8 +331,9 @@
 	})
 }
 
-// TestCopyKeepsEverything of the records.
-func TestCopyKeepsEverything(t *testing.T) {
+// TestCopyRoundTrip tests that Pack and Unpack preserve the records, and that Unpack fails on a truncated
+// copy.
+func TestCopyRoundTrip(t *testing.T) {
 	records := []directory.Record{
 		{Key: "a", Value: []byte(`{"x":1}`), Revision: 3, Lease: 9}, {Key: "b", Value: []byte{0, 255}, Revision: 1 << 60},
 	}
--- a/bootstrap/copy.go
+++ b/bootstrap/copy.go
@@ -10,17 +10,17 @@
 	"github.com/lotuswing/lotuswing/directory"
 )
 
-// maxUnpacked bounds what is unpacked of one copy, in bytes.
+// maxUnpacked is the maximum unpacked size of one copy, in bytes.
 const maxUnpacked = 64 << 20
 
-// Copy is everything that the store held at a revision, packed for other balancers. It is an
-// immutable value.
+// Copy is the content of the store at a revision, or a part of it, as compressed gob for other
+// balancers. It is immutable.
 type Copy struct {
-	At     uint64 // revision up to which all is known
+	At     uint64 // revision up to which all changes are known; 0 for a part
 	Packed []byte
 }
 
-// Pack makes a copy of records.
+// Pack encodes records as a Copy of revision at.
 func Pack(records []directory.Record, at uint64) (Copy, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
@@ -36,10 +36,11 @@
 	return Copy{At: at, Packed: out.Bytes()}, nil
 }
 
-// Unpack returns the records of a copy.
+// Unpack decodes the records. It fails if the copy is truncated, malformed or larger than
+// maxUnpacked.
 func (c Copy) Unpack() ([]directory.Record, error) {
 	r := flate.NewReader(bytes.NewReader(c.Packed))
-	defer func() { _ = r.Close() }() // a reader of memory has nothing to lose
+	defer func() { _ = r.Close() }() // closing a reader of memory cannot lose data
 	var records []directory.Record
 	if err := gob.NewDecoder(io.LimitReader(r, maxUnpacked)).Decode(&records); err != nil {
 		return nil, fmt.Errorf("bootstrap: unpack: %w", err)
--- a/bootstrap/fanout_test.go
+++ b/bootstrap/fanout_test.go
@@ -6,7 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFanOut: a tenth of a second of the link, within bounds.
+// TestFanOut tests that the copies sent take up to a tenth of a second of link time, and that their
+// number is between 2 and 64, or 8 if the link rate or the size is unknown.
 func TestFanOut(t *testing.T) {
 	const mbit = 1e6 / 8
 	for _, c := range []struct {
--- a/bootstrap/giver.go
+++ b/bootstrap/giver.go
@@ -8,80 +8,82 @@
 	"github.com/lotuswing/lotuswing/internal/pause"
 )
 
-// CopyArgs asks a balancer for its copy. Package gob sends the names of the fields.
+// CopyArgs requests a copy from another balancer. Package gob sends the names of the fields.
 type CopyArgs struct {
-	Addr string        // of the balancer that asks, at which others may ask it in turn
-	Wait time.Duration // how long the question may wait for the first copy of the one that is asked
+	Addr string        // address at which other balancers may ask the requester in turn
+	Wait time.Duration // how long the request may wait for the peer's own first copy
 	Part bool          // a part is enough
 }
 
-// CopyReply is the answer: a copy, or who is to be asked instead, or neither where the
-// one that was asked has no copy yet.
+// CopyReply answers a CopyArgs with a copy, with the addresses of balancers to ask instead, or with
+// neither if the balancer has no copy yet.
 type CopyReply struct {
-	At      uint64   // revision up to which all is known
+	At      uint64   // revision up to which all changes are known; 0 for a part
 	Packed  []byte   // see Copy
-	Instead []string // addresses
+	Instead []string // addresses of balancers to ask instead
 	Part    bool     // Packed is a part
 }
 
 const (
-	// maxWait bounds how long a question waits, whatever it asks for.
+	// maxWait bounds how long a request waits, whatever CopyArgs.Wait says.
 	maxWait = 2 * time.Second
-	// keptFor is how long a packed copy is handed on before a new one is made. A copy of a second
-	// ago is no worse than a stale read.
-	keptFor = time.Second
+	// copyTTL is how long a packed copy is sent to others before a new one is packed. A copy that is
+	// one second old is no worse than a stale read.
+	copyTTL = time.Second
 )
 
-// Giver hands this balancer's copy to others. It is safe for concurrent use.
+// Giver sends this balancer's copy to others. It is safe for concurrent use.
 type Giver struct {
 	state State
-	rate  float64 // of the link, in bytes a second; 0 where it is not known
+	rate  float64 // rate of the link, in bytes per second; 0 if unknown
 
-	received chan struct{} // closed when there is a copy to hand on
-	partly   chan struct{} // closed when there is a part to hand on
-	mu       sync.Mutex
-	whole    kept
-	part     kept
+	received     chan struct{} // closed once a complete copy has been received
+	partReceived chan struct{} // closed once a part has been received
+	mu           sync.Mutex
+	complete     cachedCopy
+	partial      cachedCopy
 }
 
-// kept is a copy that is handed on, and to whom.
-type kept struct {
+// cachedCopy is a packed copy and the balancers that it was sent to.
+type cachedCopy struct {
 	recipients Recipients
-	copy       Copy      // the last one that was packed or received; zero for none
-	at         time.Time // since when
+	copy       Copy      // most recently packed or received; zero for none
+	at         time.Time // when copy was packed or received
 }
 
-// NewGiver returns a giver of what a state holds. rate is that of the balancer's link, in
-// bytes a second; 0 where it is not known.
+// NewGiver returns a Giver for the content of state. rate is the rate of the balancer's link, in
+// bytes per second; 0 if unknown.
 func NewGiver(state State, rate float64) *Giver {
-	return &Giver{state: state, rate: rate, received: make(chan struct{}), partly: make(chan struct{})}
+	return &Giver{state: state, rate: rate, received: make(chan struct{}), partReceived: make(chan struct{})}
 }
 
-// Keep takes a copy that was received to be handed on as it is.
+// Keep stores a complete copy that was received at now, to be sent to others without repacking.
 func (g *Giver) Keep(c Copy, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.whole.copy, g.whole.at = c, now
+	g.complete.copy, g.complete.at = c, now
 	if !pause.Over(g.received) {
 		close(g.received)
 	}
 }
 
-// KeepPart takes a part that was received to be handed on as it is.
+// KeepPart stores a part that was received at now, to be sent to others without repacking.
 func (g *Giver) KeepPart(c Copy, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.part.copy, g.part.at = c, now
-	if !pause.Over(g.partly) {
-		close(g.partly)
+	g.partial.copy, g.partial.at = c, now
+	if !pause.Over(g.partReceived) {
+		close(g.partReceived)
 	}
 }
 
-// Answer answers a balancer that asks for a copy, or for a part.
+// Answer answers a request for a complete copy or a part. If there is none
+// yet, it waits for args.Wait, but at most for maxWait, and then returns an empty reply. It returns an
+// error if ctx ends first or packing fails.
 func (g *Giver) Answer(ctx context.Context, args CopyArgs) (CopyReply, error) {
 	received, known := g.received, g.state.Known()
 	if args.Part {
-		received, known = g.partly, g.state.Partly()
+		received, known = g.partReceived, g.state.Partly()
 	}
 	timer := time.NewTimer(min(args.Wait, maxWait))
 	defer timer.Stop()
@@ -96,38 +98,39 @@
 	return g.answer(args, time.Now())
 }
 
-// answer gives a copy or a part, or sends the balancer on, at now. Who asks for a part is
-// given everything where that is as little.
+// answer returns a copy or a part, or redirects the requester to earlier recipients. A request for
+// a part gets a complete copy if that is about as small.
 func (g *Giver) answer(args CopyArgs, now time.Time) (reply CopyReply, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	k := &g.whole
+	c := &g.complete
 	if args.Part && !g.state.Whole() {
-		k, reply.Part = &g.part, true
+		c, reply.Part = &g.partial, true
 	}
-	if now.Sub(k.at) >= keptFor {
-		if err := g.pack(k, reply.Part, now); err != nil {
+	if now.Sub(c.at) >= copyTTL {
+		if err := g.pack(c, reply.Part, now); err != nil {
 			return CopyReply{}, err
 		}
 	}
-	most := fanOut(len(k.copy.Packed), g.rate)
-	if k.recipients, reply.Instead = k.recipients.WithQuestion(args.Addr, most, now); len(reply.Instead) > 0 {
+	limit := fanOut(len(c.copy.Packed), g.rate)
+	if c.recipients, reply.Instead = c.recipients.WithRequest(args.Addr, limit, now); len(reply.Instead) > 0 {
 		return reply, nil
 	}
-	reply.At, reply.Packed = k.copy.At, k.copy.Packed
+	reply.At, reply.Packed = c.copy.At, c.copy.Packed
 	return reply, nil
 }
 
-// pack packs a copy of what is known now, if anything is; g.mu is held.
-func (g *Giver) pack(k *kept, part bool, now time.Time) (err error) {
+// pack packs a new copy or part if the state has one, and leaves c as it is otherwise. The caller
+// holds g.mu.
+func (g *Giver) pack(c *cachedCopy, part bool, now time.Time) (err error) {
 	switch {
 	case part && pause.Over(g.state.Partly()):
-		k.copy, err = Pack(g.state.Part(), 0)
+		c.copy, err = Pack(g.state.Part(), 0)
 	case !part && pause.Over(g.state.Known()):
-		k.copy, err = Pack(g.state.Records())
+		c.copy, err = Pack(g.state.Records())
 	default:
-		return nil // what was received last is handed on
+		return nil // keep the copy that was received last
 	}
-	k.at = now
+	c.at = now
 	return err
 }
--- a/bootstrap/progress.go
+++ b/bootstrap/progress.go
@@ -9,235 +9,240 @@
 	"time"
 )
 
-// errNoCopy says that a balancer that was asked has no copy yet.
-var errNoCopy = errors.New("bootstrap: no copy there yet")
+// errNoCopy means that the balancer that was asked has no copy yet.
+var errNoCopy = errors.New("bootstrap: peer has no copy yet")
 
-// progress is the search for a first copy. Its fields belong to the goroutine of
-// Starter.Run; calls run in goroutines of their own, which send events.
-type progress struct {
-	*Starter
-	order    Order
-	random   float64 // decides when this balancer reads the store, among all that start
-	lookAt   time.Time
-	looking  bool
-	lookedUp bool // the registrations were read at least once
-	readAt   time.Time
-	reading  bool
-	askAt    time.Time
-	asking   int  // questions that are not answered
-	asked    int  // questions so far
-	partly   bool // a part is in force, and the search is for a copy of everything
-	source   string
-	events   chan event
+// search is a search for a first copy. Its fields belong to the goroutine of Fetcher.Run; calls run
+// in goroutines of their own and send their results to it.
+type search struct {
+	*Fetcher
+	candidates           Candidates
+	random               float64   // in [0, 1); spreads the store reads of balancers that start together
+	registrationsAt      time.Time // next read of the registrations
+	readingRegistrations bool
+	registrationsRead    bool      // the registrations have been read at least once
+	storeReadAt          time.Time // next read of the store
+	readingStore         bool
+	askAt                time.Time // next request to a peer
+	inFlight             int       // requests without an answer
+	asked                int       // requests so far
+	havePart             bool      // a part has been applied, and a complete copy is still missing
+	source               string    // see Result.From
+	results              chan callResult
 }
 
-// event is the end of a call.
-type event interface {
-	apply(p *progress, now time.Time)
+// callResult is the result of a call to the store or to a peer. apply updates the search with it.
+type callResult interface {
+	apply(s *search, now time.Time)
 }
 
-// looked is the end of a reading of the registrations, read that of a reading of
-// everything, answered that of a question to another balancer.
+// registrationsResult is the result of Store.ReadRegistrations, storeResult that of Store.Read, and
+// copyResult that of Peers.Copy.
 type (
-	looked   struct{ err error }
-	read     struct{ err error }
-	answered struct {
+	registrationsResult struct{ err error }
+	storeResult         struct{ err error }
+	copyResult          struct {
 		peer  Peer
 		reply CopyReply
 		err   error
 	}
 )
 
-// mostQuestions bounds the questions that wait at once.
-const mostQuestions = 4
+// maxInFlight bounds the concurrent requests to peers until a part has been applied.
+const maxInFlight = 4
 
-// begin makes the calls that are due at now.
-func (p *progress) begin(ctx context.Context, now time.Time) {
-	if !p.looking && !now.Before(p.lookAt) {
-		p.looking = true
-		go func() { p.send(ctx, looked{p.cfg.Store.ReadRegistrations(ctx)}) }()
+// startDueCalls starts the calls that are due at now.
+func (s *search) startDueCalls(ctx context.Context, now time.Time) {
+	if !s.readingRegistrations && !now.Before(s.registrationsAt) {
+		s.readingRegistrations = true
+		go func() { s.send(ctx, registrationsResult{s.cfg.Store.ReadRegistrations(ctx)}) }()
 	}
-	if p.lookedUp && !p.reading && !now.Before(p.readAt) {
-		p.reading = true
-		go func() { p.send(ctx, read{p.cfg.Store.Read(ctx)}) }()
+	if s.registrationsRead && !s.readingStore && !now.Before(s.storeReadAt) {
+		s.readingStore = true
+		go func() { s.send(ctx, storeResult{s.cfg.Store.Read(ctx)}) }()
 	}
-	if p.asking < p.mostQuestions() && !now.Before(p.askAt) {
-		p.ask(ctx, now)
+	if s.inFlight < s.maxInFlight() && !now.Before(s.askAt) {
+		s.askNext(ctx, now)
 	}
 }
 
-// ask asks the next balancer for its copy.
-func (p *progress) ask(ctx context.Context, now time.Time) {
-	peer, order, ok := p.order.WithNext(now)
-	hurry := p.hurry()
-	p.askAt = now.Add(hurry.nextAfter)
+// askNext requests a copy from the next candidate, if there is one.
+func (s *search) askNext(ctx context.Context, now time.Time) {
+	peer, candidates, ok := s.candidates.Next(now)
+	timing := s.timing()
+	s.askAt = now.Add(timing.nextAfter)
 	if !ok {
 		return
 	}
-	p.order = order
-	p.asking++
-	p.asked++
-	args := CopyArgs{Addr: p.cfg.Self.Addr, Wait: hurry.wait, Part: !p.partly}
+	s.candidates = candidates
+	s.inFlight++
+	s.asked++
+	args := CopyArgs{Addr: s.cfg.Self.Addr, Wait: timing.wait, Part: !s.havePart}
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, hurry.limit)
+		ctx, cancel := context.WithTimeout(ctx, timing.timeout)
 		defer cancel()
-		reply, err := p.cfg.Peers.Copy(ctx, peer.Addr, args)
-		p.send(ctx, answered{peer: peer, reply: reply, err: err})
+		reply, err := s.cfg.Peers.Copy(ctx, peer.Addr, args)
+		s.send(ctx, copyResult{peer: peer, reply: reply, err: err})
 	}()
 }
 
-// hurry is how long questions wait, and the next balancer with them.
-type hurry struct{ nextAfter, wait, limit time.Duration }
+// timing holds the delay until the next peer is asked as well, how long the peer may hold the
+// request, and the timeout of the request.
+type timing struct{ nextAfter, wait, timeout time.Duration }
 
-// hurry returns how much of it there is. Who serves with a part asks for everything without any:
-// one after the other, the relay of the own zone first. With the same hurry for both, relays of
-// other zones were asked beside the own one, which was reading the store, and each sent a copy.
-func (p *progress) hurry() hurry {
-	if p.partly {
-		return hurry{nextAfter: p.opts.ReadAfterPart / 2, wait: p.opts.ReadAfterPart / 2, limit: p.opts.ReadAfterPart}
+// timing returns the timing of the next request. Once a part has been applied, peers are asked one
+// after the other, the relay in this zone first. With the short delays of the first phase, relays of
+// other zones were asked while the relay in this zone was still reading the store, and each of them
+// sent a copy.
+func (s *search) timing() timing {
+	if s.havePart {
+		return timing{nextAfter: s.opts.ReadAfterPart / 2, wait: s.opts.ReadAfterPart / 2, timeout: s.opts.ReadAfterPart}
 	}
-	return hurry{nextAfter: p.opts.AskNextAfter, wait: p.opts.WaitAtPeer, limit: p.opts.AskLimit}
+	return timing{nextAfter: s.opts.AskNextAfter, wait: s.opts.WaitAtPeer, timeout: s.opts.AskTimeout}
 }
 
-// mostQuestions returns how many questions wait at once at the most.
-func (p *progress) mostQuestions() int {
-	if p.partly {
+// maxInFlight returns the maximum number of concurrent requests to peers, which is lower once a part
+// has been applied.
+func (s *search) maxInFlight() int {
+	if s.havePart {
 		return 2
 	}
-	return mostQuestions
+	return maxInFlight
 }
 
-// send tells the loop of an event, unless the search is over.
-func (p *progress) send(ctx context.Context, e event) {
+// send passes a result to the goroutine of Fetcher.Run, unless the search is over.
+func (s *search) send(ctx context.Context, r callResult) {
 	select {
-	case p.events <- e:
+	case s.results <- r:
 	case <-ctx.Done():
 	}
 }
 
-// await waits for an event, or until a call is due.
-func (p *progress) await(ctx context.Context, now time.Time) {
-	timer := time.NewTimer(p.due(now))
+// awaitResult waits for the result of a call and applies it. It returns earlier if a call is due or
+// ctx ends.
+func (s *search) awaitResult(ctx context.Context, now time.Time) {
+	timer := time.NewTimer(s.untilNextCall(now))
 	defer timer.Stop()
 	select {
-	case e := <-p.events:
-		e.apply(p, time.Now())
+	case r := <-s.results:
+		r.apply(s, time.Now())
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// due returns how long to wait for the next call.
-func (p *progress) due(now time.Time) time.Duration {
-	next := p.askAt
-	if !p.looking && p.lookAt.Before(next) {
-		next = p.lookAt
+// untilNextCall returns the time until the next call is due, at least 1 ms.
+func (s *search) untilNextCall(now time.Time) time.Duration {
+	next := s.askAt
+	if !s.readingRegistrations && s.registrationsAt.Before(next) {
+		next = s.registrationsAt
 	}
-	if p.lookedUp && !p.reading && p.readAt.Before(next) {
-		next = p.readAt
+	if s.registrationsRead && !s.readingStore && s.storeReadAt.Before(next) {
+		next = s.storeReadAt
 	}
 	return max(next.Sub(now), time.Millisecond)
 }
 
-// pause returns a random pause after a failed call of the store.
-func (p *progress) pause() time.Duration {
-	return p.opts.RetryPause/2 + rand.N(p.opts.RetryPause)
+// retryPause returns a random pause after a failed call to the store, with a mean of
+// Options.RetryPause.
+func (s *search) retryPause() time.Duration {
+	return s.opts.RetryPause/2 + rand.N(s.opts.RetryPause)
 }
 
-func (e looked) apply(p *progress, now time.Time) {
-	p.looking = false
-	if e.err != nil {
-		p.lookAt = now.Add(p.pause())
-		p.askAt = now
-		p.cfg.Log.Warn("relays not read", "error", e.err)
+func (r registrationsResult) apply(s *search, now time.Time) {
+	s.readingRegistrations = false
+	if r.err != nil {
+		s.registrationsAt = now.Add(s.retryPause())
+		s.askAt = now
+		s.cfg.Log.Warn("relays not read", "error", r.err)
 		return
 	}
-	p.lookAt = now.Add(p.lookEvery())
-	relays := p.cfg.State.Relays()
-	first := !p.lookedUp
-	p.lookedUp = true
-	p.order = p.order.WithRelays(relays)
+	s.registrationsAt = now.Add(s.registrationsInterval())
+	relays := s.cfg.State.Relays()
+	first := !s.registrationsRead
+	s.registrationsRead = true
+	s.candidates = s.candidates.WithRelays(relays)
 	if first {
-		isSeed := slices.Contains(p.cfg.Seeds, p.cfg.Self.Addr)
-		p.readAt = now.Add(p.opts.ReadAfter(isRelay(relays, p.cfg.Self), isSeed, len(relays) > 0, p.random, p.cfg.Cores))
-		p.askAt = now
+		isSeed := slices.Contains(s.cfg.Seeds, s.cfg.Self.Addr)
+		s.storeReadAt = now.Add(s.opts.ReadAfter(isRelay(relays, s.cfg.Self), isSeed, len(relays) > 0, s.random, s.cfg.Cores))
+		s.askAt = now
 	}
 }
 
-// lookEvery returns the time between two readings of the registrations. Who serves with a
-// part, in which they stand, reads them seldom.
-func (p *progress) lookEvery() time.Duration {
-	if p.partly {
-		return p.opts.ReadAfterPart
+// registrationsInterval returns the interval between reads of the registrations. It is longer once a
+// part has been applied, because the part contains the registrations.
+func (s *search) registrationsInterval() time.Duration {
+	if s.havePart {
+		return s.opts.ReadAfterPart
 	}
-	return p.opts.LookEvery
+	return s.opts.LookEvery
 }
 
-// isRelay reports whether a balancer is registered.
+// isRelay reports whether self is one of the registered relays.
 func isRelay(relays []Peer, self Peer) bool {
 	return slices.ContainsFunc(relays, func(r Peer) bool { return r.Addr == self.Addr })
 }
 
-func (e read) apply(p *progress, now time.Time) {
-	p.reading = false
-	if e.err != nil {
-		p.readAt = now.Add(p.pause())
-		p.cfg.Log.Warn("store not read", "error", e.err)
+func (r storeResult) apply(s *search, now time.Time) {
+	s.readingStore = false
+	if r.err != nil {
+		s.storeReadAt = now.Add(s.retryPause())
+		s.cfg.Log.Warn("could not read the store", "error", r.err)
 		return
 	}
-	p.source = FromStore
+	s.source = FromStore
 }
 
-func (e answered) apply(p *progress, now time.Time) {
-	p.asking--
-	err := e.err
+func (r copyResult) apply(s *search, now time.Time) {
+	s.inFlight--
+	err := r.err
 	switch {
-	case err == nil && len(e.reply.Instead) > 0:
-		if !e.reply.Part || !p.partly { // who is named has what is still looked for
-			p.order = p.order.WithRedirect(e.reply.Instead)
+	case err == nil && len(r.reply.Instead) > 0:
+		if !r.reply.Part || !s.havePart { // the peers in the reply have what is still missing
+			s.candidates = s.candidates.WithRedirect(r.reply.Instead)
 		}
-	case err == nil && e.reply.Part:
-		if err = p.takePart(e.reply, now); err == nil {
-			p.askAt = now
+	case err == nil && r.reply.Part:
+		if err = s.applyPart(r.reply, now); err == nil {
+			s.askAt = now
 			return
 		}
 	case err == nil:
-		err = p.take(e.reply, now)
+		err = s.applyCopy(r.reply, now)
 	}
-	p.askAt = now // another balancer may be asked at once
+	s.askAt = now // the next candidate may be asked at once
 	if err != nil {
-		p.cfg.Log.Debug("no copy", "peer", e.peer.Addr, "error", err)
+		s.cfg.Log.Debug("no copy from peer", "peer", r.peer.Addr, "error", err)
 		return
 	}
-	p.source = e.peer.Addr
+	s.source = r.peer.Addr
 }
 
-// takePart brings a part into force, after which a copy of everything is asked for, of whom
-// ever was asked for the part as well.
-func (p *progress) takePart(reply CopyReply, now time.Time) error {
+// applyPart applies a part, and begins to look for a complete copy. The candidates start afresh, so
+// that peers that were asked for the part may be asked again at once.
+func (s *search) applyPart(reply CopyReply, now time.Time) error {
 	if len(reply.Packed) == 0 {
 		return errNoCopy
 	}
-	if p.partly {
-		return nil // another one came first
+	if s.havePart {
+		return nil // another part arrived first
 	}
 	c := Copy{Packed: reply.Packed}
-	p.cfg.Giver.KeepPart(c, now)
-	runtime.Gosched() // as in take
+	s.cfg.Giver.KeepPart(c, now)
+	runtime.Gosched() // as in applyCopy
 	records, err := c.Unpack()
 	if err != nil {
 		return err
 	}
-	p.cfg.State.ApplyPart(records)
-	p.cfg.Log.Info("part of a first copy in force", "records", len(records))
-	p.partly = true
-	p.lookAt = latest(p.lookAt, now.Add(p.lookEvery()))
-	p.readAt = latest(p.readAt, now.Add(p.opts.ReadAfterPart+time.Duration(p.random*float64(p.opts.ReadSpread))))
-	p.order = NewOrder(p.cfg.Self, p.cfg.Seeds, rand.Uint64(), p.opts.AskAgainAfter).WithRelays(p.cfg.State.Relays())
+	s.cfg.State.ApplyPart(records)
+	s.cfg.Log.Info("part of a first copy in force", "records", len(records))
+	s.havePart = true
+	s.registrationsAt = latest(s.registrationsAt, now.Add(s.registrationsInterval()))
+	s.storeReadAt = latest(s.storeReadAt, now.Add(s.opts.ReadAfterPart+time.Duration(s.random*float64(s.opts.ReadSpread))))
+	s.candidates = NewCandidates(s.cfg.Self, s.cfg.Seeds, rand.Uint64(), s.opts.AskAgainAfter).WithRelays(s.cfg.State.Relays())
 	return nil
 }
 
-// latest returns the later one of two times.
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -245,18 +250,18 @@
 	return b
 }
 
-// take brings a copy into force. Others may have it before it is decoded here.
-func (p *progress) take(reply CopyReply, now time.Time) error {
+// applyCopy applies a complete copy. Other balancers may receive it before it is decoded here.
+func (s *search) applyCopy(reply CopyReply, now time.Time) error {
 	if len(reply.Packed) == 0 {
 		return errNoCopy
 	}
 	c := Copy{At: reply.At, Packed: reply.Packed}
-	p.cfg.Giver.Keep(c, now)
-	runtime.Gosched() // whoever waits for the copy has it before it is decoded here
+	s.cfg.Giver.Keep(c, now)
+	runtime.Gosched() // lets waiting requests get the packed copy before it is decoded here
 	records, err := c.Unpack()
 	if err != nil {
 		return err
 	}
-	p.cfg.State.Apply(records, c.At)
+	s.cfg.State.Apply(records, c.At)
 	return nil
 }
--- a/bootstrap/rules.go
+++ b/bootstrap/rules.go
@@ -5,175 +5,174 @@
 	"time"
 )
 
-// The rules of handing a first copy on, as functions of their arguments.
+// The rules by which first copies spread, as functions of their arguments alone.
 
 const (
-	// givingTime is of how long its link a balancer gives to copies for others within
-	// recipientsFor; whoever comes later is sent on. Wide links give more copies than narrow ones.
-	givingTime = 100 * time.Millisecond
-	// unknownFanOut is to how many others a balancer gives its copy whose link is not known, and
-	// fewest and most bound the number for any link: with one only, the copies would go along a
-	// chain.
-	unknownFanOut = 8
-	fewestGiven   = 2
-	mostGiven     = 64
-	// recipientsFor is how long those that were given a copy are remembered: a fleet that starts
-	// at once has its copies well within it.
-	recipientsFor = time.Second
-	// alternatives is how many recipients are named to whoever is sent on: one may be gone.
-	alternatives = 2
+	// linkTimeBudget is how much time of its link a balancer spends on sending copies within
+	// recipientTTL; later requests are redirected. Faster links therefore send more copies.
+	linkTimeBudget = 100 * time.Millisecond
+	// defaultFanOut is the number of balancers that a balancer with an unknown link rate sends its copy
+	// to. minFanOut and maxFanOut bound the number for known rates; with a fan-out of one, the copies
+	// would spread along a chain.
+	defaultFanOut = 8
+	minFanOut     = 2
+	maxFanOut     = 64
+	// recipientTTL is how long the recipients of a copy are remembered. A fleet whose balancers start
+	// together has its copies well within it.
+	recipientTTL = time.Second
+	// redirectAddrs is the number of recipients named in a redirect; one of them may be gone.
+	redirectAddrs = 2
 )
 
-// fanOut returns to how many others a balancer gives copies of a size, in bytes, at the
-// rate of its link, in bytes a second; 0 where that is not known.
+// fanOut returns the number of balancers to send a copy of size bytes to, over a link with a rate in
+// bytes per second; 0 means that the rate is unknown.
 func fanOut(size int, rate float64) int {
 	if rate <= 0 || size <= 0 {
-		return unknownFanOut
+		return defaultFanOut
 	}
-	return max(fewestGiven, min(mostGiven, int(rate*givingTime.Seconds())/size))
+	return max(minFanOut, min(maxFanOut, int(rate*linkTimeBudget.Seconds())/size))
 }
 
-// Recipients are the balancers that were given a copy lately. It is an immutable
-// value; the zero value is empty.
+// Recipients are the balancers that were sent a copy within recipientTTL. It is an immutable value;
+// the zero value is empty.
 type Recipients struct {
-	given []recipient // in the order of the times
-	turn  int         // so many were sent on
+	entries   []recipient // oldest first
+	redirects int         // number of requests redirected so far
 }
 
 type recipient struct {
 	addr string
-	at   time.Time
+	at   time.Time // when the copy was sent
 }
 
-// WithQuestion returns the recipients after a balancer asked for a copy, of which so many
-// are given at most, and where it is sent on to; nowhere means that it is given one.
-func (r Recipients) WithQuestion(addr string, most int, now time.Time) (next Recipients, instead []string) {
-	next.turn = r.turn
-	again := false
-	for _, known := range r.given {
-		if now.Sub(known.at) < recipientsFor {
-			next.given = append(next.given, known)
-			again = again || known.addr == addr
+// WithRequest returns the recipients after a request from the balancer at addr, and the addresses to
+// redirect it to. Without such addresses, the balancer is to be sent a copy. limit is the maximum
+// number of recipients.
+func (r Recipients) WithRequest(addr string, limit int, now time.Time) (next Recipients, instead []string) {
+	next.redirects = r.redirects
+	repeated := false
+	for _, entry := range r.entries {
+		if now.Sub(entry.at) < recipientTTL {
+			next.entries = append(next.entries, entry)
+			repeated = repeated || entry.addr == addr
 		}
 	}
 	switch {
-	case again: // its copy may have been lost on the way
+	case repeated: // the first copy may have been lost
 		return next, nil
-	case len(next.given) < most:
-		next.given = append(next.given, recipient{addr: addr, at: now})
+	case len(next.entries) < limit:
+		next.entries = append(next.entries, recipient{addr: addr, at: now})
 		return next, nil
 	}
-	for i := range min(alternatives, len(next.given)) {
-		instead = append(instead, next.given[(next.turn+i)%len(next.given)].addr)
+	for i := range min(redirectAddrs, len(next.entries)) {
+		instead = append(instead, next.entries[(next.redirects+i)%len(next.entries)].addr)
 	}
-	next.turn++
+	next.redirects++
 	return next, instead
 }
 
-// Order is whom a balancer that starts asks for a copy: those to whom it is sent on,
-// the relay of its own zone, the relays of others, the seeds of its settings. It is an
-// immutable value.
-type Order struct {
-	self  Peer
-	turn  uint64        // where the relays of other zones begin, so that balancers spread
-	again time.Duration // after which a balancer may be asked again
-	next  []Peer
-	seeds []Peer               // asked when nobody else is left, and again
-	asked map[string]time.Time // when a balancer was asked last
+// Candidates are the balancers that a starting balancer asks for a copy, in this order: those to which
+// it was redirected, the relay in its own zone, the relays in other zones, and the seeds from its
+// settings. It is an immutable value.
+type Candidates struct {
+	self       Peer
+	rotation   uint64        // first index among the relays of other zones, modulo their number; spreads the load
+	retryAfter time.Duration // time after which a balancer may be asked again
+	next       []Peer
+	seeds      []Peer               // asked, repeatedly, when no other candidate is left
+	lastAsked  map[string]time.Time // by address
 }
 
-// NewOrder returns an order of a balancer that knows nobody but its seeds. turn is a
-// random number.
-func NewOrder(self Peer, seeds []string, turn uint64, again time.Duration) Order {
-	o := Order{self: self, turn: turn, again: again}
+// NewCandidates returns the candidates of a balancer that knows only its seeds. rotation is a random
+// number; a balancer may be asked again after retryAfter.
+func NewCandidates(self Peer, seeds []string, rotation uint64, retryAfter time.Duration) Candidates {
+	c := Candidates{self: self, rotation: rotation, retryAfter: retryAfter}
 	var peers []Peer
 	for _, addr := range seeds {
 		peers = append(peers, Peer{Addr: addr})
 	}
-	o.seeds = rotated(o.distinct(peers), turn)
-	return o
+	c.seeds = rotated(c.distinct(peers), rotation)
+	return c
 }
 
-// rotated returns a list that begins at a place.
-func rotated(list []Peer, place uint64) []Peer {
+// rotated returns a copy of list rotated to begin at index offset modulo its length.
+func rotated(list []Peer, offset uint64) []Peer {
 	if len(list) == 0 {
 		return nil
 	}
-	first := int(place % uint64(len(list)))
+	first := int(offset % uint64(len(list)))
 	return slices.Concat(list[first:], list[:first])
 }
 
-// WithRelays returns the order with the registered relays behind those that are asked
-// anyway.
-func (o Order) WithRelays(relays []Peer) Order {
-	others := slices.DeleteFunc(slices.Clone(relays), func(p Peer) bool { return p.Zone == o.self.Zone })
-	own := slices.DeleteFunc(slices.Clone(relays), func(p Peer) bool { return p.Zone != o.self.Zone })
-	o.next = o.distinct(slices.Concat(o.next, own, rotated(others, o.turn)))
-	return o
+// WithRelays returns the candidates with the registered relays added behind those that are already
+// queued.
+func (c Candidates) WithRelays(relays []Peer) Candidates {
+	others := slices.DeleteFunc(slices.Clone(relays), func(p Peer) bool { return p.Zone == c.self.Zone })
+	own := slices.DeleteFunc(slices.Clone(relays), func(p Peer) bool { return p.Zone != c.self.Zone })
+	c.next = c.distinct(slices.Concat(c.next, own, rotated(others, c.rotation)))
+	return c
 }
 
-// WithRedirect returns the order with those first to whom another balancer sent this
-// one on.
-func (o Order) WithRedirect(addrs []string) Order {
+// WithRedirect returns the candidates with addrs first, to which another balancer redirected this one.
+func (c Candidates) WithRedirect(addrs []string) Candidates {
 	var first []Peer
 	for _, addr := range addrs {
 		first = append(first, Peer{Addr: addr})
 	}
-	o.next = o.distinct(slices.Concat(first, o.next))
-	return o
+	c.next = c.distinct(slices.Concat(first, c.next))
+	return c
 }
 
-// distinct keeps the first one of each address, and none of this balancer's own.
-func (o Order) distinct(peers []Peer) []Peer {
-	seen := map[string]bool{o.self.Addr: true}
+// distinct removes this balancer itself and all but the first of the peers with the same address. It
+// modifies peers.
+func (c Candidates) distinct(peers []Peer) []Peer {
+	seen := map[string]bool{c.self.Addr: true}
 	return slices.DeleteFunc(peers, func(p Peer) bool {
-		known := seen[p.Addr]
+		duplicate := seen[p.Addr]
 		seen[p.Addr] = true
-		return known
+		return duplicate
 	})
 }
 
-// WithNext returns the balancer to ask at now, and the order without it. One that was
-// asked a moment ago is passed over.
-func (o Order) WithNext(now time.Time) (Peer, Order, bool) {
-	for _, p := range slices.Concat(o.next, o.seeds) {
-		if at, ok := o.asked[p.Addr]; ok && now.Sub(at) < o.again {
+// Next returns the balancer to ask at now, and the candidates after that; false means that there is
+// none. It skips balancers that were asked less than retryAfter ago.
+func (c Candidates) Next(now time.Time) (Peer, Candidates, bool) {
+	for _, p := range slices.Concat(c.next, c.seeds) {
+		if at, ok := c.lastAsked[p.Addr]; ok && now.Sub(at) < c.retryAfter {
 			continue
 		}
-		asked := map[string]time.Time{p.Addr: now}
-		for addr, at := range o.asked {
+		lastAsked := map[string]time.Time{p.Addr: now}
+		for addr, at := range c.lastAsked {
 			if addr != p.Addr {
-				asked[addr] = at
+				lastAsked[addr] = at
 			}
 		}
-		o.asked = asked
-		o.next = slices.DeleteFunc(slices.Clone(o.next), func(q Peer) bool { return q.Addr == p.Addr })
-		return p, o, true
+		c.lastAsked = lastAsked
+		c.next = slices.DeleteFunc(slices.Clone(c.next), func(q Peer) bool { return q.Addr == p.Addr })
+		return p, c, true
 	}
-	return Peer{}, o, false
+	return Peer{}, c, false
 }
 
 const (
-	// referenceCores is the processor share, in cores, of a VM that leaves a duty to others for
-	// just the time given.
+	// referenceCores is the processor share, in cores, for which BySize returns its argument unchanged.
 	referenceCores = 0.2
-	// smallestCores bounds the time that a small VM leaves it to larger ones.
-	smallestCores = 0.1
-	// relaysFactor lengthens the wait while relays are known to ask: their copies are
-	// on the way, and each reading of everything delays them.
-	relaysFactor = 4
+	// minCores is the smallest processor share that BySize scales by; it bounds the delay of small VMs.
+	minCores = 0.1
+	// relaysKnownFactor lengthens the delay while relays are known: their copies are on the way, and
+	// each read of the whole store slows them down.
+	relaysKnownFactor = 4
 )
 
-// BySize returns how long a balancer with a processor share, in cores, leaves a duty to
-// others that a VM of referenceCores leaves to them for d: larger ones take it first.
+// BySize scales the delay d by a processor share, in cores, so that larger VMs are the first to do a
+// task that any balancer may do. For referenceCores it returns d.
 func BySize(d time.Duration, cores float64) time.Duration {
-	return time.Duration(float64(d) * referenceCores / max(cores, smallestCores))
+	return time.Duration(float64(d) * referenceCores / max(cores, minCores))
 }
 
-// ReadAfter returns how long after its start a balancer with a processor share, in
-// cores, reads the store itself, if no copy has come before. Those whom others ask first
-// do so at once: a registered relay, and where none is known, a seed. random is from 0
-// to 1.
+// ReadAfter returns how long after its start a balancer with a processor share of cores reads the
+// store itself if it has no copy by then. The balancers that others ask first read it at once: a
+// registered relay, or a seed if no relay is known. random is in [0, 1).
 func (o Options) ReadAfter(isRelay, isSeed, relaysKnown bool, random, cores float64) time.Duration {
 	if isRelay || isSeed && !relaysKnown {
 		return 0
@@ -182,5 +181,5 @@
 	if !relaysKnown {
 		return wait
 	}
-	return o.ReadSpread/2 + relaysFactor*wait
+	return o.ReadSpread/2 + relaysKnownFactor*wait
 }
--- a/bootstrap/rules_test.go
+++ b/bootstrap/rules_test.go
@@ -10,16 +10,16 @@
 	"gotest.tools/v3/assert"
 )
 
-var start = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-// TestOrder: those to whom a balancer is sent on come first, then the relay of the own
-// zone, then the others; each is asked once within the time.
-func TestOrder(t *testing.T) {
+// TestCandidates tests that redirects are asked first, then the relay of the balancer's own zone, then
+// the relays of other zones, each only once within the retry interval.
+func TestCandidates(t *testing.T) {
 	self := bootstrap.Peer{Addr: "self", Zone: "a"}
 	relays := []bootstrap.Peer{{Addr: "b", Zone: "b"}, {Addr: "c", Zone: "c"}, {Addr: "a", Zone: "a"}, self}
-	take := func(o bootstrap.Order, n int, now time.Time) (got []string, next bootstrap.Order) {
+	askUpTo := func(o bootstrap.Candidates, n int, now time.Time) (got []string, next bootstrap.Candidates) {
 		for range n {
-			peer, rest, ok := o.WithNext(now)
+			peer, rest, ok := o.Next(now)
 			if !ok {
 				break
 			}
@@ -27,29 +27,30 @@
 		}
 		return got, o
 	}
-	o := bootstrap.NewOrder(self, nil, 0, time.Second).WithRelays(relays)
-	got, _ := take(o, 9, start)
+	o := bootstrap.NewCandidates(self, nil, 0, time.Second).WithRelays(relays)
+	got, _ := askUpTo(o, 9, startTime)
 	assert.DeepEqual(t, got, []string{"a", "b", "c"})
-	got, _ = take(bootstrap.NewOrder(self, nil, 1, time.Second).WithRelays(relays), 9, start)
+	got, _ = askUpTo(bootstrap.NewCandidates(self, nil, 1, time.Second).WithRelays(relays), 9, startTime)
 	assert.DeepEqual(t, got, []string{"a", "c", "b"})
-	got, o = take(o, 1, start)
+	got, o = askUpTo(o, 1, startTime)
 	assert.DeepEqual(t, got, []string{"a"})
-	got, o = take(o.WithRedirect([]string{"x", "self", "y"}), 9, start)
+	got, o = askUpTo(o.WithRedirect([]string{"x", "self", "y"}), 9, startTime)
 	assert.DeepEqual(t, got, []string{"x", "y", "b", "c"})
 	o = o.WithRelays(relays)
-	got, _ = take(o, 9, start.Add(time.Second-1))
+	got, _ = askUpTo(o, 9, startTime.Add(time.Second-1))
 	assert.Equal(t, len(got), 0, "%v", got)
-	got, _ = take(o, 9, start.Add(time.Second))
+	got, _ = askUpTo(o, 9, startTime.Add(time.Second))
 	assert.DeepEqual(t, got, []string{"a", "b", "c"})
 }
 
-// TestSeeds are asked when nobody else is left, and again after a time.
+// TestSeeds tests that the seeds are asked when no other candidate is left, and again after the retry
+// interval.
 func TestSeeds(t *testing.T) {
-	o := bootstrap.NewOrder(bootstrap.Peer{Addr: "self", Zone: "a"}, []string{"s1", "self", "s2"}, 1, time.Second)
+	o := bootstrap.NewCandidates(bootstrap.Peer{Addr: "self", Zone: "a"}, []string{"s1", "self", "s2"}, 1, time.Second)
 	o = o.WithRelays([]bootstrap.Peer{{Addr: "a", Zone: "a"}, {Addr: "s1", Zone: "b"}})
 	var got []string
-	for now := start; len(got) < 6; now = now.Add(300 * time.Millisecond) {
-		peer, rest, ok := o.WithNext(now)
+	for now := startTime; len(got) < 6; now = now.Add(300 * time.Millisecond) {
+		peer, rest, ok := o.Next(now)
 		if o = rest; ok {
 			got = append(got, peer.Addr)
 		}
@@ -57,48 +58,48 @@
 	assert.DeepEqual(t, got, []string{"a", "s1", "s2", "s1", "s2", "s1"})
 }
 
-// TestRecipients: a few are given a copy, the others are sent on to these in turn, and
-// after a time new ones are given one.
+// TestRecipients tests that a limited number of balancers is sent a copy, that later requests are
+// redirected to these in turn, and that balancers are sent a copy again once recipientTTL has passed.
 func TestRecipients(t *testing.T) {
 	var r bootstrap.Recipients
 	var instead []string
-	given := map[string]bool{}
+	sent := map[string]bool{}
 	for i := range 8 {
 		addr := fmt.Sprint("given", i)
-		r, instead = r.WithQuestion(addr, 8, start)
+		r, instead = r.WithRequest(addr, 8, startTime)
 		assert.Equal(t, len(instead), 0)
-		given[addr] = true
+		sent[addr] = true
 	}
-	sentTo := map[string]int{}
+	redirects := map[string]int{}
 	for i := range 16 {
-		r, instead = r.WithQuestion(fmt.Sprint("late", i), 8, start.Add(time.Millisecond))
+		r, instead = r.WithRequest(fmt.Sprint("late", i), 8, startTime.Add(time.Millisecond))
 		assert.Equal(t, len(instead), 2)
-		assert.Assert(t, given[instead[0]] && given[instead[1]] && instead[0] != instead[1])
-		sentTo[instead[0]]++
+		assert.Assert(t, sent[instead[0]] && sent[instead[1]] && instead[0] != instead[1])
+		redirects[instead[0]]++
 	}
-	assert.Equal(t, len(sentTo), 8)
-	for addr, n := range sentTo {
+	assert.Equal(t, len(redirects), 8)
+	for addr, n := range redirects {
 		assert.Equal(t, n, 2, addr)
 	}
-	_, instead = r.WithQuestion("given3", 8, start.Add(time.Millisecond))
-	assert.Equal(t, len(instead), 0, "a copy may be lost on the way")
-	_, instead = r.WithQuestion("late1", 8, start.Add(time.Second))
+	_, instead = r.WithRequest("given3", 8, startTime.Add(time.Millisecond))
+	assert.Equal(t, len(instead), 0, "a recipient that asks again is sent a copy again, because the first may be lost")
+	_, instead = r.WithRequest("late1", 8, startTime.Add(time.Second))
 	assert.Equal(t, len(instead), 0)
 }
 
-// TestTreeIsShallow: how many steps the copies for a fleet's zone take grows with the
-// logarithm of its size, whatever the order in which balancers ask.
-func TestTreeIsShallow(t *testing.T) {
+// TestTreeDepthIsLogarithmic tests that the number of hops from the relay to the balancers of its zone
+// grows with the logarithm of their number.
+func TestTreeDepthIsLogarithmic(t *testing.T) {
 	for _, size := range []int{3, 30, 79, 300, 1210, 7257} {
-		books := map[string]bootstrap.Recipients{}
+		recipients := map[string]bootstrap.Recipients{}
 		depth := map[string]int{"relay": 0}
 		deepest := 0
 		for i := range size {
 			self := fmt.Sprint(i)
 			peer := "relay"
 			for {
-				next, instead := books[peer].WithQuestion(self, 8, start)
-				books[peer] = next
+				next, instead := recipients[peer].WithRequest(self, 8, startTime)
+				recipients[peer] = next
 				if len(instead) == 0 {
 					break
 				}
@@ -108,16 +109,16 @@
 			deepest = max(deepest, depth[self])
 		}
 		most := 1 + int(math.Ceil(math.Log(float64(size))/math.Log(8)))
-		assert.Assert(t, deepest <= most, "%d balancers: %d steps, at most %d", size, deepest, most)
+		assert.Assert(t, deepest <= most, "%d balancers: %d hops, want at most %d", size, deepest, most)
 	}
 }
 
-// TestReadAfter: a relay reads at once, larger balancers before smaller ones, and while
-// relays are known nobody else reads in the first half second.
+// TestReadAfter tests that a relay reads at once, that balancers with more cores read before those with
+// fewer, and that while relays are known no other balancer reads within the first half second.
 func TestReadAfter(t *testing.T) {
 	o := bootstrap.Options{ReadSpread: time.Second}
 	assert.Equal(t, o.ReadAfter(true, false, true, 0.9, 0.1), time.Duration(0))
-	assert.Equal(t, o.ReadAfter(false, true, false, 0.9, 0.1), time.Duration(0), "a seed is asked where no relay is known")
+	assert.Equal(t, o.ReadAfter(false, true, false, 0.9, 0.1), time.Duration(0), "a seed reads at once if no relay is known, because others ask it")
 	assert.Equal(t, o.ReadAfter(false, true, true, 0.5, 0.2), 2500*time.Millisecond)
 	assert.Equal(t, o.ReadAfter(false, false, false, 0.5, 0.2), 500*time.Millisecond)
 	assert.Equal(t, o.ReadAfter(false, false, false, 0.5, 0.8), 125*time.Millisecond)
