--- a/bootstrap/rules.go
+++ b/bootstrap/rules.go
@@ -40,6 +40,7 @@
 	redirects int         // number of requests redirected so far
 }
 
+// recipient is a balancer that was sent a copy.
 type recipient struct {
 	addr string
 	at   time.Time // when the copy was sent
