--- /dev/null
+++ b/bootstrap/search.go
@@ -0,0 +1,267 @@
+package bootstrap
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"runtime"
+	"slices"
+	"time"
+)
+
+// errNoCopy means that the balancer that was asked has no copy yet.
+var errNoCopy = errors.New("bootstrap: peer has no copy yet")
+
+// search is a search for a first copy. Its fields belong to the goroutine of Fetcher.Run; calls run
+// in goroutines of their own and send their results to it.
+type search struct {
+	*Fetcher
+	candidates           Candidates
+	random               float64   // in [0, 1); spreads the store reads of balancers that start together
+	registrationsAt      time.Time // next read of the registrations
+	readingRegistrations bool
+	registrationsRead    bool      // the registrations have been read at least once
+	storeReadAt          time.Time // next read of the store
+	readingStore         bool
+	askAt                time.Time // next request to a peer
+	inFlight             int       // requests without an answer
+	asked                int       // requests so far
+	havePart             bool      // a part has been applied, and a complete copy is still missing
+	source               string    // see Result.From
+	results              chan callResult
+}
+
+// callResult is the result of a call to the store or to a peer. apply updates the search with it.
+type callResult interface {
+	apply(s *search, now time.Time)
+}
+
+// registrationsResult is the result of Store.ReadRegistrations, storeResult that of Store.Read, and
+// copyResult that of Peers.Copy.
+type (
+	registrationsResult struct{ err error }
+	storeResult         struct{ err error }
+	copyResult          struct {
+		peer  Peer
+		reply CopyReply
+		err   error
+	}
+)
+
+// maxInFlight bounds the concurrent requests to peers until a part has been applied.
+const maxInFlight = 4
+
+// startDueCalls starts the calls that are due at now.
+func (s *search) startDueCalls(ctx context.Context, now time.Time) {
+	if !s.readingRegistrations && !now.Before(s.registrationsAt) {
+		s.readingRegistrations = true
+		go func() { s.send(ctx, registrationsResult{s.cfg.Store.ReadRegistrations(ctx)}) }()
+	}
+	if s.registrationsRead && !s.readingStore && !now.Before(s.storeReadAt) {
+		s.readingStore = true
+		go func() { s.send(ctx, storeResult{s.cfg.Store.Read(ctx)}) }()
+	}
+	if s.inFlight < s.maxInFlight() && !now.Before(s.askAt) {
+		s.askNext(ctx, now)
+	}
+}
+
+// askNext requests a copy from the next candidate, if there is one.
+func (s *search) askNext(ctx context.Context, now time.Time) {
+	peer, candidates, ok := s.candidates.Next(now)
+	timing := s.timing()
+	s.askAt = now.Add(timing.nextAfter)
+	if !ok {
+		return
+	}
+	s.candidates = candidates
+	s.inFlight++
+	s.asked++
+	args := CopyArgs{Addr: s.cfg.Self.Addr, Wait: timing.wait, Part: !s.havePart}
+	go func() {
+		ctx, cancel := context.WithTimeout(ctx, timing.timeout)
+		defer cancel()
+		reply, err := s.cfg.Peers.Copy(ctx, peer.Addr, args)
+		s.send(ctx, copyResult{peer: peer, reply: reply, err: err})
+	}()
+}
+
+// timing holds the delay until the next peer is asked as well, how long the peer may hold the
+// request, and the timeout of the request.
+type timing struct{ nextAfter, wait, timeout time.Duration }
+
+// timing returns the timing of the next request. Once a part has been applied, peers are asked one
+// after the other, the relay in this zone first. With the short delays of the first phase, relays of
+// other zones were asked while the relay in this zone was still reading the store, and each of them
+// sent a copy.
+func (s *search) timing() timing {
+	if s.havePart {
+		return timing{nextAfter: s.opts.ReadAfterPart / 2, wait: s.opts.ReadAfterPart / 2, timeout: s.opts.ReadAfterPart}
+	}
+	return timing{nextAfter: s.opts.AskNextAfter, wait: s.opts.WaitAtPeer, timeout: s.opts.AskTimeout}
+}
+
+// maxInFlight returns the maximum number of concurrent requests to peers, which is lower once a part
+// has been applied.
+func (s *search) maxInFlight() int {
+	if s.havePart {
+		return 2
+	}
+	return maxInFlight
+}
+
+// send passes a result to the goroutine of Fetcher.Run, unless the search is over.
+func (s *search) send(ctx context.Context, r callResult) {
+	select {
+	case s.results <- r:
+	case <-ctx.Done():
+	}
+}
+
+// awaitResult waits for the result of a call and applies it. It returns earlier if a call is due or
+// ctx ends.
+func (s *search) awaitResult(ctx context.Context, now time.Time) {
+	timer := time.NewTimer(s.untilNextCall(now))
+	defer timer.Stop()
+	select {
+	case r := <-s.results:
+		r.apply(s, time.Now())
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
+
+// untilNextCall returns the time until the next call is due, at least 1 ms.
+func (s *search) untilNextCall(now time.Time) time.Duration {
+	next := s.askAt
+	if !s.readingRegistrations && s.registrationsAt.Before(next) {
+		next = s.registrationsAt
+	}
+	if s.registrationsRead && !s.readingStore && s.storeReadAt.Before(next) {
+		next = s.storeReadAt
+	}
+	return max(next.Sub(now), time.Millisecond)
+}
+
+// retryPause returns a random pause after a failed call to the store, with a mean of
+// Options.RetryPause.
+func (s *search) retryPause() time.Duration {
+	return s.opts.RetryPause/2 + rand.N(s.opts.RetryPause)
+}
+
+func (r registrationsResult) apply(s *search, now time.Time) {
+	s.readingRegistrations = false
+	if r.err != nil {
+		s.registrationsAt = now.Add(s.retryPause())
+		s.askAt = now
+		s.cfg.Log.Warn("relays not read", "error", r.err)
+		return
+	}
+	s.registrationsAt = now.Add(s.registrationsInterval())
+	relays := s.cfg.State.Relays()
+	first := !s.registrationsRead
+	s.registrationsRead = true
+	s.candidates = s.candidates.WithRelays(relays)
+	if first {
+		isSeed := slices.Contains(s.cfg.Seeds, s.cfg.Self.Addr)
+		s.storeReadAt = now.Add(s.opts.ReadAfter(isRelay(relays, s.cfg.Self), isSeed, len(relays) > 0, s.random, s.cfg.Cores))
+		s.askAt = now
+	}
+}
+
+// registrationsInterval returns the interval between reads of the registrations. It is longer once a
+// part has been applied, because the part contains the registrations.
+func (s *search) registrationsInterval() time.Duration {
+	if s.havePart {
+		return s.opts.ReadAfterPart
+	}
+	return s.opts.LookEvery
+}
+
+// isRelay reports whether self is one of the registered relays.
+func isRelay(relays []Peer, self Peer) bool {
+	return slices.ContainsFunc(relays, func(r Peer) bool { return r.Addr == self.Addr })
+}
+
+func (r storeResult) apply(s *search, now time.Time) {
+	s.readingStore = false
+	if r.err != nil {
+		s.storeReadAt = now.Add(s.retryPause())
+		s.cfg.Log.Warn("could not read the store", "error", r.err)
+		return
+	}
+	s.source = FromStore
+}
+
+func (r copyResult) apply(s *search, now time.Time) {
+	s.inFlight--
+	err := r.err
+	switch {
+	case err == nil && len(r.reply.Instead) > 0:
+		if !r.reply.Part || !s.havePart { // the peers in the reply have what is still missing
+			s.candidates = s.candidates.WithRedirect(r.reply.Instead)
+		}
+	case err == nil && r.reply.Part:
+		if err = s.applyPart(r.reply, now); err == nil {
+			s.askAt = now
+			return
+		}
+	case err == nil:
+		err = s.applyCopy(r.reply, now)
+	}
+	s.askAt = now // the next candidate may be asked at once
+	if err != nil {
+		s.cfg.Log.Debug("no copy from peer", "peer", r.peer.Addr, "error", err)
+		return
+	}
+	s.source = r.peer.Addr
+}
+
+// applyPart applies a part, and begins to look for a complete copy. The candidates start afresh, so
+// that peers that were asked for the part may be asked again at once.
+func (s *search) applyPart(reply CopyReply, now time.Time) error {
+	if len(reply.Packed) == 0 {
+		return errNoCopy
+	}
+	if s.havePart {
+		return nil // another part arrived first
+	}
+	c := Copy{Packed: reply.Packed}
+	s.cfg.Giver.KeepPart(c, now)
+	runtime.Gosched() // as in applyCopy
+	records, err := c.Unpack()
+	if err != nil {
+		return err
+	}
+	s.cfg.State.ApplyPart(records)
+	s.cfg.Log.Info("part of a first copy in force", "records", len(records))
+	s.havePart = true
+	s.registrationsAt = latest(s.registrationsAt, now.Add(s.registrationsInterval()))
+	s.storeReadAt = latest(s.storeReadAt, now.Add(s.opts.ReadAfterPart+time.Duration(s.random*float64(s.opts.ReadSpread))))
+	s.candidates = NewCandidates(s.cfg.Self, s.cfg.Seeds, rand.Uint64(), s.opts.AskAgainAfter).WithRelays(s.cfg.State.Relays())
+	return nil
+}
+
+// latest returns the later of two times.
+func latest(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
+	}
+	return b
+}
+
+// applyCopy applies a complete copy. Other balancers may receive it before it is decoded here.
+func (s *search) applyCopy(reply CopyReply, now time.Time) error {
+	if len(reply.Packed) == 0 {
+		return errNoCopy
+	}
+	c := Copy{At: reply.At, Packed: reply.Packed}
+	s.cfg.Giver.Keep(c, now)
+	runtime.Gosched() // lets waiting requests get the packed copy before it is decoded here
+	records, err := c.Unpack()
+	if err != nil {
+		return err
+	}
+	s.cfg.State.Apply(records, c.At)
+	return nil
+}
