--- a/access/access.go
+++ b/access/access.go
@@ -2,9 +2,9 @@
 //
 // A Table holds the teams and keys of one version of the shared configuration. It stores salted
 // digests instead of keys: memory, log lines and traces of a balancer reveal no key, and the time of
-// a look-up tells nothing about the keys. Bearer reads the key from the headers of a request. Judge
-// decides whether a request is admitted. Doubts remembers unknown keys, because a balancer may learn
-// of a new key later than its caller does.
+// a look-up tells nothing about the keys. BearerToken reads the key from the headers of a request.
+// Decide decides whether a request is admitted. UnknownKeys remembers unknown keys, because a
+// balancer may learn of a new key later than its caller does.
 //
 // The package reads no clock and depends only on the configuration. Each process draws a random
 // salt, so that digests of two processes cannot be compared.
@@ -12,8 +12,8 @@
 // # Usage
 //
 //	table, err := access.NewTable([]access.Team{{Name: "medina", Keys: []string{key}}})
-//	key, err := access.Bearer(r.Header)
-//	team, standing := table.Find(access.DigestOf(key))
+//	key, err := access.BearerToken(r.Header)
+//	team, state := table.Find(access.DigestOf(key))
 package access
 
 import (
@@ -59,24 +59,24 @@
 // String returns the first loggedBytes of the digest in hexadecimal, for logs.
 func (d Digest) String() string { return hex.EncodeToString(d[:loggedBytes]) }
 
-// Standing is the state of a key in a Table.
-type Standing uint8
+// KeyState is the state of a key in a Table.
+type KeyState uint8
 
 const (
 	// Unknown keys were in no version of the configuration that this process has used.
-	Unknown Standing = iota
-	// Held keys belong to a team.
-	Held
-	// Withdrawn keys belonged to a team in an earlier version, and belong to none now.
-	Withdrawn
+	Unknown KeyState = iota
+	// Valid keys belong to a team.
+	Valid
+	// Revoked keys belonged to a team in an earlier version, and belong to none now.
+	Revoked
 )
 
 // Table holds the teams and keys of one version of the configuration. It is an immutable value; nil
 // stands for a configuration without teams, under which callers need no key.
 type Table struct {
-	teams     map[string]Team     // by name, without their keys
-	byKey     map[Digest]string   // names of teams
-	withdrawn map[Digest]struct{} // bounded by maxWithdrawn
+	teams   map[string]Team     // by name, without their keys
+	byKey   map[Digest]string   // names of teams
+	revoked map[Digest]struct{} // bounded by maxRevoked
 }
 
 // NewTable returns the table of the teams; nil if there are none. It returns an error that lists all
@@ -139,41 +139,41 @@
 	return text != "" && !strings.ContainsFunc(text, func(c rune) bool { return c <= ' ' || c > '~' })
 }
 
-// maxWithdrawn limits how many withdrawn keys are remembered, at 16 bytes each. Once a table has as
-// many, its successor forgets them and remembers only those withdrawn since.
-const maxWithdrawn = 1 << 16
+// maxRevoked limits how many revoked keys are remembered, at 16 bytes each. Once a table has as
+// many, its successor forgets them and remembers only those revoked since.
+const maxRevoked = 1 << 16
 
-// After returns the table that also remembers which keys of the previous table, and of those before
-// it, belong to no team any more.
-func (t *Table) After(before *Table) *Table {
+// WithHistory returns the table that also remembers which keys of the previous table, and of those
+// before it, belong to no team any more.
+func (t *Table) WithHistory(before *Table) *Table {
 	if t == nil || before == nil {
 		return t
 	}
 	next := *t
-	next.withdrawn = map[Digest]struct{}{}
-	if len(before.withdrawn) < maxWithdrawn {
-		maps.Copy(next.withdrawn, before.withdrawn)
+	next.revoked = map[Digest]struct{}{}
+	if len(before.revoked) < maxRevoked {
+		maps.Copy(next.revoked, before.revoked)
 	}
 	for d := range before.byKey {
-		next.withdrawn[d] = struct{}{}
+		next.revoked[d] = struct{}{}
 	}
 	for d := range t.byKey {
-		delete(next.withdrawn, d)
+		delete(next.revoked, d)
 	}
 	return &next
 }
 
-// Find returns the team of a key, and the standing of the key; the team is empty unless the key is
-// Held.
-func (t *Table) Find(d Digest) (Team, Standing) {
+// Find returns the team of a key, and the state of the key; the team is empty unless the key is
+// Valid.
+func (t *Table) Find(d Digest) (Team, KeyState) {
 	if t == nil {
 		return Team{}, Unknown
 	}
 	if name, ok := t.byKey[d]; ok {
-		return t.teams[name], Held
+		return t.teams[name], Valid
 	}
-	if _, ok := t.withdrawn[d]; ok {
-		return Team{}, Withdrawn
+	if _, ok := t.revoked[d]; ok {
+		return Team{}, Revoked
 	}
 	return Team{}, Unknown
 }
@@ -187,8 +187,8 @@
 	return team, ok
 }
 
-// Keys returns the number of keys of a team.
-func (t *Table) Keys(name string) int {
+// KeyCount returns the number of keys of a team.
+func (t *Table) KeyCount(name string) int {
 	if t == nil {
 		return 0
 	}
@@ -201,16 +201,16 @@
 	return n
 }
 
-// Len returns the numbers of teams and of their keys.
-func (t *Table) Len() (teams, keys int) {
+// Counts returns the numbers of teams and of their keys.
+func (t *Table) Counts() (teams, keys int) {
 	if t == nil {
 		return 0, 0
 	}
 	return len(t.teams), len(t.byKey)
 }
 
-// All returns the teams in no particular order, without their keys.
-func (t *Table) All() []Team {
+// Teams returns the teams in no particular order, without their keys.
+func (t *Table) Teams() []Team {
 	if t == nil {
 		return nil
 	}
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -18,37 +18,37 @@
 	return tbl
 }
 
-func find(tbl *access.Table, key string) (string, access.Standing) {
-	team, standing := tbl.Find(access.DigestOf(key))
-	return team.Name, standing
+func find(tbl *access.Table, key string) (string, access.KeyState) {
+	team, state := tbl.Find(access.DigestOf(key))
+	return team.Name, state
 }
 
-// TestKeyStandingAcrossVersions checks that a withdrawn key stays known as such in all later
+// TestKeyStateAcrossVersions checks that a revoked key stays known as such in all later
 // versions, until a team holds it again.
-func TestKeyStandingAcrossVersions(t *testing.T) {
+func TestKeyStateAcrossVersions(t *testing.T) {
 	first := table(t, access.Team{Name: "a", Keys: []string{"k1", "k2"}}, access.Team{Name: "b", Keys: []string{"k3"}})
-	second := table(t, access.Team{Name: "a", Keys: []string{"k2"}}, access.Team{Name: "b", Keys: []string{"k3", "k4"}}).After(first)
-	third := table(t, access.Team{Name: "b", Keys: []string{"k1"}}).After(second)
+	second := table(t, access.Team{Name: "a", Keys: []string{"k2"}}, access.Team{Name: "b", Keys: []string{"k3", "k4"}}).WithHistory(first)
+	third := table(t, access.Team{Name: "b", Keys: []string{"k1"}}).WithHistory(second)
 	cases := []struct {
-		tbl      *access.Table
-		key      string
-		team     string
-		standing access.Standing
+		tbl   *access.Table
+		key   string
+		team  string
+		state access.KeyState
 	}{
-		{first, "k1", "a", access.Held},
+		{first, "k1", "a", access.Valid},
 		{first, "k4", "", access.Unknown},
-		{second, "k1", "", access.Withdrawn},
-		{second, "k2", "a", access.Held},
-		{second, "k4", "b", access.Held},
-		{third, "k1", "b", access.Held},
-		{third, "k3", "", access.Withdrawn},
+		{second, "k1", "", access.Revoked},
+		{second, "k2", "a", access.Valid},
+		{second, "k4", "b", access.Valid},
+		{third, "k1", "b", access.Valid},
+		{third, "k3", "", access.Revoked},
 		{third, "never", "", access.Unknown},
 		{nil, "k1", "", access.Unknown},
 	}
 	for i, c := range cases {
-		team, standing := find(c.tbl, c.key)
+		team, state := find(c.tbl, c.key)
 		assert.Equal(t, team, c.team, "case %d", i)
-		assert.Equal(t, standing, c.standing, "case %d", i)
+		assert.Equal(t, state, c.state, "case %d", i)
 	}
 }
 
@@ -63,7 +63,7 @@
 		teams = append(teams, team)
 	}
 	tbl := table(t, teams...)
-	n, keys := tbl.Len()
+	n, keys := tbl.Counts()
 	assert.Assert(t, n == 100 && keys == 10000)
 	for _, team := range teams {
 		for _, key := range team.Keys {
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestBearer checks which values of the Authorization header are accepted.
-func TestBearer(t *testing.T) {
+// TestBearerToken checks which values of the Authorization header are accepted.
+func TestBearerToken(t *testing.T) {
 	cases := []struct {
 		values []string
 		key    string
@@ -100,47 +100,47 @@
 		{[]string{"Bearer " + strings.Repeat("a", 1<<16)}, "", access.ErrMalformed},
 	}
 	for _, c := range cases {
-		key, err := access.Bearer(http.Header{"Authorization": c.values})
+		key, err := access.BearerToken(http.Header{"Authorization": c.values})
 		assert.Equal(t, key, c.key, "%.40q", c.values)
 		assert.Equal(t, err, c.err, "%.40q", c.values)
 	}
 }
 
-// TestJudge checks that an unknown key is denied only once it is certain that no team holds it.
-func TestJudge(t *testing.T) {
+// TestDecide checks that an unknown key is denied only once it is certain that no team holds it.
+func TestDecide(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	const within = 2 * time.Second
 	cases := []struct {
-		standing access.Standing
-		ago      time.Duration
-		inTouch  bool
-		want     access.Verdict
+		state   access.KeyState
+		ago     time.Duration
+		inTouch bool
+		want    access.Verdict
 	}{
-		{access.Held, 0, false, access.Admit},
-		{access.Withdrawn, 0, true, access.Deny},
-		{access.Withdrawn, 0, false, access.Deny},
-		{access.Unknown, 0, true, access.ComeBack},
-		{access.Unknown, within - 1, true, access.ComeBack},
+		{access.Valid, 0, false, access.Admit},
+		{access.Revoked, 0, true, access.Deny},
+		{access.Revoked, 0, false, access.Deny},
+		{access.Unknown, 0, true, access.RetryLater},
+		{access.Unknown, within - 1, true, access.RetryLater},
 		{access.Unknown, within, true, access.Deny},
-		{access.Unknown, time.Hour, false, access.ComeBack},
+		{access.Unknown, time.Hour, false, access.RetryLater},
 	}
 	for i, c := range cases {
-		assert.Equal(t, access.Judge(c.standing, now.Add(-c.ago), within, c.inTouch, now), c.want, "case %d", i)
+		assert.Equal(t, access.Decide(c.state, now.Add(-c.ago), within, c.inTouch, now), c.want, "case %d", i)
 	}
 }
 
-// TestDoubtsAreBounded checks that the time at which an unknown key was first sent is remembered, and
-// is forgotten once too many unknown keys are sent.
-func TestDoubtsAreBounded(t *testing.T) {
-	var d access.Doubts
+// TestUnknownKeysAreBounded checks that the time at which an unknown key was first sent is
+// remembered, and is forgotten once too many unknown keys are sent.
+func TestUnknownKeysAreBounded(t *testing.T) {
+	var d access.UnknownKeys
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	first := access.DigestOf("first")
-	assert.Equal(t, d.Since(first, now), now)
-	assert.Equal(t, d.Since(first, now.Add(time.Second)), now)
+	assert.Equal(t, d.FirstSeen(first, now), now)
+	assert.Equal(t, d.FirstSeen(first, now.Add(time.Second)), now)
 	for i := range 10000 {
-		d.Since(access.DigestOf(fmt.Sprint(i)), now)
+		d.FirstSeen(access.DigestOf(fmt.Sprint(i)), now)
 	}
-	assert.Equal(t, d.Since(first, now.Add(time.Minute)), now.Add(time.Minute), "the key is forgotten after thousands of others")
+	assert.Equal(t, d.FirstSeen(first, now.Add(time.Minute)), now.Add(time.Minute), "the key is forgotten after thousands of others")
 }
 
 // TestDigestDoesNotRevealKey checks that a formatted digest does not contain the key.
@@ -150,8 +150,8 @@
 	assert.Assert(t, !strings.Contains(fmt.Sprintf("%v %+v %x", d, d, d), "key"))
 }
 
-// FuzzBearer checks that an accepted key has no spaces and no control characters.
-func FuzzBearer(f *testing.F) {
+// FuzzBearerToken checks that an accepted key has no spaces and no control characters.
+func FuzzBearerToken(f *testing.F) {
 	f.Add("Bearer abc", "")
 	f.Add("bearer \x00", "Basic a")
 	f.Fuzz(func(t *testing.T, one, two string) {
@@ -159,7 +159,7 @@
 		if two != "" {
 			h.Add("Authorization", two)
 		}
-		key, err := access.Bearer(h)
+		key, err := access.BearerToken(h)
 		if (err == nil) != (key != "") || strings.ContainsAny(key, " \t\r\n\x00") || two != "" && err == nil {
 			t.Fatalf("%q %v", key, err)
 		}
--- a/access/bearer.go
+++ b/access/bearer.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Header is the request header that carries a caller's key (RFC 6750).
-const Header = "Authorization"
+// AuthorizationHeader is the request header that carries a caller's key (RFC 6750).
+const AuthorizationHeader = "Authorization"
 
 // Challenge is the value of the header WWW-Authenticate in a response with status 401.
 const Challenge = "Bearer"
@@ -28,10 +28,10 @@
 	ErrMalformed = errors.New("what was sent is no key: 'Authorization: Bearer KEY' belongs here, once")
 )
 
-// Bearer returns the key that a request carries, or ErrNoKey or ErrMalformed. A request with two
-// Authorization headers is ambiguous, and malformed.
-func Bearer(h http.Header) (string, error) {
-	values := h.Values(Header)
+// BearerToken returns the key that a request carries, or ErrNoKey or ErrMalformed. A request with
+// two Authorization headers is ambiguous, and malformed.
+func BearerToken(h http.Header) (string, error) {
+	values := h.Values(AuthorizationHeader)
 	if len(values) == 0 {
 		return "", ErrNoKey
 	}
--- a/access/doubts.go
+++ b/access/doubts.go
@@ -10,16 +10,17 @@
 // is wrong.
 const maxUnknownKeys = 4096
 
-// Doubts remembers when each unknown key was first sent. The caller of a new key may use it before
-// this balancer has learned of it. Only once the delay of configuration changes has passed is it
-// certain that the key belongs to no team. The zero value is empty. It is safe for concurrent use.
-type Doubts struct {
+// UnknownKeys remembers when each unknown key was first sent. The caller of a new key may use it
+// before this balancer has learned of it. Only once the delay of configuration changes has passed
+// is it certain that the key belongs to no team. The zero value is empty. It is safe for concurrent
+// use.
+type UnknownKeys struct {
 	mu        sync.Mutex
 	firstSeen map[Digest]time.Time
 }
 
-// Since returns when an unknown key was first sent, and remembers now if it is the first time.
-func (d *Doubts) Since(key Digest, now time.Time) time.Time {
+// FirstSeen returns when an unknown key was first sent, and remembers now if it is the first time.
+func (d *UnknownKeys) FirstSeen(key Digest, now time.Time) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if at, ok := d.firstSeen[key]; ok {
@@ -40,24 +41,24 @@
 	Admit Verdict = iota
 	// Deny means that the key belongs to no team.
 	Deny
-	// ComeBack means that it is not yet known whether the key belongs to a team; the caller should
-	// retry.
-	ComeBack
+	// RetryLater means that it is not yet known whether the key belongs to a team; the caller
+	// should retry.
+	RetryLater
 )
 
-// Judge decides on a request with a key of standing s that was first sent at since. A configuration
+// Decide decides on a request with a key in state s that was first sent at since. A configuration
 // change takes at most the duration within to take effect. inTouch tells whether this balancer
 // receives configuration changes; one that does not cannot distinguish a new key from a wrong one.
-func Judge(s Standing, since time.Time, within time.Duration, inTouch bool, now time.Time) Verdict {
+func Decide(s KeyState, since time.Time, within time.Duration, inTouch bool, now time.Time) Verdict {
 	switch s {
-	case Held:
+	case Valid:
 		return Admit
-	case Withdrawn:
+	case Revoked:
 		return Deny
 	case Unknown:
 	}
 	if !inTouch || now.Sub(since) < within {
-		return ComeBack
+		return RetryLater
 	}
 	return Deny
 }
--- a/balancer/authenticate.go
+++ b/balancer/authenticate.go
@@ -37,7 +37,7 @@
 // checkKey admits a request by its key and sets the team. A public route needs no key: there a key
 // that a team holds sets the team, and any other key is ignored.
 func (b *Balancer) checkKey(x *exchange, table *access.Table, now time.Time) error {
-	key, err := access.Bearer(x.r.Header)
+	key, err := access.BearerToken(x.r.Header)
 	public := x.route.Kind.Public
 	switch {
 	case err != nil && public:
@@ -46,23 +46,23 @@
 		return refusal{reason: reason.KeyRefused, message: err.Error()}
 	}
 	digest := access.DigestOf(key)
-	team, standing := table.Find(digest)
-	if standing == access.Held {
+	team, state := table.Find(digest)
+	if state == access.Valid {
 		x.key, x.team = digest, team.Name
 		return nil
 	}
 	if public {
 		return nil
 	}
-	return b.keyRefusal(digest, standing, now)
+	return b.keyRefusal(digest, state, now)
 }
 
 // keyRefusal returns the refusal for a key that no team holds. A key that may have been added too
 // recently for this balancer to know gets a Retry-After.
-func (b *Balancer) keyRefusal(digest access.Digest, s access.Standing, now time.Time) error {
-	since := b.unknownKeys.Since(digest, now)
+func (b *Balancer) keyRefusal(digest access.Digest, s access.KeyState, now time.Time) error {
+	since := b.unknownKeys.FirstSeen(digest, now)
 	message := fmt.Sprintf("key with the salted digest %s", digest)
-	if access.Judge(s, since, b.cfg.KeysWithin, b.cfg.Access.InTouch(now), now) == access.ComeBack {
+	if access.Decide(s, since, b.cfg.KeysWithin, b.cfg.Access.InTouch(now), now) == access.RetryLater {
 		return refusal{reason: reason.KeyUnknown, message: message, retryAfter: b.cfg.KeysWithin}
 	}
 	return refusal{reason: reason.KeyRefused, message: message}
@@ -75,16 +75,16 @@
 	if x.team == "" {
 		return nil
 	}
-	team, standing := b.teams().Find(x.key)
+	team, state := b.teams().Find(x.key)
 	switch {
-	case standing == access.Held && team.Name == x.team:
+	case state == access.Valid && team.Name == x.team:
 		return nil
 	case x.route.Kind.Public:
 		x.team = team.Name // empty if no team holds the key any more
 		x.replaceKeyWithTeam(b.cfg.Policy.Dialect.Team)
 		return nil
 	}
-	return b.keyRefusal(x.key, access.Withdrawn, now)
+	return b.keyRefusal(x.key, access.Revoked, now)
 }
 
 // allowedRegions returns the regions that both the route and the team of the request allow.
@@ -115,7 +115,7 @@
 	if !x.teamsConfigured {
 		return
 	}
-	x.r.Header.Del(access.Header)
+	x.r.Header.Del(access.AuthorizationHeader)
 	if header == "" {
 		return
 	}
--- a/balancer/authenticate_test.go
+++ b/balancer/authenticate_test.go
@@ -36,7 +36,7 @@
 	assert.NilError(t, err)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.table = table.After(f.table)
+	f.table = table.WithHistory(f.table)
 }
 
 // fakeQuotas admits a fixed number of requests.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -135,7 +135,7 @@
 	clients     clients
 	retries     retryBudgets
 	timers      timers
-	unknownKeys access.Doubts // when keys that no team holds were first seen
+	unknownKeys access.UnknownKeys // when keys that no team holds were first seen
 }
 
 // New returns a Balancer.
--- a/directory/changes.go
+++ b/directory/changes.go
@@ -22,7 +22,7 @@
 		return c
 	}
 	next := *c
-	next.Teams = c.Teams.After(before.Teams)
+	next.Teams = c.Teams.WithHistory(before.Teams)
 	return &next
 }
 
--- a/server/teams.go
+++ b/server/teams.go
@@ -70,8 +70,8 @@
 	}
 	var list []TeamStatus
 	table := s.teams()
-	for _, team := range table.All() {
-		list = append(list, TeamStatus{Team: team.Name, Keys: table.Keys(team.Name), Priority: team.Priority, Limit: team.Quota})
+	for _, team := range table.Teams() {
+		list = append(list, TeamStatus{Team: team.Name, Keys: table.KeyCount(team.Name), Priority: team.Priority, Limit: team.Quota})
 	}
 	slices.SortFunc(list, func(a, b TeamStatus) int { return cmp.Compare(a.Team, b.Team) })
 	return list
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -109,7 +109,7 @@
 	req.Header.Set(dialect.RequestID, r.id)
 	req.Header.Set(dialect.Timeout, dialect.FormatTimeout(routeTimeout))
 	if r.key != "" {
-		req.Header.Set(access.Header, bearer+r.key)
+		req.Header.Set(access.AuthorizationHeader, bearer+r.key)
 	}
 	c.ledger.begin(r)
 	status := c.exchange(req, r, payload)
--- a/soak/pipelined.go
+++ b/soak/pipelined.go
@@ -64,7 +64,7 @@
 		fmt.Fprintf(&text, "GET %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %s\r\n",
 			r.path, host, dialect.RequestID, r.id, dialect.Timeout, dialect.FormatTimeout(routeTimeout))
 		if r.key != "" {
-			fmt.Fprintf(&text, "%s: %s%s\r\n", access.Header, bearer, r.key)
+			fmt.Fprintf(&text, "%s: %s%s\r\n", access.AuthorizationHeader, bearer, r.key)
 		}
 		text.WriteString("\r\n")
 		c.ledger.begin(r)
--- a/soak/teams_test.go
+++ b/soak/teams_test.go
@@ -73,7 +73,7 @@
 	}
 	r.Header.Set(dialect.Team, team)
 	if keyed {
-		r.Header.Set(access.Header, bearer+sent.key)
+		r.Header.Set(access.AuthorizationHeader, bearer+sent.key)
 	}
 	return r
 }
