--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -34,7 +34,7 @@
 			b.endTrial(x)
 			continue
 		}
-		b.cfg.Chooser.Hear(grant, a.report())
+		b.cfg.Chooser.ObserveResponse(grant, a.report())
 		return a, nil
 	}
 }
@@ -109,7 +109,7 @@
 		Deadline:      x.deadline,
 		Instance:      grant.Endpoint.VM,
 		BufferBytes:   b.cfg.Policy.BufferBytes,
-		Admitted:      func() bool { return b.cfg.Chooser.Admits(grant, time.Now()) },
+		Admitted:      func() bool { return b.cfg.Chooser.StillAccepts(grant, time.Now()) },
 		Informational: x.forwardInformational,
 	})
 	span.SetAttributes(attribute.String("verdict", a.result.Verdict.String()), attribute.String("reason", string(a.result.Reason)))
@@ -119,12 +119,12 @@
 
 // sendUpstream sends a request over a suitable connection. A non-repeatable request whose endpoint
 // has just answered a load probe reuses the connection of the probe if that has been idle for at
-// most Policy.ProvedAlive. Otherwise the client of the route sends the request, on a new connection
-// if it is non-repeatable and the policy has FreshConnections.
+// most Policy.MaxProbeConnectionAge. Otherwise the client of the route sends the request, on a new
+// connection if it is non-repeatable and the policy has FreshConnections.
 func (b *Balancer) sendUpstream(ctx context.Context, route tenant.Route, grant placement.Grant, r upstream.Request) upstream.Result {
 	if b.mayUseProbeConnection(route, grant.Choice) {
 		reused := r
-		reused.MostIdle = b.cfg.Policy.ProvedAlive
+		reused.MostIdle = b.cfg.Policy.MaxProbeConnectionAge
 		if result := b.cfg.Policy.Client.Send(ctx, reused); !result.Rested || !r.Body.Replayable() {
 			return result
 		}
@@ -136,7 +136,7 @@
 // its endpoint has just reported its load.
 func (b *Balancer) mayUseProbeConnection(route tenant.Route, c placement.Choice) bool {
 	p := b.cfg.Policy
-	return p.FreshConnections && p.Client != nil && !route.Kind.Repeatable && c.Age >= 0 && c.Age < p.ProvedAlive
+	return p.FreshConnections && p.Client != nil && !route.Kind.Repeatable && c.Age >= 0 && c.Age < p.MaxProbeConnectionAge
 }
 
 // forwardInformational forwards a 1xx response to the caller, except 100 and 101.
--- a/balancer/authenticate.go
+++ b/balancer/authenticate.go
@@ -62,8 +62,8 @@
 func (b *Balancer) keyRefusal(digest access.Digest, s access.KeyState, now time.Time) error {
 	since := b.unknownKeys.FirstSeen(digest, now)
 	message := fmt.Sprintf("key with the salted digest %s", digest)
-	if access.Decide(s, since, b.cfg.KeysWithin, b.cfg.Access.InTouch(now), now) == access.RetryLater {
-		return refusal{reason: reason.KeyUnknown, message: message, retryAfter: b.cfg.KeysWithin}
+	if access.Decide(s, since, b.cfg.KeyPropagationTime, b.cfg.Access.ReceivesChanges(now), now) == access.RetryLater {
+		return refusal{reason: reason.KeyUnknown, message: message, retryAfter: b.cfg.KeyPropagationTime}
 	}
 	return refusal{reason: reason.KeyRefused, message: message}
 }
@@ -129,7 +129,7 @@
 // quota limits what endpoints run.
 func (b *Balancer) chargeRetry(x *exchange, now time.Time) {
 	if b.cfg.Quotas != nil && x.team != "" && x.mayHaveRun {
-		b.cfg.Quotas.Repeat(x.team, now)
+		b.cfg.Quotas.CountRetry(x.team, now)
 	}
 }
 
@@ -142,13 +142,13 @@
 		if b.cfg.Quotas == nil || !ok || team.Quota.Unlimited() {
 			return next(ctx, x)
 		}
-		b.cfg.Quotas.Await(ctx, team.Name, team.Quota)
+		b.cfg.Quotas.AwaitSnapshot(ctx, team.Name, team.Quota)
 		if ok, after := b.cfg.Quotas.Take(team.Name, team.Quota, time.Now()); !ok {
 			return nil, refusal{reason: reason.QuotaExceeded, message: "team " + team.Name, retryAfter: after}
 		}
 		response, err := next(ctx, x)
 		if !x.mayHaveRun && !x.ran {
-			b.cfg.Quotas.Return(team.Name, time.Now())
+			b.cfg.Quotas.Refund(team.Name, time.Now())
 		}
 		return response, err
 	}
--- a/balancer/authenticate_test.go
+++ b/balancer/authenticate_test.go
@@ -28,7 +28,7 @@
 	return f.table
 }
 
-func (f *fakeTeams) InTouch(time.Time) bool { return !f.disconnected }
+func (f *fakeTeams) ReceivesChanges(time.Time) bool { return !f.disconnected }
 
 // setTeams replaces the teams.
 func (f *fakeTeams) setTeams(t assert.TestingT, teams ...access.Team) {
@@ -48,7 +48,7 @@
 	returnedTeams []string
 }
 
-func (f *fakeQuotas) Await(context.Context, string, quota.Limit) {}
+func (f *fakeQuotas) AwaitSnapshot(context.Context, string, quota.Limit) {}
 
 func (f *fakeQuotas) Take(team string, _ quota.Limit, _ time.Time) (bool, time.Duration) {
 	f.mu.Lock()
@@ -61,13 +61,13 @@
 	return true, 0
 }
 
-func (f *fakeQuotas) Repeat(team string, _ time.Time) {
+func (f *fakeQuotas) CountRetry(team string, _ time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.repeated = append(f.repeated, team)
 }
 
-func (f *fakeQuotas) Return(team string, _ time.Time) {
+func (f *fakeQuotas) Refund(team string, _ time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.left++
@@ -80,14 +80,14 @@
 	return len(f.returnedTeams)
 }
 
-const keysWithin = 300 * time.Millisecond
+const keyPropagationTime = 300 * time.Millisecond
 
 // newTeamHarness returns a harness whose configuration has teams.
 func newTeamHarness(t testingT, endpoints int) (*harness, *fakeTeams, *fakeQuotas) {
 	teams, quotas := &fakeTeams{}, &fakeQuotas{left: 1000}
 	teams.setTeams(t, access.Team{Name: "medina", Keys: []string{"key-m"}, Quota: quota.Limit{Rate: 1, Burst: 1}}, access.Team{Name: "tribunal", Keys: []string{"key-t"}})
 	b := newHarnessWith(t, endpoints, func(c *balancer.Config) {
-		c.Access, c.Quotas, c.KeysWithin = teams, quotas, keysWithin
+		c.Access, c.Quotas, c.KeyPropagationTime = teams, quotas, keyPropagationTime
 	})
 	return b, teams, quotas
 }
@@ -141,7 +141,7 @@
 	assert.Equal(t, wrong.reason, "LW1008")
 	teams.setTeams(t, access.Team{Name: "medina", Keys: []string{"key-m", "new"}})
 	assert.Equal(t, b.call(t, "GET", "/read", "k", "", bearer("new")).status, http.StatusOK)
-	time.Sleep(keysWithin)
+	time.Sleep(keyPropagationTime)
 	assert.Equal(t, b.call(t, "GET", "/read", "k", "", bearer("wrong")).status, http.StatusUnauthorized)
 	teams.disconnected = true
 	assert.Equal(t, b.call(t, "GET", "/read", "k", "", bearer("wrong")).reason, "LW1008", "a balancer without changes cannot tell a new key from a wrong one")
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -55,11 +55,11 @@
 	Ready() (ok bool, why string)
 	// Acquire chooses an endpoint, or returns a refusal.
 	Acquire(ctx context.Context, r placement.Request) (placement.Grant, *placement.Refusal)
-	// Admits reports whether the endpoint of a grant still accepts the request.
-	Admits(g placement.Grant, now time.Time) bool
-	// Hear records what a response reports about its endpoint. It is called before the response is
-	// forwarded.
-	Hear(g placement.Grant, r upstream.Report)
+	// StillAccepts reports whether the endpoint of a grant still accepts the request.
+	StillAccepts(g placement.Grant, now time.Time) bool
+	// ObserveResponse records what a response reports about its endpoint. It is called before the
+	// response is forwarded.
+	ObserveResponse(g placement.Grant, r upstream.Report)
 	// Complete reports the result of a granted request.
 	Complete(g placement.Grant, r placement.Result)
 }
@@ -83,22 +83,22 @@
 type Access interface {
 	// Teams returns the table of teams; nil if callers need no keys.
 	Teams() *access.Table
-	// InTouch reports whether this balancer receives configuration changes.
-	InTouch(now time.Time) bool
+	// ReceivesChanges reports whether this balancer receives configuration changes.
+	ReceivesChanges(now time.Time) bool
 }
 
 // Quotas limits the requests that each team sends through all balancers together.
 type Quotas interface {
-	// Await waits briefly for the usage counts of other balancers if they are not known well
-	// enough to admit the team's next request.
-	Await(ctx context.Context, team string, l quota.Limit)
+	// AwaitSnapshot waits briefly for the usage counts of other balancers if they are not known
+	// well enough to admit the team's next request.
+	AwaitSnapshot(ctx context.Context, team string, l quota.Limit)
 	// Take charges a request to a team's quota. If the quota is used up, ok is false and
 	// retryAfter is the time until it may admit a request again.
 	Take(team string, l quota.Limit, now time.Time) (ok bool, retryAfter time.Duration)
-	// Repeat charges a retry that follows an attempt which may have run.
-	Repeat(team string, now time.Time)
-	// Return refunds a request that no endpoint ran or may have run.
-	Return(team string, now time.Time)
+	// CountRetry charges a retry that follows an attempt which may have run.
+	CountRetry(team string, now time.Time)
+	// Refund returns the charge of a request that no endpoint ran or may have run.
+	Refund(team string, now time.Time)
 }
 
 // Config configures a Balancer.
@@ -109,14 +109,14 @@
 	Log     hclog.Logger
 	Metrics metrics.Registry
 	Tracing *telemetry.Tracing
-	// Requests writes the request log; nil for none.
-	Requests *telemetry.RequestLogger
+	// RequestLog writes the request log; nil for none.
+	RequestLog *telemetry.RequestLogger
 	// Quarantine restricts requests suspected of crashing endpoints; nil for none.
 	Quarantine Quarantine
 	// Access provides teams and keys; nil if callers need no keys.
 	Access Access
-	// KeysWithin is the time within which every balancer knows an added key.
-	KeysWithin time.Duration
+	// KeyPropagationTime is the time within which every balancer knows an added key.
+	KeyPropagationTime time.Duration
 	// Quotas limits the requests of teams; nil for no limit.
 	Quotas Quotas
 	// Suspensions detects suspensions of the VM; nil for none.
@@ -159,7 +159,7 @@
 	x := newExchange(w, r, b.requestID(r), time.Now())
 	x.suspendedFor = suspendedFor
 	x.place = pipeline.PlaceOf(r.Context())
-	x.log = b.cfg.Requests.Begin(x.id)
+	x.log = b.cfg.RequestLog.Begin(x.id)
 	ctx := b.cfg.Tracing.Propagator.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	defer b.finish(x) // also runs when a panic aborts the response
 	if _, err := b.chain(ctx, x); err != nil {
@@ -206,5 +206,5 @@
 // callers reconnect to another balancer.
 func (b *Balancer) Stop() { b.stopping.Store(true) }
 
-// WaitSessions waits until all upgraded connections have ended.
-func (b *Balancer) WaitSessions() { b.sessions.Wait() }
+// WaitUpgraded waits until all upgraded connections have ended.
+func (b *Balancer) WaitUpgraded() { b.sessions.Wait() }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -103,19 +103,19 @@
 	return placement.Grant{ID: r.ID, Service: r.Service, Endpoint: f.endpoints[0]}, nil
 }
 
-func (f *fakeChooser) Admits(g placement.Grant, _ time.Time) bool {
+func (f *fakeChooser) StillAccepts(g placement.Grant, _ time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !slices.Contains(f.withdrawn, g.Endpoint.VM)
 }
 
-func (f *fakeChooser) Hear(g placement.Grant, r upstream.Report) {
+func (f *fakeChooser) ObserveResponse(g placement.Grant, r upstream.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.reports = append(f.reports, endpointReport{g.Endpoint.VM, r})
 }
 
-// endpointReport is one call of Hear.
+// endpointReport is one call of ObserveResponse.
 type endpointReport struct {
 	vm     string
 	report upstream.Report
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -31,7 +31,7 @@
 	assert.NilError(b, err)
 	h := balancer.New(balancer.Config{
 		Chooser: chooser, Limits: settings.Limits{BodyBytes: 1 << 20, ReplayBytes: 1 << 14}, Log: hclog.NewNullLogger(),
-		Metrics: metrics.NewRegistry(), Tracing: tracing, Requests: telemetry.NewRequestLogger(io.Discard, 1000),
+		Metrics: metrics.NewRegistry(), Tracing: tracing, RequestLog: telemetry.NewRequestLogger(io.Discard, 1000),
 		Policy: platform.Policy(settings.Retries{}),
 	})
 	b.ReportAllocs()
--- a/balancer/pipelined_test.go
+++ b/balancer/pipelined_test.go
@@ -72,7 +72,7 @@
 	assert.NilError(t, err)
 	b.balancer = balancer.New(balancer.Config{
 		Chooser: chooser, Limits: settings.Limits{BodyBytes: 1 << 20, ReplayBytes: 1 << 14}, Log: hclog.NewNullLogger(),
-		Metrics: metrics.NewRegistry(), Tracing: tracing, Requests: telemetry.NewRequestLogger(&b.log, 1000),
+		Metrics: metrics.NewRegistry(), Tracing: tracing, RequestLog: telemetry.NewRequestLogger(&b.log, 1000),
 		Policy: platform.Policy(settings.Retries{}),
 	})
 	b.server = pipeline.New(&http.Server{Handler: b.balancer})
--- a/balancer/policy.go
+++ b/balancer/policy.go
@@ -18,14 +18,14 @@
 	// FreshConnections sends each non-repeatable request on a new connection. If a reused
 	// connection closes, it may be unknown whether the request ran.
 	FreshConnections bool
-	// ProvedAlive is an exception to FreshConnections: a non-repeatable request may reuse a
-	// connection of Client if the endpoint's load report is more recent than this and the connection
-	// has been idle for at most this long; 0 for never.
-	ProvedAlive time.Duration
-	// HideCaller keeps the caller's address out of the headers that endpoints get.
-	HideCaller bool
-	// AnyPath accepts paths with dot segments and forwards them unchanged.
-	AnyPath bool
+	// MaxProbeConnectionAge is an exception to FreshConnections: a non-repeatable request may reuse
+	// a connection of Client if the endpoint's load report is more recent than this and the
+	// connection has been idle for at most this long; 0 for never.
+	MaxProbeConnectionAge time.Duration
+	// HideCallerAddress keeps the caller's address out of the headers that endpoints get.
+	HideCallerAddress bool
+	// AllowDotSegments accepts paths with dot segments and forwards them unchanged.
+	AllowDotSegments bool
 	// Client sends the repeatable requests of all services; nil for a separate client for each
 	// service.
 	Client *upstream.Client
@@ -42,9 +42,9 @@
 	// RetryServerErrors retries a repeatable request after any response with status 500 or above,
 	// not only after 502, 503 and 504.
 	RetryServerErrors bool
-	// OwnRefusals replaces an endpoint's refusal by the balancer's own response, which carries
+	// ReplaceRefusals replaces an endpoint's refusal by the balancer's own response, which carries
 	// Retry-After.
-	OwnRefusals bool
+	ReplaceRefusals bool
 	// Retries limits retries in a sliding window; nil for a token bucket.
 	Retries *retry.WindowLimit
 }
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -93,7 +93,7 @@
 	policy.Retries = retries
 	h := balancer.New(balancer.Config{
 		Chooser: chooser, Limits: settings.Limits{BodyBytes: 1 << 20, ReplayBytes: 1 << 14}, Log: hclog.NewNullLogger(),
-		Metrics: metrics.NewRegistry(), Tracing: tracing, Requests: telemetry.NewRequestLogger(&b.log, rate),
+		Metrics: metrics.NewRegistry(), Tracing: tracing, RequestLog: telemetry.NewRequestLogger(&b.log, rate),
 		Policy: policy,
 	})
 	b.server = httptest.NewServer(h)
--- a/balancer/route.go
+++ b/balancer/route.go
@@ -27,7 +27,7 @@
 		if ok, why := b.cfg.Chooser.Ready(); !ok {
 			return nil, refusal{reason: reason.NotReady, message: why, retryAfter: notReadyRetryAfter}
 		}
-		if err := validateRequest(x.r, b.cfg.Policy.AnyPath); err != nil {
+		if err := validateRequest(x.r, b.cfg.Policy.AllowDotSegments); err != nil {
 			return nil, refusal{reason: reason.BadRequest, message: err.Error()}
 		}
 		host := x.r.Host
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -82,7 +82,7 @@
 func TestMayUseProbeConnection(t *testing.T) {
 	client := upstream.NewClient(upstream.Options{})
 	t.Cleanup(client.Close)
-	policy := Policy{FreshConnections: true, ProvedAlive: 50 * time.Millisecond, Client: client}
+	policy := Policy{FreshConnections: true, MaxProbeConnectionAge: 50 * time.Millisecond, Client: client}
 	nonRepeatableRoute, repeatableRoute := tenant.Route{Kind: &tenant.Kind{}}, tenant.Route{Kind: &tenant.Kind{Repeatable: true}}
 	for _, c := range []struct {
 		name   string
--- a/balancer/serve.go
+++ b/balancer/serve.go
@@ -52,7 +52,7 @@
 	if err := limitBody(x, b.cfg.Limits.BodyBytes); err != nil {
 		return err
 	}
-	prepareHeaders(x.r, !b.cfg.Policy.HideCaller)
+	prepareHeaders(x.r, !b.cfg.Policy.HideCallerAddress)
 	b.cfg.Tracing.Propagator.Inject(ctx, propagation.HeaderCarrier(x.r.Header))
 	x.body = upstream.NewBody(x.r.Body, b.cfg.Limits.ReplayBytes)
 	return readSmallBody(x, b.cfg.Limits.ReplayBytes)
@@ -103,12 +103,12 @@
 
 // giveUp ends a request without a successful attempt: it forwards the response of the last
 // attempt, or returns a refusal if there is none, or if it is an endpoint's refusal and the policy
-// has OwnRefusals.
+// has ReplaceRefusals.
 func (b *Balancer) giveUp(ctx context.Context, x *exchange, a *attempt) error {
 	res := &a.result
 	res.Verdict = combineVerdicts(res.Verdict, x.mayHaveRun)
 	retryAfter := retryAfterFailure(x)
-	if res.Response != nil && (res.Reason == "" || !b.cfg.Policy.OwnRefusals) {
+	if res.Response != nil && (res.Reason == "" || !b.cfg.Policy.ReplaceRefusals) {
 		if res.Reason != "" || res.Response.Header.Get("Retry-After") == "" {
 			// The endpoint's Retry-After in a refusal applies to this balancer; the caller may be
 			// served by other endpoints sooner.
--- a/coord/limit/fleet_test.go
+++ b/coord/limit/fleet_test.go
@@ -299,7 +299,7 @@
 	for i, a := range list {
 		times[i] = a.at
 	}
-	return window.Most(times, countWindow)
+	return window.MaxCount(times, countWindow)
 }
 
 // rate returns how many requests per second arrived between two times.
--- a/coord/quota/fleet_test.go
+++ b/coord/quota/fleet_test.go
@@ -133,7 +133,7 @@
 	f.calls++
 	r, original, relay := n.limiter.Report(f.Now()), n.limiter, f.relayOf(n.zone)
 	n.inFlight = true
-	done := func(a Answer, ok bool) {
+	done := func(a ReportAnswer, ok bool) {
 		if n.limiter != original {
 			return
 		}
@@ -147,7 +147,7 @@
 		f.reportIfDue(n)
 	}
 	if !f.delivered(n, relay) {
-		f.After(simTimeout, func() { done(Answer{}, false) })
+		f.After(simTimeout, func() { done(ReportAnswer{}, false) })
 		return
 	}
 	f.After(f.latency(), func() {
@@ -156,7 +156,7 @@
 		if f.delivered(relay, n) {
 			f.After(f.latency(), func() { done(a, true) })
 		} else {
-			f.After(simTimeout, func() { done(Answer{}, false) })
+			f.After(simTimeout, func() { done(ReportAnswer{}, false) })
 		}
 	})
 }
@@ -258,7 +258,7 @@
 	original := n.limiter
 	f.After(simQueueWait, func() {
 		if n.limiter == original && !n.down {
-			n.limiter.Return("team", f.Now())
+			n.limiter.Refund("team", f.Now())
 			f.reportIfDue(n)
 		}
 	})
@@ -273,7 +273,7 @@
 // the operators allow there: (rate x window + burst) x 1.1 + 20.
 func (f *fleet) worstRatio(l Limit) float64 {
 	const length = 5 * time.Second
-	return float64(window.Most(f.sent, length)) / ((l.Rate*length.Seconds()+l.Burst)*1.1 + 20)
+	return float64(window.MaxCount(f.sent, length)) / ((l.Rate*length.Seconds()+l.Burst)*1.1 + 20)
 }
 
 // refusedByOneBucket returns how many of all requests would have been refused by a single bucket that
--- a/coord/quota/limiter.go
+++ b/coord/quota/limiter.go
@@ -18,8 +18,8 @@
 // the relay concludes that the balancer has reported the difference to another relay.
 const returnedPrefix = "returned/"
 
-// Answer is a relay's answer to a report. Package gob sends the field names.
-type Answer struct {
+// ReportAnswer is a relay's answer to a report. Package gob sends the field names.
+type ReportAnswer struct {
 	Taken bool          // the receiver is a relay and has applied the report
 	Words []Snapshot    // snapshots of the buckets of the teams that the report named
 	Pause time.Duration // minimum interval between two reports of the sender
@@ -78,9 +78,9 @@
 	return true, 0
 }
 
-// Repeat counts a retry of an admitted request whose earlier attempt may have run. It takes a token
-// without a check.
-func (q *Limiter) Repeat(team string, now time.Time) {
+// CountRetry counts a retry of an admitted request whose earlier attempt may have run. It takes a
+// token without a check.
+func (q *Limiter) CountRetry(team string, now time.Time) {
 	a, ok := q.accounts[team]
 	if !ok {
 		return // the team has no quota
@@ -89,8 +89,8 @@
 	q.counter.Add(teamPrefix+team, 1, now)
 }
 
-// Return gives back the token of a request that was not sent.
-func (q *Limiter) Return(team string, now time.Time) {
+// Refund gives back the token of a request that was not sent.
+func (q *Limiter) Refund(team string, now time.Time) {
 	a, ok := q.accounts[team]
 	if !ok {
 		return // the team had no quota
@@ -212,7 +212,7 @@
 }
 
 // ReportAnswered applies a relay's answer to a report.
-func (q *Limiter) ReportAnswered(r tally.Report, answer Answer, now time.Time) {
+func (q *Limiter) ReportAnswered(r tally.Report, answer ReportAnswer, now time.Time) {
 	if !answer.Taken {
 		q.ReportFailed(now)
 		return
--- a/coord/quota/relay.go
+++ b/coord/quota/relay.go
@@ -21,7 +21,7 @@
 }
 
 // ZoneReportAnswered applies the answer from the relay of another zone.
-func (q *Limiter) ZoneReportAnswered(r tally.Report, answer Answer, now time.Time) {
+func (q *Limiter) ZoneReportAnswered(r tally.Report, answer ReportAnswer, now time.Time) {
 	if !answer.Taken {
 		return
 	}
@@ -55,14 +55,14 @@
 
 // HandleReport applies a report of another balancer and returns the answer, which is empty if this
 // balancer is not a relay. limitOf returns the configured quota of a team.
-func (q *Limiter) HandleReport(r tally.Report, limitOf func(team string) (Limit, bool), now time.Time) Answer {
+func (q *Limiter) HandleReport(r tally.Report, limitOf func(team string) (Limit, bool), now time.Time) ReportAnswer {
 	if !q.relay {
-		return Answer{}
+		return ReportAnswer{}
 	}
 	for _, change := range q.aggregator.Apply(r, now) {
 		q.applyChange(change, limitOf, now)
 	}
-	answer := Answer{Taken: true}
+	answer := ReportAnswer{Taken: true}
 	if r.Relay && !r.Wants {
 		return answer
 	}
--- a/coord/selection/warmup_test.go
+++ b/coord/selection/warmup_test.go
@@ -124,7 +124,7 @@
 
 // maxArrivalsPerSecond returns the highest number of arrivals within one second.
 func (e *coldEndpoint) maxArrivalsPerSecond() int {
-	return window.Most(e.arrivals, time.Second)
+	return window.MaxCount(e.arrivals, time.Second)
 }
 
 const (
--- a/coord/window/window.go
+++ b/coord/window/window.go
@@ -5,14 +5,14 @@
 //
 // # Usage
 //
-//	if float64(window.Most(arrivals, 4*time.Second)) > allowed { ... }
+//	if float64(window.MaxCount(arrivals, 4*time.Second)) > allowed { ... }
 package window
 
 import "time"
 
-// Most returns the highest number of events in any window of the given length. A window includes its
-// start and excludes its end. The events must be sorted.
-func Most(events []time.Time, length time.Duration) int {
+// MaxCount returns the highest number of events in any window of the given length. A window
+// includes its start and excludes its end. The events must be sorted.
+func MaxCount(events []time.Time, length time.Duration) int {
 	most, first := 0, 0
 	for i, at := range events {
 		for at.Sub(events[first]) >= length {
--- a/coord/window/window_test.go
+++ b/coord/window/window_test.go
@@ -28,6 +28,6 @@
 		for _, ms := range c.ms {
 			events = append(events, start.Add(time.Duration(ms)*time.Millisecond))
 		}
-		assert.Equal(t, window.Most(events, time.Second), c.want, name)
+		assert.Equal(t, window.MaxCount(events, time.Second), c.want, name)
 	}
 }
--- a/demo/limits.go
+++ b/demo/limits.go
@@ -57,7 +57,7 @@
 	}
 	known := arrivals[0].Add(limitKnown)
 	arrivals = slices.DeleteFunc(arrivals, func(at time.Time) bool { return at.Before(known) })
-	most := window.Most(arrivals, audit.LimitWindow)
+	most := window.MaxCount(arrivals, audit.LimitWindow)
 	if float64(most) <= audit.LimitAllows(limitPerSecond) {
 		return nil
 	}
--- a/direct/admission_model_test.go
+++ b/direct/admission_model_test.go
@@ -87,7 +87,7 @@
 	}
 	report := reportWith(w)
 	report.Ran = outcome == placement.Completed
-	m.Hear(g, report)
+	m.ObserveResponse(g, report)
 	m.mu.Lock()
 	if m.starts[incarnation.VM] == incarnation.Start {
 		m.leaving[incarnation] = m.leaving[incarnation] || w.Leaving
@@ -114,7 +114,7 @@
 		connectTime := time.Duration(m.rng.Int64N(int64(20 * time.Millisecond)))
 		m.mu.Unlock()
 		time.Sleep(connectTime)
-		if !m.Admits(g, time.Now()) {
+		if !m.StillAccepts(g, time.Now()) {
 			m.Complete(g, placement.Result{Outcome: placement.Unused})
 			continue
 		}
--- a/direct/admit.go
+++ b/direct/admit.go
@@ -11,8 +11,8 @@
 )
 
 // An endpoint is checked three times: whether it may be chosen for a request (Chooser.admission),
-// whether it may still get the request when that is about to be written (Admits), and whether it
-// may be probed by another package (Willing). The rules are in coord/admission.
+// whether it may still get the request when that is about to be written (StillAccepts), and whether
+// it may be probed by another package (Willing). The rules are in coord/admission.
 
 // excludes reports whether the request must not go to an endpoint: it has already been sent there,
 // or this start of the endpoint ended while it had the request.
@@ -42,9 +42,9 @@
 	return float64((s.random^uint32(index+1)*goldenRatio)*goldenRatio) / (1 << 32)
 }
 
-// Admits reports whether the endpoint of a grant may still get the request. It may not if,
+// StillAccepts reports whether the endpoint of a grant may still get the request. It may not if,
 // since the grant, the endpoint has restarted, or announced that it is leaving or backing off.
-func (c *Chooser) Admits(g placement.Grant, now time.Time) bool {
+func (c *Chooser) StillAccepts(g placement.Grant, now time.Time) bool {
 	listed, ok := c.cfg.Directory.Snapshot().Find(tenant.ServiceName(g.Service), g.Endpoint.VM)
 	if !ok || listed.Start != g.Choice.Start {
 		return false
--- a/direct/backoff_test.go
+++ b/direct/backoff_test.go
@@ -18,7 +18,7 @@
 
 // requestBackoff makes the endpoint of a grant refuse its request and ask for a backoff.
 func (r *fixture) requestBackoff(g placement.Grant) {
-	r.Hear(g, reportWith(admission.Word{Backoff: backoff}))
+	r.ObserveResponse(g, reportWith(admission.Word{Backoff: backoff}))
 	r.Complete(g, placement.Result{Outcome: placement.Shed})
 }
 
@@ -33,7 +33,7 @@
 			granted = grant(t, r)
 		}
 		r.requestBackoff(first)
-		assert.Assert(t, !r.Admits(granted, time.Now()))
+		assert.Assert(t, !r.StillAccepts(granted, time.Now()))
 		probes := r.prober.probesTo(first.Endpoint.VM)
 		for end := time.Now().Add(backoff); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 			g := grant(t, r)
@@ -44,7 +44,7 @@
 		for _, e := range r.Status().Endpoints {
 			assert.Assert(t, !e.Ejected, e.ID)
 		}
-		assert.Assert(t, r.Admits(granted, time.Now()))
+		assert.Assert(t, r.StillAccepts(granted, time.Now()))
 	})
 }
 
@@ -95,7 +95,7 @@
 		assert.Assert(t, first[0].Choice.Trial)
 		answer := reportWith(admission.Word{})
 		answer.Ran = true
-		r.Hear(first[0], answer)
+		r.ObserveResponse(first[0], answer)
 		r.Complete(first[0], placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 		served := func() int {
 			n := 0
@@ -120,7 +120,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newFixtureForgetting(1, selection.Options{}, time.Nanosecond)
 		g, other := grant(t, r), grant(t, r)
-		r.Hear(g, reportWith(admission.Word{Backoff: time.Minute}))
+		r.ObserveResponse(g, reportWith(admission.Word{Backoff: time.Minute}))
 		r.Complete(g, placement.Result{Outcome: placement.Shed})
 		r.directory.Apply(directory.Changes{Gone: []directory.Gone{{ID: "e0", Revision: 2}}}, time.Now())
 		time.Sleep(30 * time.Second)
--- a/direct/leaving_test.go
+++ b/direct/leaving_test.go
@@ -59,9 +59,9 @@
 func TestLeavingEndpointGetsNothing(t *testing.T) {
 	r := newFixture(2, selection.Options{})
 	first := grant(t, r)
-	assert.Assert(t, r.Admits(first, time.Now()))
-	r.Hear(first, reportWith(leaving))
-	assert.Assert(t, !r.Admits(first, time.Now()))
+	assert.Assert(t, r.StillAccepts(first, time.Now()))
+	r.ObserveResponse(first, reportWith(leaving))
+	assert.Assert(t, !r.StillAccepts(first, time.Now()))
 	probes := r.prober.probesTo(first.Endpoint.VM)
 	for range 20 {
 		g := grant(t, r)
@@ -69,7 +69,7 @@
 		r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	}
 	assert.Equal(t, r.prober.probesTo(first.Endpoint.VM), probes)
-	r.Hear(grant(t, r), reportWith(leaving))
+	r.ObserveResponse(grant(t, r), reportWith(leaving))
 	_, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused != nil)
 	assert.Equal(t, refused.Reason, reason.NoEndpoint)
@@ -98,7 +98,7 @@
 	r := newPublishingFixture(2, &sent)
 	g := grant(t, r)
 	for range 3 {
-		r.Hear(g, reportWith(leaving))
+		r.ObserveResponse(g, reportWith(leaving))
 	}
 	assert.Equal(t, len(sent.notes), 1)
 	assert.Equal(t, sent.notes[0].Topic, direct.LeavingTopic)
--- a/direct/responses.go
+++ b/direct/responses.go
@@ -17,9 +17,9 @@
 	sourceProbe    = "probe"
 )
 
-// Hear processes what the response to a request says about the endpoint. It must be called as soon
-// as the response header has arrived, whatever the status.
-func (c *Chooser) Hear(g placement.Grant, r upstream.Report) {
+// ObserveResponse processes what the response to a request says about the endpoint. It must be
+// called as soon as the response header has arrived, whatever the status.
+func (c *Chooser) ObserveResponse(g placement.Grant, r upstream.Report) {
 	if r.None() {
 		return
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -3,14 +3,14 @@
 //
 // A Keeper wraps one quota.Limiter with a lock and the wall clock. Its loop reports to the relay
 // that the balancer follows or, on a relay, to the relays of other zones. The rules are in
-// coord/quota and coord/tally. A Carrier makes the calls; without one the balancer is assumed to be
-// the only one of the fleet.
+// coord/quota and coord/tally. A Transport makes the calls; without one the balancer is assumed to
+// be the only one of the fleet.
 //
 // # Usage
 //
 //	k := fleet.New(fleet.Config{Addr: link, Zone: zone, Limit: limit, Log: log, Metrics: registry})
 //	go k.Run(ctx, relays)
-//	k.Await(ctx, "medina", limit)
+//	k.AwaitSnapshot(ctx, "medina", limit)
 //	ok, after := k.Take("medina", limit, time.Now())
 package fleet
 
@@ -28,18 +28,18 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Carrier sends reports to other balancers.
-type Carrier interface {
-	// Serving reports whether this balancer is its zone's relay.
-	Serving() bool
-	// Followed returns the address of the relay that this balancer follows; empty for none.
-	Followed() string
-	// Others returns the addresses of the relays of other zones.
-	Others() []string
+// Transport sends reports to other balancers.
+type Transport interface {
+	// ServesAsRelay reports whether this balancer is its zone's relay.
+	ServesAsRelay() bool
+	// FollowedRelay returns the address of the relay that this balancer follows; empty for none.
+	FollowedRelay() string
+	// PeerRelays returns the addresses of the relays of other zones.
+	PeerRelays() []string
 	// IsRelay reports whether an address is that of a registered relay.
 	IsRelay(addr string) bool
-	// Count sends a report to the balancer at an address and returns its answer.
-	Count(ctx context.Context, addr string, r tally.Report) (quota.Answer, error)
+	// SendReport sends a report to the balancer at an address and returns its answer.
+	SendReport(ctx context.Context, addr string, r tally.Report) (quota.ReportAnswer, error)
 }
 
 // Config configures a Keeper.
@@ -63,7 +63,7 @@
 	wake    chan struct{}   // capacity 1; ends the wait of the loop in Run
 
 	mu         sync.Mutex
-	carrier    Carrier // nil before Run, and without other balancers
+	transport  Transport // nil before Run, and without other balancers
 	limiter    *quota.Limiter
 	nextReport time.Time // when the loop checks again whether a report is due
 	// answered is closed and replaced when a report to the relay was answered or has failed.
@@ -80,9 +80,9 @@
 	}
 }
 
-// Await waits for a fresh snapshot of a team's quota if its next request needs one, until ctx ends
-// and for at most quota.MaxRefreshWait.
-func (k *Keeper) Await(ctx context.Context, team string, l quota.Limit) {
+// AwaitSnapshot waits for a fresh snapshot of a team's quota if its next request needs one, until
+// ctx ends and for at most quota.MaxRefreshWait.
+func (k *Keeper) AwaitSnapshot(ctx context.Context, team string, l quota.Limit) {
 	began := time.Now()
 	answered, stale := k.refreshIfStale(team, l, began)
 	if stale {
@@ -124,18 +124,18 @@
 	return ok, after
 }
 
-// Repeat counts a retry of an admitted request, without a check.
-func (k *Keeper) Repeat(team string, now time.Time) {
+// CountRetry counts a retry of an admitted request, without a check.
+func (k *Keeper) CountRetry(team string, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.limiter.Repeat(team, now)
+	k.limiter.CountRetry(team, now)
 }
 
-// Return gives back the token of a request that was not sent.
-func (k *Keeper) Return(team string, now time.Time) {
+// Refund gives back the token of a request that was not sent.
+func (k *Keeper) Refund(team string, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.limiter.Return(team, now)
+	k.limiter.Refund(team, now)
 }
 
 // Add adds n to a fleet-wide counter that has no quota.
@@ -160,8 +160,8 @@
 	return k.limiter.Sums(prefix)
 }
 
-// Hear applies a report of another balancer and returns the answer.
-func (k *Keeper) Hear(r tally.Report) quota.Answer {
+// HandleReport applies a report of another balancer and returns the answer.
+func (k *Keeper) HandleReport(r tally.Report) quota.ReportAnswer {
 	now := time.Now()
 	k.updateRole(now)
 	k.mu.Lock()
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -34,11 +34,11 @@
 	addr, followed string
 }
 
-func (p port) Serving() bool            { return p.IsRelay(p.addr) }
-func (p port) Followed() string         { return p.followed }
+func (p port) ServesAsRelay() bool      { return p.IsRelay(p.addr) }
+func (p port) FollowedRelay() string    { return p.followed }
 func (p port) IsRelay(addr string) bool { return p.net.relays[addr] }
 
-func (p port) Others() []string {
+func (p port) PeerRelays() []string {
 	var others []string
 	for addr := range p.net.relays {
 		if addr != p.addr {
@@ -48,14 +48,14 @@
 	return others
 }
 
-func (p port) Count(_ context.Context, addr string, r tally.Report) (quota.Answer, error) {
+func (p port) SendReport(_ context.Context, addr string, r tally.Report) (quota.ReportAnswer, error) {
 	p.net.mu.Lock()
 	k, cut := p.net.keepers[addr], p.net.cut[addr] || p.net.cut[p.addr]
 	p.net.mu.Unlock()
 	if k == nil || cut {
-		return quota.Answer{}, errors.New("unreachable")
+		return quota.ReportAnswer{}, errors.New("unreachable")
 	}
-	return k.Hear(r), nil
+	return k.HandleReport(r), nil
 }
 
 func newKeeper(addr string) *fleet.Keeper {
@@ -133,8 +133,8 @@
 	})
 	assert.Assert(t, taken > 0)
 	for _, addr := range []string{"a1", "b1"} {
-		until(func() bool { // Await is bounded, and the relays may not have exchanged reports yet
-			n.keepers[addr].Await(context.Background(), "small", small)
+		until(func() bool { // AwaitSnapshot is bounded, and the relays may not have exchanged reports yet
+			n.keepers[addr].AwaitSnapshot(context.Background(), "small", small)
 			st := n.keepers[addr].Status(time.Now())
 			return len(st) == 1 && !st[0].Alone && st[0].Tokens < 1
 		})
@@ -151,12 +151,12 @@
 	n.cut["a1"] = true
 	n.mu.Unlock()
 	k := n.keepers["a1"]
-	k.Await(context.Background(), "team", limit)
+	k.AwaitSnapshot(context.Background(), "team", limit)
 	ok, _ := k.Take("team", limit, time.Now())
 	assert.Assert(t, ok)
 	ended, end := context.WithCancel(context.Background())
 	end()
-	n.keepers["b1"].Await(ended, "team", limit)
+	n.keepers["b1"].AwaitSnapshot(ended, "team", limit)
 }
 
 // TestSingleBalancerKeepsQuota checks that a balancer without others gives out the whole bucket, which
--- a/fleet/run.go
+++ b/fleet/run.go
@@ -17,14 +17,14 @@
 	maxIdleWait = time.Hour
 )
 
-// Run sends reports until ctx ends. Without a carrier it returns at once, and this balancer enforces
-// the quotas alone.
-func (k *Keeper) Run(ctx context.Context, carrier Carrier) {
+// Run sends reports until ctx ends. Without a transport it returns at once, and this balancer
+// enforces the quotas alone.
+func (k *Keeper) Run(ctx context.Context, transport Transport) {
 	k.mu.Lock()
-	k.carrier = carrier
+	k.transport = transport
 	k.mu.Unlock()
 	k.updateRole(time.Now())
-	if carrier == nil {
+	if transport == nil {
 		return
 	}
 	for ctx.Err() == nil {
@@ -35,7 +35,7 @@
 			pause.Until(ctx, k.wake, wait)
 			continue
 		}
-		k.report(ctx, carrier)
+		k.report(ctx, transport)
 		pause.For(ctx, minReportInterval)
 	}
 }
@@ -44,7 +44,7 @@
 func (k *Keeper) updateRole(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	relay := k.carrier == nil || k.carrier.Serving()
+	relay := k.transport == nil || k.transport.ServesAsRelay()
 	if relay == k.limiter.IsRelay() {
 		return
 	}
@@ -66,24 +66,24 @@
 }
 
 // report sends a report to the followed relay or, on a relay, to the relays of other zones.
-func (k *Keeper) report(ctx context.Context, carrier Carrier) {
+func (k *Keeper) report(ctx context.Context, transport Transport) {
 	k.mu.Lock()
 	relay := k.limiter.IsRelay()
 	k.mu.Unlock()
 	if relay {
-		k.reportToPeers(ctx, carrier)
+		k.reportToPeers(ctx, transport)
 		return
 	}
-	k.reportToRelay(ctx, carrier)
+	k.reportToRelay(ctx, transport)
 }
 
 // reportToRelay sends a report to the followed relay and applies its answer.
-func (k *Keeper) reportToRelay(ctx context.Context, carrier Carrier) {
+func (k *Keeper) reportToRelay(ctx context.Context, transport Transport) {
 	k.mu.Lock()
 	r := k.limiter.Report(time.Now())
 	k.mu.Unlock()
-	addr := carrier.Followed()
-	answer, err := carrier.Count(ctx, addr, r)
+	addr := transport.FollowedRelay()
+	answer, err := transport.SendReport(ctx, addr, r)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	defer k.notifyWaiters()
@@ -103,24 +103,24 @@
 
 // reportToPeers sends a report to the relays of other zones without waiting for answers. A relay
 // whose previous call is still in progress is skipped; the next report covers it.
-func (k *Keeper) reportToPeers(ctx context.Context, carrier Carrier) {
+func (k *Keeper) reportToPeers(ctx context.Context, transport Transport) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	r := k.limiter.ZoneReport(carrier.IsRelay, time.Now())
+	r := k.limiter.ZoneReport(transport.IsRelay, time.Now())
 	if len(r.Counts) == 0 && !r.Rests {
 		return
 	}
-	for _, addr := range carrier.Others() {
+	for _, addr := range transport.PeerRelays() {
 		if !k.reporting[addr] {
 			k.reporting[addr] = true
-			go k.reportToPeer(ctx, carrier, addr, r)
+			go k.reportToPeer(ctx, transport, addr, r)
 		}
 	}
 }
 
 // reportToPeer sends a report to the relay of another zone and applies its answer.
-func (k *Keeper) reportToPeer(ctx context.Context, carrier Carrier, addr string, r tally.Report) {
-	answer, err := carrier.Count(ctx, addr, r)
+func (k *Keeper) reportToPeer(ctx context.Context, transport Transport, addr string, r tally.Report) {
+	answer, err := transport.SendReport(ctx, addr, r)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.reporting, addr)
--- a/limits/fleet_test.go
+++ b/limits/fleet_test.go
@@ -32,7 +32,7 @@
 	addr string
 }
 
-func (p testCarrier) Serving() bool {
+func (p testCarrier) ServesAsRelay() bool {
 	for _, r := range p.Owners() {
 		if r.Addr == p.addr {
 			return true
@@ -41,7 +41,7 @@
 	return false
 }
 
-func (p testCarrier) InTouch() bool { return true }
+func (p testCarrier) ConnectedToStore() bool { return true }
 
 func (p testCarrier) Owners() []limit.Relay {
 	p.net.mu.Lock()
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -44,10 +44,10 @@
 
 // Carrier sends asks and notes to other balancers.
 type Carrier interface {
-	// Serving reports whether this balancer is the relay of its zone.
-	Serving() bool
-	// InTouch reports whether this balancer is connected to the store.
-	InTouch() bool
+	// ServesAsRelay reports whether this balancer is the relay of its zone.
+	ServesAsRelay() bool
+	// ConnectedToStore reports whether this balancer is connected to the store.
+	ConnectedToStore() bool
 	// Owners returns the registered relays.
 	Owners() []limit.Relay
 	// Ask sends asks to the balancer at addr and returns its reply.
@@ -194,10 +194,10 @@
 	k.mu.Lock()
 	c := k.carrier
 	k.mu.Unlock()
-	if c == nil || !c.Serving() {
+	if c == nil || !c.ServesAsRelay() {
 		return limit.Reply{}
 	}
-	return k.answerAsks(from, asks, c.InTouch())
+	return k.answerAsks(from, asks, c.ConnectedToStore())
 }
 
 // answerAsks replies to asks as the owner of their endpoints, and publishes what is news.
--- a/node/hear.go
+++ b/node/hear.go
@@ -10,8 +10,9 @@
 	"github.com/lotuswing/lotuswing/upstream"
 )
 
-// Hear takes what the answer to an attempt says of its endpoint, as soon as its head is there.
-func (n *Node) Hear(g placement.Grant, r upstream.Report) {
+// ObserveResponse takes what the answer to an attempt says of its endpoint, as soon as its head is
+// there.
+func (n *Node) ObserveResponse(g placement.Grant, r upstream.Report) {
 	n.hear(tenant.ServiceName(g.Service), g.Endpoint.VM, r, leaving.Answer)
 	n.local.hear(g, r)
 }
@@ -29,7 +30,7 @@
 	}
 }
 
-// Admits reports whether the endpoint of a grant still may get the request.
-func (n *Node) Admits(g placement.Grant, now time.Time) bool {
+// StillAccepts reports whether the endpoint of a grant still may get the request.
+func (n *Node) StillAccepts(g placement.Grant, now time.Time) bool {
 	return admission.Willing(!n.snapshot.Load().leaving.Has(g.Endpoint.VM), n.local.admission(g.Endpoint.VM), now)
 }
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -15,8 +15,8 @@
 	return g.follower.Settled(now)
 }
 
-// Serving reports whether this balancer is its zone's relay.
-func (g *Group) Serving() bool { return g.isRelay(time.Now()) }
+// ServesAsRelay reports whether this balancer is its zone's relay.
+func (g *Group) ServesAsRelay() bool { return g.isRelay(time.Now()) }
 
 // isRelay reports whether this balancer is its zone's relay: the registered one or, if the zone
 // has none, one that registered within the last TTL, in case the store has not reported the
--- a/relay/counting.go
+++ b/relay/counting.go
@@ -21,7 +21,7 @@
 
 // CountReply holds the relay's knowledge of the same counts, and the capacity that it grants.
 type CountReply struct {
-	Answer quota.Answer
+	Answer quota.ReportAnswer
 	Limits limit.Reply
 }
 
@@ -40,14 +40,14 @@
 	return nil
 }
 
-// errNoRelay is returned by Count without an address.
+// errNoRelay is returned by SendReport without an address.
 var errNoRelay = errors.New("relay: no relay is followed")
 
-// Count reports the counts of this balancer, or of its zone, to the balancer at addr and returns
-// its answer.
-func (g *Group) Count(ctx context.Context, addr string, r tally.Report) (quota.Answer, error) {
+// SendReport reports the counts of this balancer, or of its zone, to the balancer at addr and
+// returns its answer.
+func (g *Group) SendReport(ctx context.Context, addr string, r tally.Report) (quota.ReportAnswer, error) {
 	if addr == "" {
-		return quota.Answer{}, errNoRelay
+		return quota.ReportAnswer{}, errNoRelay
 	}
 	reply, err := g.count(ctx, addr, CountArgs{Report: r, From: g.cfg.Addr})
 	return reply.Answer, err
@@ -68,11 +68,11 @@
 	return reply, err
 }
 
-// Followed returns the address of the balancer that last answered a call for changes. Before the
-// first answer it returns the registered relay that will be asked first, and an empty string if
+// FollowedRelay returns the address of the balancer that last answered a call for changes. Before
+// the first answer it returns the registered relay that will be asked first, and an empty string if
 // there is none. A balancer that has just started serves before it follows a relay, and grants part
 // of a quota again until it is told what is left of it.
-func (g *Group) Followed() string {
+func (g *Group) FollowedRelay() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.lastResponder != "" {
@@ -82,8 +82,8 @@
 	return next.Addr
 }
 
-// Others returns the addresses of all registered relays other than this balancer.
-func (g *Group) Others() []string {
+// PeerRelays returns the addresses of all registered relays other than this balancer.
+func (g *Group) PeerRelays() []string {
 	var others []string
 	for _, r := range g.replica.allRelays() {
 		if r.Addr != g.cfg.Addr {
@@ -105,8 +105,9 @@
 	return owners
 }
 
-// InTouch reports whether this balancer is settled, that is, in touch with the store itself.
-func (g *Group) InTouch() bool { return g.follower.Settled(time.Now()) }
+// ConnectedToStore reports whether this balancer is settled, that is, in touch with the store
+// itself.
+func (g *Group) ConnectedToStore() bool { return g.follower.Settled(time.Now()) }
 
 // RelayZones returns the zones that have a registered relay, sorted.
 func (g *Group) RelayZones() []string {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -113,7 +113,7 @@
 	TLS      *tls.Config // for connections between balancers; nil for plain TCP
 	Options  Options
 	// OnReport handles the counts that another balancer reports; nil if nothing is counted.
-	OnReport func(tally.Report) quota.Answer
+	OnReport func(tally.Report) quota.ReportAnswer
 	// OnAsk answers another balancer that asks for capacity at endpoints; nil if no balancer asks.
 	OnAsk func(from string, asks []limit.Ask) limit.Reply
 	// OnNote is called once for each note of another balancer; nil to ignore notes.
--- a/server/chooser.go
+++ b/server/chooser.go
@@ -85,7 +85,7 @@
 		go s.keeper.Run(ctx)
 		go s.rollouts.Run(ctx)
 	}
-	go s.fleet.Run(ctx, s.carrier())
+	go s.fleet.Run(ctx, s.transport())
 	go s.follower.Run(ctx)
 	return nil
 }
@@ -140,13 +140,13 @@
 type relayZones struct{ server *Server }
 
 // Serving reports whether this balancer is its zone's relay.
-func (z relayZones) Serving() bool { return z.server.relays.Serving() }
+func (z relayZones) Serving() bool { return z.server.relays.ServesAsRelay() }
 
 // RelayZones returns the zones that have one.
 func (z relayZones) RelayZones() []string { return z.server.relays.RelayZones() }
 
-// carrier returns what takes counts to other balancers; nil where there is nothing.
-func (s *Server) carrier() fleet.Carrier {
+// transport returns what takes counts to other balancers; nil where there is nothing.
+func (s *Server) transport() fleet.Transport {
 	if s.relays == nil {
 		return nil
 	}
@@ -189,7 +189,7 @@
 }
 
 // serving reports whether this balancer does what one of its zone should do.
-func (s *Server) serving() bool { return s.relays == nil || s.relays.Serving() }
+func (s *Server) serving() bool { return s.relays == nil || s.relays.ServesAsRelay() }
 
 // observe hands changes that are in force to all that keep something of them.
 func (s *Server) observe(c directory.Changes) {
@@ -215,7 +215,7 @@
 		ID: settings.ID, Zone: settings.Zone, Addr: settings.Link, Seeds: settings.Peers, Cores: settings.Cores,
 		LinkRate: settings.LinkRate * bytesPerMegabit,
 		Registry: s.cfg.Relays, Decoder: s.cfg.Relays, Log: log, TLS: secured,
-		Options: relay.OptionsWithin(settings.Discovery.Within()), OnNote: s.hearNote, OnReport: s.fleet.Hear, OnAsk: s.limits.Asked, Suspensions: s.suspended,
+		Options: relay.OptionsWithin(settings.Discovery.Within()), OnNote: s.hearNote, OnReport: s.fleet.HandleReport, OnAsk: s.limits.Asked, Suspensions: s.suspended,
 	}), nil
 }
 
--- a/server/limits_test.go
+++ b/server/limits_test.go
@@ -105,7 +105,7 @@
 func worstWindow(arrivals []time.Time, from, to time.Time) int {
 	arrivals = slices.DeleteFunc(arrivals, func(at time.Time) bool { return at.Before(from) || at.After(to) })
 	slices.SortFunc(arrivals, time.Time.Compare)
-	return window.Most(arrivals, audit.LimitWindow)
+	return window.MaxCount(arrivals, audit.LimitWindow)
 }
 
 // checkListed checks what operators are told of the only endpoint that names a limit: each
--- a/server/server.go
+++ b/server/server.go
@@ -119,7 +119,7 @@
 		Metrics: s.metrics,
 		Tracing: tracing,
 
-		Requests:   cfg.Requests,
+		RequestLog: cfg.Requests,
 		Histograms: s.latency,
 
 		Suspensions: s.suspended,
@@ -128,7 +128,7 @@
 		balancerConfig.Quarantine = s.keeper
 	}
 	if s.fleet != nil {
-		balancerConfig.Access, balancerConfig.Quotas, balancerConfig.KeysWithin = teams{s}, s.fleet, cfg.Settings.Discovery.ApplyWithin
+		balancerConfig.Access, balancerConfig.Quotas, balancerConfig.KeyPropagationTime = teams{s}, s.fleet, cfg.Settings.Discovery.ApplyWithin
 	}
 	s.balancer = balancer.New(balancerConfig)
 	s.front = s.frontServer()
--- a/server/stop.go
+++ b/server/stop.go
@@ -50,7 +50,7 @@
 func (s *Server) waitSessions(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
-		s.balancer.WaitSessions()
+		s.balancer.WaitUpgraded()
 		close(done)
 	}()
 	select {
--- a/server/teams.go
+++ b/server/teams.go
@@ -17,9 +17,9 @@
 // Teams returns the teams of the configuration in force; nil where callers need no keys.
 func (t teams) Teams() *access.Table { return t.server.teams() }
 
-// InTouch reports whether this balancer has heard of the store's present state within the
+// ReceivesChanges reports whether this balancer has heard of the store's present state within the
 // time after which changes must be in force.
-func (t teams) InTouch(now time.Time) bool {
+func (t teams) ReceivesChanges(now time.Time) bool {
 	s := t.server
 	if s.follower.Settled(now) {
 		return true
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -110,7 +110,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, named := range c.limitings {
-		most, allowed := window.Most(l.ranQuietly(c, named), audit.LimitWindow), audit.LimitAllows(named.perSecond)
+		most, allowed := window.MaxCount(l.ranQuietly(c, named), audit.LimitWindow), audit.LimitAllows(named.perSecond)
 		if float64(most) > allowed {
 			l.broken(LimitsHold, named.endpoint.server.ID, "%d requests in %v, allowed %v of a limit of %v a second named at %v",
 				most, audit.LimitWindow, allowed, named.perSecond, named.from.Format(time.StampMilli))
--- a/soak/teams.go
+++ b/soak/teams.go
@@ -197,7 +197,7 @@
 	}
 	for _, team := range quotas {
 		slices.SortFunc(ran[team.Name], time.Time.Compare)
-		most, allowed := window.Most(ran[team.Name], quotaWindow), (team.Rate*quotaWindow.Seconds()+team.Burst)*quotaFactor+quotaExtra
+		most, allowed := window.MaxCount(ran[team.Name], quotaWindow), (team.Rate*quotaWindow.Seconds()+team.Burst)*quotaFactor+quotaExtra
 		if float64(most) > allowed {
 			l.broken(QuotasHold, team.Name, "%d requests in %v, allowed %v", most, quotaWindow, allowed)
 		}
--- a/soak/zones.go
+++ b/soak/zones.go
@@ -125,7 +125,7 @@
 		arrivals := slices.DeleteFunc(cold.endpoint.server.Arrivals(), func(at time.Time) bool {
 			return at.Before(cold.from) || at.After(cold.to)
 		})
-		if most := window.Most(arrivals, time.Second); float64(most) > coldLimit {
+		if most := window.MaxCount(arrivals, time.Second); float64(most) > coldLimit {
 			l.broken(FewToCold, cold.endpoint.server.ID, "%d requests in a second while it warmed up", most)
 		}
 	}
