--- a/cli/reload_test.go
+++ b/cli/reload_test.go
@@ -44,7 +44,7 @@
 	write("medina", "warn", 0.1)
 	r.read(false)
 	assert.Equal(t, len(server.limits), 1)
-	assert.Equal(t, server.limits[0].Ratio, 0.1*0.85, "a process keeps to 0.85 of the ratio, see retry.ShareOf")
+	assert.Equal(t, server.limits[0].Ratio, 0.1*0.85, "a process keeps to 0.85 of the ratio, see retry.ProcessLimit")
 	assert.Equal(t, log.GetLevel(), hclog.Warn)
 	write("medina", "info", 7)
 	r.read(false)
--- a/coord/retry/retry_test.go
+++ b/coord/retry/retry_test.go
@@ -67,9 +67,9 @@
 
 // TestRetryAfter checks the Retry-After if no endpoint was found, and if the attempts failed.
 func TestRetryAfter(t *testing.T) {
-	assert.Equal(t, retry.AfterNoEndpoint(800*time.Millisecond, 0), 100*time.Millisecond)
-	assert.Equal(t, retry.AfterNoEndpoint(800*time.Millisecond, 0.5), 200*time.Millisecond)
-	assert.Equal(t, retry.AfterNoEndpoint(0, 0.5), time.Second)
-	assert.Equal(t, retry.AfterFailure(800*time.Millisecond), 100*time.Millisecond)
-	assert.Equal(t, retry.AfterFailure(0), time.Second)
+	assert.Equal(t, retry.RetryAfterNoEndpoint(800*time.Millisecond, 0), 100*time.Millisecond)
+	assert.Equal(t, retry.RetryAfterNoEndpoint(800*time.Millisecond, 0.5), 200*time.Millisecond)
+	assert.Equal(t, retry.RetryAfterNoEndpoint(0, 0.5), time.Second)
+	assert.Equal(t, retry.RetryAfterFailure(800*time.Millisecond), 100*time.Millisecond)
+	assert.Equal(t, retry.RetryAfterFailure(0), time.Second)
 }
--- a/coord/retry/window.go
+++ b/coord/retry/window.go
@@ -9,10 +9,10 @@
 	Allowance float64       // retries in addition to the ratio
 }
 
-// ShareOf returns the limit for each process of a fleet, such that all processes together stay
+// ProcessLimit returns the limit for each process of a fleet, such that all processes together stay
 // within the fleet's limit, although none knows how many there are. The fleet's limit is, in any
 // time window of length span, ratio retries per request and burst additional retries.
-func ShareOf(span time.Duration, ratio, burst float64) WindowLimit {
+func ProcessLimit(span time.Duration, ratio, burst float64) WindowLimit {
 	return WindowLimit{Span: span, Ratio: ratio * processRatioShare, Allowance: min(processAllowance, burst)}
 }
 
--- a/coord/retry/window_test.go
+++ b/coord/retry/window_test.go
@@ -17,7 +17,7 @@
 		ratio = 0.2
 		burst = 64
 	)
-	limit := retry.ShareOf(10*time.Second, ratio, burst)
+	limit := retry.ProcessLimit(10*time.Second, ratio, burst)
 	assert.DeepEqual(t, limit, retry.WindowLimit{Span: 10 * time.Second, Ratio: 0.85 * ratio, Allowance: 1})
 	rapid.Check(t, func(t *rapid.T) {
 		processes := make([]retry.Window, rapid.IntRange(1, 18).Draw(t, "processes"))
@@ -51,7 +51,7 @@
 	for _, size := range []int{3, 30, 300, 3000} {
 		for _, requestsEach := range []int{0, 1, 7, 200} {
 			burst := float64(size)
-			limit := retry.ShareOf(10*time.Second, ratio, burst)
+			limit := retry.ProcessLimit(10*time.Second, ratio, burst)
 			retries := 0
 			for range size {
 				w := retry.NewWindow(limit)
