--- a/control/said_test.go
+++ b/control/said_test.go
@@ -13,15 +13,15 @@
 
 // TestSaidRows: what endpoints say, as operators read it.
 func TestSaidRows(t *testing.T) {
-	said := func(e direct.Said) server.SaidStatus { return server.SaidStatus{Said: e} }
-	named := said(direct.Said{Endpoint: "e3", Backoff: time.Second})
+	said := func(e direct.EndpointNotice) server.SaidStatus { return server.SaidStatus{EndpointNotice: e} }
+	named := said(direct.EndpointNotice{Endpoint: "e3", Backoff: time.Second})
 	named.Limit = &limits.Status{State: "named", Status: limit.Status{PerSecond: 2.5}}
-	lifted := said(direct.Said{Endpoint: "e4"})
+	lifted := said(direct.EndpointNotice{Endpoint: "e4"})
 	lifted.Limit = &limits.Status{State: "lifted", Status: limit.Status{PerSecond: 2}}
 	_, rows := saidRows([]server.SaidStatus{
-		said(direct.Said{Endpoint: "e0", Service: "s", Zone: "z", Leaving: true}),
-		said(direct.Said{Endpoint: "e1", Backoff: 1500 * time.Millisecond, Hint: time.Second}),
-		said(direct.Said{Endpoint: "e2", Slow: true}), named, lifted,
+		said(direct.EndpointNotice{Endpoint: "e0", Service: "s", Zone: "z", Leaving: true}),
+		said(direct.EndpointNotice{Endpoint: "e1", Backoff: 1500 * time.Millisecond, Hint: time.Second}),
+		said(direct.EndpointNotice{Endpoint: "e2", Slow: true}), named, lifted,
 	})
 	assert.DeepEqual(t, rows, [][]string{
 		{"e0", "s", "z", "leaves"},
--- a/direct/admit.go
+++ b/direct/admit.go
@@ -12,7 +12,7 @@
 
 // An endpoint is checked three times: whether it may be chosen for a request (Chooser.admission),
 // whether it may still get the request when that is about to be written (StillAccepts), and whether
-// it may be probed by another package (Willing). The rules are in coord/admission.
+// it may be probed by another package (MayProbe). The rules are in coord/admission.
 
 // excludes reports whether the request must not go to an endpoint: it has already been sent there,
 // or this start of the endpoint ended while it had the request.
@@ -58,9 +58,9 @@
 	return admission.Willing(listed.Usable(now), state.admission, now)
 }
 
-// Willing reports whether the endpoint with an ID may be probed, that is, whether it is not known
+// MayProbe reports whether the endpoint with an ID may be probed, that is, whether it is not known
 // to be backing off.
-func (c *Chooser) Willing(id string, now time.Time) bool {
+func (c *Chooser) MayProbe(id string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state, ok := c.endpoints[id]
--- a/direct/backoff_notes.go
+++ b/direct/backoff_notes.go
@@ -34,12 +34,12 @@
 // publishBackoff tells all other balancers about a backoff, unless a note about it has been
 // published before or the balancers have published too many notes recently.
 func (c *Chooser) publishBackoff(e limits.Endpoint, d time.Duration, now time.Time) {
-	if c.cfg.Tell == nil || !c.reserveBackoffNote(e, d, now) {
+	if c.cfg.Publish == nil || !c.reserveBackoffNote(e, d, now) {
 		return
 	}
 	data, err := json.Marshal(backoffNote{ID: e.ID, Start: e.Start, Service: e.Service, For: d})
 	if err == nil {
-		err = c.cfg.Tell(BackoffTopic, data)
+		err = c.cfg.Publish(BackoffTopic, data)
 	}
 	if err != nil {
 		c.cfg.Log.Warn("failed to publish backoff note", "id", e.ID, "error", err)
--- a/direct/backoff_notes_test.go
+++ b/direct/backoff_notes_test.go
@@ -31,7 +31,7 @@
 		before := grant(t, o)
 		assert.Equal(t, before.Endpoint.VM, first.Endpoint.VM, "all balancers prefer the same endpoint")
 		o.Complete(before, placement.Result{Outcome: placement.Unused})
-		assert.NilError(t, o.HearNote(sent.notes[0]))
+		assert.NilError(t, o.HandleNote(sent.notes[0]))
 		for range 20 {
 			g := grant(t, o)
 			assert.Assert(t, g.Endpoint.VM != first.Endpoint.VM)
@@ -73,10 +73,10 @@
 	var sent publisher
 	r := newPublishingFixture(2, &sent)
 	for _, data := range []string{"", "{", "7", `{"ID":"e0","Service":"s"}`, `{"ID":"e0","Service":"s","For":-1}`, `{"ID":"e0","Service":"s","For":9e18}`, `{"ID":"","For":1}`} {
-		assert.Assert(t, r.HearNote(relay.Note{Topic: direct.BackoffTopic, Data: []byte(data)}) != nil, data)
+		assert.Assert(t, r.HandleNote(relay.Note{Topic: direct.BackoffTopic, Data: []byte(data)}) != nil, data)
 	}
 	for _, data := range []string{`{"ID":"e0","Service":"other","For":1000000000}`, `{"ID":"e0","Service":"s","Start":4,"For":1000000000}`} {
-		assert.NilError(t, r.HearNote(relay.Note{Topic: direct.BackoffTopic, Data: []byte(data)}), "the endpoint may be listed later")
+		assert.NilError(t, r.HandleNote(relay.Note{Topic: direct.BackoffTopic, Data: []byte(data)}), "the endpoint may be listed later")
 	}
 	assert.Equal(t, grant(t, r).Endpoint.VM, "e0")
 	r.requestBackoff(grant(t, r))
--- a/direct/complete.go
+++ b/direct/complete.go
@@ -55,11 +55,11 @@
 func (c *Chooser) reportRolloutOutcome(g placement.Grant, r placement.Result, now time.Time) {
 	side := g.Choice.Side
 	ran := r.Outcome == placement.Completed || r.Outcome == placement.Failed
-	if c.cfg.Evidence == nil || !ran || g.Choice.Cold || side != placement.OldSide && side != placement.NewSide {
+	if c.cfg.RolloutRecorder == nil || !ran || g.Choice.Cold || side != placement.OldSide && side != placement.NewSide {
 		return
 	}
-	c.cfg.Evidence.Note(Trial{
-		Service: tenant.ServiceName(g.Service), Kind: g.Kind, Newer: side == placement.NewSide,
+	c.cfg.RolloutRecorder.RecordOutcome(RolloutOutcome{
+		Service: tenant.ServiceName(g.Service), Kind: g.Kind, NewVersion: side == placement.NewSide,
 		Failed: r.Outcome == placement.Failed, Slow: g.Choice.Estimate > 0 && r.Took > slowFactor*g.Choice.Estimate,
 	}, now)
 }
--- a/direct/direct.go
+++ b/direct/direct.go
@@ -49,15 +49,15 @@
 	Directory *directory.Directory
 	Client    Prober
 	// Suspensions detects suspensions of the VM; nil for none.
-	Suspensions *suspend.Detector
-	Log         hclog.Logger
-	Metrics     metrics.Registry
-	Handover    func(context.Context) // hands duties to other balancers before a planned stop; may be nil
-	Stop        func()                // stops the updates of the directory; may be nil
-	Evidence    Evidence              // records the outcomes of requests during rollouts; nil for none
-	Limits      Limits                // tracks the rate limits of endpoints; nil for none
-	// Tell publishes data to all other balancers under a topic; nil if there are none.
-	Tell func(topic string, data []byte) error
+	Suspensions     *suspend.Detector
+	Log             hclog.Logger
+	Metrics         metrics.Registry
+	Handover        func(context.Context) // hands duties to other balancers before a planned stop; may be nil
+	Stop            func()                // stops the updates of the directory; may be nil
+	RolloutRecorder RolloutRecorder       // records the outcomes of requests during rollouts; nil for none
+	Limits          Limits                // tracks the rate limits of endpoints; nil for none
+	// Publish sends data to all other balancers under a topic; nil if there are none.
+	Publish func(topic string, data []byte) error
 
 	// Set by tests; zero values select the defaults.
 	Options        selection.Options
@@ -65,36 +65,36 @@
 	ForgetInterval time.Duration // time between two removals of the states of endpoints that are gone; default 1 min
 }
 
-// Evidence records the outcomes of requests at both versions of a service during a rollout.
-type Evidence interface {
-	// Note records the outcome of a request that an endpoint ran, or may have run.
-	Note(t Trial, now time.Time)
+// RolloutRecorder records the outcomes of requests at both versions of a service during a rollout.
+type RolloutRecorder interface {
+	// RecordOutcome records the outcome of a request that an endpoint ran, or may have run.
+	RecordOutcome(t RolloutOutcome, now time.Time)
 }
 
 // Limits tracks how many requests a second endpoints accept, according to their responses.
 type Limits interface {
-	// Answered processes what the response to a request said about the limit.
-	Answered(e limits.Endpoint, a limit.Answer)
-	// Probed processes what the response to a probe said about the limit.
-	Probed(e limits.Endpoint, a limit.Answer)
-	// Quiet reports whether no endpoint has named a limit.
-	Quiet() bool
+	// ObserveAnswer processes what the response to a request said about the limit.
+	ObserveAnswer(e limits.Endpoint, a limit.Answer)
+	// ObserveProbe processes what the response to a probe said about the limit.
+	ObserveProbe(e limits.Endpoint, a limit.Answer)
+	// HasNoLimits reports whether no endpoint has named a limit.
+	HasNoLimits() bool
 	// Standing returns whether a request may go to an endpoint under its limit. If not, it also
 	// returns after how long that may change, or 0 if this is not known.
 	Standing(e limits.Endpoint, now time.Time) (limit.Standing, time.Duration)
-	// Seek requests a permit from the balancer that owns an endpoint's limit, and waits for its
-	// response at most as long as within. mayProbe reports whether the endpoint may be probed to
-	// find out whether its limit still applies.
-	Seek(ctx context.Context, e limits.Endpoint, within time.Duration) (mayProbe bool)
-	// Use takes a permit for a request that is about to be sent, if the endpoint's limit requires
-	// one. It reports whether the request may be sent.
-	Use(e limits.Endpoint, now time.Time) bool
+	// RequestPermit requests a permit from the balancer that owns an endpoint's limit, and waits
+	// for its response at most as long as within. mayProbe reports whether the endpoint may be
+	// probed to find out whether its limit still applies.
+	RequestPermit(ctx context.Context, e limits.Endpoint, within time.Duration) (mayProbe bool)
+	// TakePermit takes a permit for a request that is about to be sent, if the endpoint's limit
+	// requires one. It reports whether the request may be sent.
+	TakePermit(e limits.Endpoint, now time.Time) bool
 }
 
-// Trial is the outcome of one request during a rollout of its service.
-type Trial struct {
+// RolloutOutcome is the outcome of one request during a rollout of its service.
+type RolloutOutcome struct {
 	Service, Kind string
-	Newer         bool // it ran at an endpoint of the new version
+	NewVersion    bool // it ran at an endpoint of the new version
 	Failed, Slow  bool // slow: it took more than slowFactor times its estimate
 }
 
@@ -222,8 +222,8 @@
 	}
 }
 
-// Leave hands the duties of this balancer to other balancers, if it has any.
-func (c *Chooser) Leave(ctx context.Context) {
+// HandOver hands the duties of this balancer to other balancers, if it has any.
+func (c *Chooser) HandOver(ctx context.Context) {
 	if c.cfg.Handover != nil {
 		c.cfg.Handover(ctx)
 	}
--- a/direct/leaving.go
+++ b/direct/leaving.go
@@ -31,12 +31,12 @@
 // handleLeaving marks an endpoint that has announced that it is leaving, and tells all other
 // balancers unless the endpoint was known to be leaving.
 func (c *Chooser) handleLeaving(e limits.Endpoint, source string, now time.Time) {
-	if !c.markLeaving(e, source, now) || c.cfg.Tell == nil {
+	if !c.markLeaving(e, source, now) || c.cfg.Publish == nil {
 		return
 	}
 	data, err := json.Marshal(leavingNote{ID: e.ID, Start: e.Start, Service: e.Service})
 	if err == nil {
-		err = c.cfg.Tell(LeavingTopic, data)
+		err = c.cfg.Publish(LeavingTopic, data)
 	}
 	if err != nil {
 		c.cfg.Log.Warn("failed to publish leaving note", "id", e.ID, "error", err)
@@ -58,8 +58,8 @@
 	return true
 }
 
-// HearNote processes a note of another balancer under BackoffTopic or LeavingTopic.
-func (c *Chooser) HearNote(n relay.Note) error {
+// HandleNote processes a note of another balancer under BackoffTopic or LeavingTopic.
+func (c *Chooser) HandleNote(n relay.Note) error {
 	if n.Topic == BackoffTopic {
 		return c.applyBackoffNote(n, time.Now())
 	}
--- a/direct/leaving_test.go
+++ b/direct/leaving_test.go
@@ -40,7 +40,7 @@
 func newPublishingFixture(endpoints int, sent *publisher) *fixture {
 	r := newFixture(endpoints, selection.Options{})
 	r.Chooser = direct.New(direct.Config{
-		ID: "vm-1", Zone: "near", Directory: r.directory, Client: r.prober, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Tell: sent.publish,
+		ID: "vm-1", Zone: "near", Directory: r.directory, Client: r.prober, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Publish: sent.publish,
 	})
 	return r
 }
@@ -105,7 +105,7 @@
 
 	var other publisher
 	o := newPublishingFixture(2, &other)
-	assert.NilError(t, o.HearNote(sent.notes[0]))
+	assert.NilError(t, o.HandleNote(sent.notes[0]))
 	assert.Equal(t, len(other.notes), 0, "a note is not published again")
 	for range 5 {
 		next := grant(t, o)
@@ -132,14 +132,14 @@
 		return ok
 	}
 	r := newFixture(1, selection.Options{})
-	assert.NilError(t, r.HearNote(note(7)))
+	assert.NilError(t, r.HandleNote(note(7)))
 	r.directory.Apply(entry(7), time.Now())
 	assert.Assert(t, !usable(r), "the note came before the entry")
 	r.directory.Apply(entry(8), time.Now())
 	assert.Assert(t, usable(r), "another start")
-	assert.NilError(t, r.HearNote(note(7)))
+	assert.NilError(t, r.HandleNote(note(7)))
 	assert.Assert(t, usable(r), "a late note about the previous start")
-	assert.NilError(t, r.HearNote(note(9)))
+	assert.NilError(t, r.HandleNote(note(9)))
 	assert.Assert(t, usable(r), "a note about a start that is not listed yet")
 	r.directory.Apply(entry(9), time.Now())
 	assert.Assert(t, !usable(r))
@@ -149,7 +149,7 @@
 func TestInvalidLeavingNotes(t *testing.T) {
 	r := newFixture(2, selection.Options{})
 	for _, data := range []string{"", "{", "7", `{"ID":""}`, `{"ID":3}`, `{"Start":1}`} {
-		assert.Assert(t, r.HearNote(relay.Note{Data: []byte(data)}) != nil, data)
+		assert.Assert(t, r.HandleNote(relay.Note{Data: []byte(data)}) != nil, data)
 	}
 	assert.Equal(t, r.directory.Snapshot().Known, 2)
 }
--- a/direct/limits.go
+++ b/direct/limits.go
@@ -26,7 +26,7 @@
 // limitStanding returns whether the rate limit of an endpoint lets a request go there, as
 // Limits.Standing does.
 func (c *Chooser) limitStanding(e *directory.Endpoint, now time.Time) (limit.Standing, time.Duration) {
-	if c.cfg.Limits == nil || c.cfg.Limits.Quiet() {
+	if c.cfg.Limits == nil || c.cfg.Limits.HasNoLimits() {
 		return limit.Free, 0
 	}
 	return c.cfg.Limits.Standing(limitsEndpoint(e), now)
@@ -35,7 +35,7 @@
 // usePermit takes a permit for a request to an endpoint. It returns false if the endpoint's limit
 // requires a permit and there is none.
 func (c *Chooser) usePermit(e *directory.Endpoint, now time.Time) bool {
-	return c.cfg.Limits == nil || c.cfg.Limits.Use(limitsEndpoint(e), now)
+	return c.cfg.Limits == nil || c.cfg.Limits.TakePermit(limitsEndpoint(e), now)
 }
 
 // requestPermit asks the limit's owner for a permit for the best candidate, if that needs one. It
@@ -49,7 +49,7 @@
 		return false
 	}
 	e := s.listed[best.Index]
-	if c.cfg.Limits.Seek(ctx, limitsEndpoint(&e), permitWait) {
+	if c.cfg.Limits.RequestPermit(ctx, limitsEndpoint(&e), permitWait) {
 		c.refreshLimit(ctx, e)
 	}
 	return true
--- a/direct/limits_test.go
+++ b/direct/limits_test.go
@@ -20,11 +20,11 @@
 	mu            sync.Mutex
 	standing      map[string]limit.Standing
 	withheldUntil map[string]time.Time    // when a permit for a withheld endpoint may be requested again
-	grants        map[string]bool         // whether Seek brings a permit
+	grants        map[string]bool         // whether RequestPermit brings a permit
 	lostPermits   map[string]int          // how many more permits go to other requests
-	requested     []string                // calls of Seek in order
+	requested     []string                // calls of RequestPermit in order
 	used          []string                // successful calls of Use in order
-	allowProbe    bool                    // result of Seek
+	allowProbe    bool                    // result of RequestPermit
 	probed        map[string]limit.Answer // arguments of Probed
 	answered      map[string]limit.Answer // arguments of Answered
 }
@@ -35,19 +35,19 @@
 	}
 }
 
-func (f *fakeLimits) Probed(e limits.Endpoint, a limit.Answer) {
+func (f *fakeLimits) ObserveProbe(e limits.Endpoint, a limit.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.probed[e.ID] = a
 }
 
-func (f *fakeLimits) Answered(e limits.Endpoint, a limit.Answer) {
+func (f *fakeLimits) ObserveAnswer(e limits.Endpoint, a limit.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.answered[e.ID] = a
 }
 
-func (f *fakeLimits) Quiet() bool { return false }
+func (f *fakeLimits) HasNoLimits() bool { return false }
 
 func (f *fakeLimits) Standing(e limits.Endpoint, now time.Time) (limit.Standing, time.Duration) {
 	f.mu.Lock()
@@ -59,7 +59,7 @@
 	return f.standing[e.ID], max(0, f.withheldUntil[e.ID].Sub(now))
 }
 
-func (f *fakeLimits) Seek(_ context.Context, e limits.Endpoint, _ time.Duration) bool {
+func (f *fakeLimits) RequestPermit(_ context.Context, e limits.Endpoint, _ time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.requested = append(f.requested, e.ID)
@@ -70,7 +70,7 @@
 	return f.allowProbe
 }
 
-func (f *fakeLimits) Use(e limits.Endpoint, _ time.Time) bool {
+func (f *fakeLimits) TakePermit(e limits.Endpoint, _ time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.lostPermits[e.ID] > 0 {
--- a/direct/responses.go
+++ b/direct/responses.go
@@ -25,7 +25,7 @@
 	}
 	e := limits.Endpoint{ID: g.Endpoint.VM, Start: g.Choice.Start, Service: tenant.ServiceName(g.Service), Zone: g.Endpoint.Zone}
 	if c.cfg.Limits != nil {
-		c.cfg.Limits.Answered(e, r.Limit)
+		c.cfg.Limits.ObserveAnswer(e, r.Limit)
 	}
 	c.observe(e, r, sourceResponse)
 	if r.Ran && g.Choice.Trial {
@@ -40,7 +40,7 @@
 		return
 	}
 	if c.cfg.Limits != nil {
-		c.cfg.Limits.Probed(e, r.Limit)
+		c.cfg.Limits.ObserveProbe(e, r.Limit)
 	}
 	c.observe(e, r, sourceProbe)
 }
--- a/direct/said.go
+++ b/direct/said.go
@@ -8,9 +8,9 @@
 	"github.com/lotuswing/lotuswing/directory"
 )
 
-// Said is what operators see of an endpoint that is leaving, or that has asked balancers to send no
-// requests for a while. The field names are also the JSON names.
-type Said struct {
+// EndpointNotice is what operators see of an endpoint that is leaving, or that has asked balancers
+// to send no requests for a while. The field names are also the JSON names.
+type EndpointNotice struct {
 	Endpoint string
 	Service  string
 	Zone     string
@@ -20,11 +20,12 @@
 	Hint     time.Duration // time left of the backoff that another balancer published; 0 for none
 }
 
-// Said returns the endpoints that are leaving, backing off or in slow start, by service and ID.
-func (c *Chooser) Said(now time.Time) []Said {
-	list := []Said{}
+// EndpointNotices returns the endpoints that are leaving, backing off or in slow start, by service
+// and ID.
+func (c *Chooser) EndpointNotices(now time.Time) []EndpointNotice {
+	list := []EndpointNotice{}
 	for _, e := range c.cfg.Directory.Leaving() {
-		list = append(list, Said{Endpoint: e.VM, Service: e.Service, Zone: e.Zone, Leaving: true})
+		list = append(list, EndpointNotice{Endpoint: e.VM, Service: e.Service, Zone: e.Zone, Leaving: true})
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,7 +36,7 @@
 			}
 		}
 	}
-	slices.SortFunc(list, func(a, b Said) int {
+	slices.SortFunc(list, func(a, b EndpointNotice) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 	return list
@@ -43,13 +44,13 @@
 
 // noticeOf returns the backoff, slow start and published backoff of a listed endpoint, and whether
 // it has any of these; c.mu must be held.
-func (c *Chooser) noticeOf(e *directory.Endpoint, now time.Time) (notice Said, found bool) {
+func (c *Chooser) noticeOf(e *directory.Endpoint, now time.Time) (notice EndpointNotice, found bool) {
 	state, ok := c.endpoints[e.VM]
 	if !ok || state.start != e.Start {
-		return Said{}, false
+		return EndpointNotice{}, false
 	}
 	s := state.admission
-	notice = Said{
+	notice = EndpointNotice{
 		Endpoint: e.VM, Service: e.Service, Zone: e.Zone,
 		Backoff: max(0, s.Until().Sub(now)), Slow: s.SlowStart(now), Hint: max(0, s.HintedUntil().Sub(now)),
 	}
@@ -62,8 +63,8 @@
 	return notice, notice.Backoff > 0 || notice.Slow || notice.Hint > 0
 }
 
-// BackingOff returns the number of endpoints that are backing off from this balancer.
-func (c *Chooser) BackingOff(now time.Time) int {
+// BackingOffCount returns the number of endpoints that are backing off from this balancer.
+func (c *Chooser) BackingOffCount(now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
--- a/limits/fleet_test.go
+++ b/limits/fleet_test.go
@@ -125,9 +125,9 @@
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, k := range n.keepers {
 			if s, _ := k.Standing(overloaded, time.Now()); s == limit.Askable {
-				k.Seek(context.Background(), overloaded, 25*time.Millisecond)
+				k.RequestPermit(context.Background(), overloaded, 25*time.Millisecond)
 			}
-			if s, _ := k.Standing(overloaded, time.Now()); s == limit.Held && k.Use(overloaded, time.Now()) {
+			if s, _ := k.Standing(overloaded, time.Now()); s == limit.Held && k.TakePermit(overloaded, time.Now()) {
 				sent++
 			}
 		}
@@ -140,7 +140,7 @@
 func TestFleetSharesLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		n.keepers["b1"].Answered(overloaded, answerNow("2"))
+		n.keepers["b1"].ObserveAnswer(overloaded, answerNow("2"))
 		time.Sleep(10 * time.Millisecond)
 		for addr := range n.keepers {
 			assert.Assert(t, n.standing(addr) != limit.Free, addr)
@@ -151,7 +151,7 @@
 		assert.Assert(t, n.keepers["a0"].List(time.Now())[0].Owns)
 		assert.Equal(t, n.keepers["a0"].List(time.Now())[0].Given, int64(sent))
 
-		n.keepers["a1"].Answered(overloaded, answerNow())
+		n.keepers["a1"].ObserveAnswer(overloaded, answerNow())
 		time.Sleep(2100 * time.Millisecond)
 		for addr := range n.keepers {
 			assert.Equal(t, n.standing(addr), limit.Free, addr)
@@ -166,10 +166,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		for i := range 50 {
-			n.keepers["a1"].Answered(overloaded, answerNow([]string{"1", "9"}[i%2]))
+			n.keepers["a1"].ObserveAnswer(overloaded, answerNow([]string{"1", "9"}[i%2]))
 			time.Sleep(20 * time.Millisecond)
 		}
-		n.keepers["a1"].Answered(overloaded, answerNow("4"))
+		n.keepers["a1"].ObserveAnswer(overloaded, answerNow("4"))
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, n.noteCount() <= 4, "%d notes", n.noteCount())
 		for addr, k := range n.keepers {
@@ -194,7 +194,7 @@
 				n := newNetwork()
 				relays := n.relays
 				for _, k := range n.keepers {
-					k.Answered(overloaded, answerNow("4"))
+					k.ObserveAnswer(overloaded, answerNow("4"))
 				}
 				n.sendAll(5 * time.Second)
 				n.update(func() { c.fail(n) })
@@ -221,7 +221,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		k := limits.New(limits.Config{Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
 		n := &network{keepers: map[string]*limits.Keeper{"": k}}
-		k.Answered(overloaded, answerNow("2"))
+		k.ObserveAnswer(overloaded, answerNow("2"))
 		sent := n.sendAll(10 * time.Second)
 		assert.Assert(t, sent >= 18 && sent <= 22, "%d of 20", sent)
 	})
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -11,11 +11,11 @@
 //
 //	k := limits.New(limits.Config{Addr: link, Log: log, Metrics: registry})
 //	k.SetCarrier(relays)
-//	k.Answered(endpoint, report.Limit)
+//	k.ObserveAnswer(endpoint, report.Limit)
 //	if standing, _ := k.Standing(endpoint, now); standing == limit.Askable {
-//		k.Seek(ctx, endpoint, wait)
+//		k.RequestPermit(ctx, endpoint, wait)
 //	}
-//	if k.Use(endpoint, time.Now()) { send }
+//	if k.TakePermit(endpoint, time.Now()) { send }
 package limits
 
 import (
@@ -115,13 +115,13 @@
 	k.limiter.DropPermits()
 }
 
-// Quiet reports whether no limit is known for any endpoint.
-func (k *Keeper) Quiet() bool { return k.knownCount.Load() == 0 }
+// HasNoLimits reports whether no limit is known for any endpoint.
+func (k *Keeper) HasNoLimits() bool { return k.knownCount.Load() == 0 }
 
 // Standing returns whether a request may be sent to an endpoint and, if not, for how long; 0 if
 // that is unknown.
 func (k *Keeper) Standing(e Endpoint, now time.Time) (limit.Standing, time.Duration) {
-	if k.Quiet() {
+	if k.HasNoLimits() {
 		return limit.Free, 0
 	}
 	k.mu.Lock()
@@ -129,10 +129,10 @@
 	return k.limiter.Standing(e.target(), now)
 }
 
-// Use takes a permit for a request that is sent to an endpoint now, if its limit requires one. It
-// reports whether the request may be sent.
-func (k *Keeper) Use(e Endpoint, now time.Time) bool {
-	if k.Quiet() {
+// TakePermit takes a permit for a request that is sent to an endpoint now, if its limit requires
+// one. It reports whether the request may be sent.
+func (k *Keeper) TakePermit(e Endpoint, now time.Time) bool {
+	if k.HasNoLimits() {
 		return true
 	}
 	k.mu.Lock()
@@ -144,10 +144,10 @@
 	return s.Admits()
 }
 
-// Seek asks the owner of an endpoint for a permit and waits for the reply until within has passed
-// or ctx is done. A later reply is still applied, for use by other requests. mayProbe reports
-// whether the endpoint may be probed to check whether its limit still holds.
-func (k *Keeper) Seek(ctx context.Context, e Endpoint, within time.Duration) (mayProbe bool) {
+// RequestPermit asks the owner of an endpoint for a permit and waits for the reply until within has
+// passed or ctx is done. A later reply is still applied, for use by other requests. mayProbe
+// reports whether the endpoint may be probed to check whether its limit still holds.
+func (k *Keeper) RequestPermit(ctx context.Context, e Endpoint, within time.Duration) (mayProbe bool) {
 	k.mu.Lock()
 	a, ok := k.limiter.Ask(e.target(), time.Now())
 	k.mu.Unlock()
--- a/limits/observe.go
+++ b/limits/observe.go
@@ -15,16 +15,16 @@
 	fromNote     = "note"     // a note published by the owner
 )
 
-// Answered records what an endpoint's answer to a request said about its limit.
-func (k *Keeper) Answered(e Endpoint, a limit.Answer) { k.observe(e, a, fromAnswer) }
+// ObserveAnswer records what an endpoint's answer to a request said about its limit.
+func (k *Keeper) ObserveAnswer(e Endpoint, a limit.Answer) { k.observe(e, a, fromAnswer) }
 
-// Probed records what an endpoint's answer to a probe said about its limit.
-func (k *Keeper) Probed(e Endpoint, a limit.Answer) { k.observe(e, a, fromProbe) }
+// ObserveProbe records what an endpoint's answer to a probe said about its limit.
+func (k *Keeper) ObserveProbe(e Endpoint, a limit.Answer) { k.observe(e, a, fromProbe) }
 
 // observe records what an answer said, and reports it to the owner of the endpoint if that is news
 // to the owner.
 func (k *Keeper) observe(e Endpoint, a limit.Answer, from string) {
-	if a.Said == limit.Nothing && k.Quiet() {
+	if a.Said == limit.Nothing && k.HasNoLimits() {
 		return
 	}
 	k.mu.Lock()
--- a/node/node.go
+++ b/node/node.go
@@ -187,9 +187,9 @@
 	n.homes.tick(n.now())
 }
 
-// Leave announces a planned stop to all peers: they choose other homes and
+// HandOver announces a planned stop to all peers: they choose other homes and
 // send nothing new here. Calls already waiting here are answered.
-func (n *Node) Leave(ctx context.Context) {
+func (n *Node) HandOver(ctx context.Context) {
 	n.members.leave()
 	n.rebuild()
 	for _, m := range n.snapshot.Load().view.Members {
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -29,14 +29,15 @@
 	return fmt.Sprintf("rollout/%s/%d/", service, order)
 }
 
-// Note counts the result of a request at the old or the new version of a service during its rollout.
-func (k *Keeper) Note(t direct.Trial, now time.Time) {
+// RecordOutcome counts the result of a request at the old or the new version of a service during
+// its rollout.
+func (k *Keeper) RecordOutcome(t direct.RolloutOutcome, now time.Time) {
 	r, ok := findRollout(k.cfg.Directory.Snapshot(), t.Service)
 	if !ok || !r.Begun() {
 		return
 	}
 	version := olderVersion
-	if t.Newer {
+	if t.NewVersion {
 		version = newerVersion
 	}
 	key := func(count string) string {
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -133,7 +133,7 @@
 		for i := range 10 {
 			newer := float64((n*10+i)%100) < 100*share
 			failed := newer && i%2 == 0 && fails(w.now.Sub(from))
-			keepers[0].Note(direct.Trial{Service: "s", Kind: "read", Newer: newer, Failed: failed}, w.now)
+			keepers[0].RecordOutcome(direct.RolloutOutcome{Service: "s", Kind: "read", NewVersion: newer, Failed: failed}, w.now)
 		}
 		for _, k := range keepers {
 			k.evaluateAll(context.Background())
--- a/server/admin.go
+++ b/server/admin.go
@@ -114,7 +114,7 @@
 		metrics.GetOrRegisterGauge("evacuated_zones", s.metrics).Update(int64(len(s.directory.Snapshot().Evacuated)))
 	}
 	if s.direct != nil {
-		metrics.GetOrRegisterGauge("endpoints_backing_off", s.metrics).Update(int64(s.direct.BackingOff(time.Now())))
+		metrics.GetOrRegisterGauge("endpoints_backing_off", s.metrics).Update(int64(s.direct.BackingOffCount(time.Now())))
 		metrics.GetOrRegisterGauge("endpoints_leaving", s.metrics).Update(int64(len(s.directory.Leaving())))
 	}
 	if s.limits != nil {
--- a/server/chooser.go
+++ b/server/chooser.go
@@ -23,8 +23,8 @@
 // balancers.
 type chooser interface {
 	balancer.Chooser
-	// Leave announces a planned stop.
-	Leave(ctx context.Context)
+	// HandOver announces a planned stop.
+	HandOver(ctx context.Context)
 	Close()
 }
 
@@ -95,10 +95,10 @@
 	cfg := direct.Config{
 		ID: s.cfg.Settings.ID, Zone: s.cfg.Settings.Zone, Regions: s.cfg.Settings.Regions, Directory: s.directory, Client: s.cfg.Policy.Client,
 		Log: s.cfg.Log.Named("choice"), Metrics: s.metrics, Stop: stop, Suspensions: s.suspended,
-		Limits: s.limits, Tell: s.tell,
+		Limits: s.limits, Publish: s.tell,
 	}
 	if s.keeper != nil {
-		cfg.Evidence = s.rollouts
+		cfg.RolloutRecorder = s.rollouts
 	}
 	if s.relays != nil {
 		cfg.Handover = s.relays.Leave
@@ -158,7 +158,7 @@
 	return quarantine.New(quarantine.Config{
 		ID: s.cfg.Settings.ID, Log: s.cfg.Log.Named("quarantine"), Metrics: s.metrics,
 		Endpoints: s.directory, Prober: s.cfg.Policy.Client, Registry: s.cfg.Relays, Tell: s.tell, Serving: s.serving,
-		Willing: func(endpoint string) bool { return s.direct.Willing(endpoint, time.Now()) },
+		Willing: func(endpoint string) bool { return s.direct.MayProbe(endpoint, time.Now()) },
 	})
 }
 
@@ -177,7 +177,7 @@
 	case limits.Topic:
 		err = s.limits.Hear(n)
 	case direct.LeavingTopic, direct.BackoffTopic:
-		err = s.direct.HearNote(n)
+		err = s.direct.HandleNote(n)
 	case rollout.Topic:
 		err = s.rollouts.Hear(n)
 	default:
--- a/server/said.go
+++ b/server/said.go
@@ -12,7 +12,7 @@
 
 // SaidStatus is what one endpoint has said of itself in its answers. Its names are the JSON's.
 type SaidStatus struct {
-	direct.Said
+	direct.EndpointNotice
 	Limit *limits.Status `json:",omitempty"` // that it names or has named
 }
 
@@ -30,8 +30,8 @@
 	if s.direct == nil {
 		return list
 	}
-	for _, e := range s.direct.Said(now) {
-		list = append(list, SaidStatus{Said: e})
+	for _, e := range s.direct.EndpointNotices(now) {
+		list = append(list, SaidStatus{EndpointNotice: e})
 	}
 	for _, l := range s.limitList() {
 		list = withLimit(list, l)
@@ -46,7 +46,7 @@
 func withLimit(list []SaidStatus, l limits.Status) []SaidStatus {
 	i := slices.IndexFunc(list, func(s SaidStatus) bool { return s.Endpoint == l.Endpoint })
 	if i < 0 {
-		i, list = len(list), append(list, SaidStatus{Said: direct.Said{Endpoint: l.Endpoint, Service: l.Service, Zone: l.Zone}})
+		i, list = len(list), append(list, SaidStatus{EndpointNotice: direct.EndpointNotice{Endpoint: l.Endpoint, Service: l.Service, Zone: l.Zone}})
 	}
 	list[i].Limit = &l
 	return list
--- a/server/stop.go
+++ b/server/stop.go
@@ -39,7 +39,7 @@
 func (s *Server) announce(ctx context.Context, notice time.Duration) {
 	left := make(chan struct{})
 	go func() {
-		s.chooser.Leave(ctx)
+		s.chooser.HandOver(ctx)
 		close(left)
 	}()
 	pause.For(ctx, notice)
--- a/server/stop_test.go
+++ b/server/stop_test.go
@@ -15,7 +15,7 @@
 	takes time.Duration
 }
 
-func (f slowChooser) Leave(context.Context) { time.Sleep(f.takes) }
+func (f slowChooser) HandOver(context.Context) { time.Sleep(f.takes) }
 
 // TestHandingOverTakesNoPartOfTheGrace, and is waited for. Time is virtual.
 func TestHandingOverTakesNoPartOfTheGrace(t *testing.T) {
