--- a/balancer/report_test.go
+++ b/balancer/report_test.go
@@ -38,7 +38,7 @@
 		b.chooser.mu.Unlock()
 		assert.Equal(t, len(reports), len(scripted.Requests()), "%s: number of reports", status)
 		assert.Equal(t, reports[0].vm, "odd")
-		want := admission.Word{Leaving: true}
+		want := admission.Signal{Leaving: true}
 		if strings.HasPrefix(status, "503") {
 			want.Backoff = 3 * time.Second
 		}
--- a/coord/admission/admission.go
+++ b/coord/admission/admission.go
@@ -12,8 +12,8 @@
 //
 // # Usage
 //
-//	state = state.With(admission.Word{Backoff: 3 * time.Second}, now)
-//	d := admission.Decide(admission.Facts{Usable: true, State: state, Lot: rng.Float64()}, now)
+//	state = state.With(admission.Signal{Backoff: 3 * time.Second}, now)
+//	d := admission.Decide(admission.Facts{Usable: true, State: state, Random: rng.Float64()}, now)
 //	if d.Access == admission.Open { send }
 package admission
 
@@ -31,7 +31,7 @@
 	// LimitOpens is how long it still gets no requests because of that limit; 0 if unknown.
 	Limit      limit.Standing
 	LimitOpens time.Duration
-	Lot        float64 // random number in [0,1) for this request and endpoint
+	Random     float64 // random number in [0,1) for this request and endpoint
 	Priority   int     // priority of the request; 0 is the most urgent
 }
 
@@ -40,10 +40,10 @@
 
 // The values of Access.
 const (
-	Open    Access = iota // it may be sent
-	Askable               // it may be sent if the owner of the endpoint's limit grants a permit
-	Shut                  // it may not be sent now
-	Never                 // no request may be sent to this incarnation any more
+	Open     Access = iota // it may be sent
+	Askable                // it may be sent if the owner of the endpoint's limit grants a permit
+	Closed                 // it may not be sent now
+	Excluded               // no request may be sent to this incarnation any more
 )
 
 // Cause says why a request may not be sent to an endpoint now.
@@ -72,7 +72,7 @@
 	// Deferred says that the endpoint is likely to refuse the request, so other endpoints are
 	// preferred.
 	Deferred bool
-	OpensIn  time.Duration // if Access is Shut, the time until that may change; 0 if unknown
+	OpensIn  time.Duration // if Access is Closed, the time until that may change; 0 if unknown
 }
 
 // Admits reports whether the request may be sent to the endpoint now.
@@ -83,7 +83,7 @@
 func Decide(f Facts, now time.Time) Decision {
 	switch {
 	case !f.Usable:
-		return Decision{Access: Never, Cause: Unusable}
+		return Decision{Access: Excluded, Cause: Unusable}
 	case f.State.isEmpty():
 		return f.decideFromLimit()
 	}
@@ -93,36 +93,36 @@
 // decideFromState returns the decision for an endpoint whose state is not empty: it has asked for
 // a backoff, is leaving, or a hint about it has arrived.
 func (f *Facts) decideFromState(now time.Time) Decision {
-	admitsAt, trialDeadline := f.State.own.admitsAt(f.Lot, f.Priority), f.State.trialDeadline(now)
+	admitsAt, trialDeadline := f.State.own.admitsAt(f.Random, f.Priority), f.State.trialDeadline(now)
 	switch {
 	case f.State.Leaving():
-		return Decision{Access: Never, Cause: Leaving}
+		return Decision{Access: Excluded, Cause: Leaving}
 	case f.State.BackingOff(now):
-		return Decision{Access: Shut, Cause: BackingOff, OpensIn: admitsAt.Sub(now)}
+		return Decision{Access: Closed, Cause: BackingOff, OpensIn: admitsAt.Sub(now)}
 	case now.Before(admitsAt):
-		return Decision{Access: Shut, Cause: SlowStart, OpensIn: admitsAt.Sub(now)}
+		return Decision{Access: Closed, Cause: SlowStart, OpensIn: admitsAt.Sub(now)}
 	case now.Before(trialDeadline):
-		return Decision{Access: Shut, Cause: SlowStart, OpensIn: trialDeadline.Sub(now)}
+		return Decision{Access: Closed, Cause: SlowStart, OpensIn: trialDeadline.Sub(now)}
 	}
 	d := f.decideFromLimit()
-	d.Deferred = d.Admits() && now.Before(f.State.hinted.admitsAt(f.Lot, f.Priority))
+	d.Deferred = d.Admits() && now.Before(f.State.hinted.admitsAt(f.Random, f.Priority))
 	return d
 }
 
 // decideFromLimit returns the decision that follows from the limit of the endpoint alone.
 func (f *Facts) decideFromLimit() Decision {
 	switch f.Limit {
-	case limit.Withheld:
-		return Decision{Access: Shut, Cause: Limited, OpensIn: f.LimitOpens}
+	case limit.Denied:
+		return Decision{Access: Closed, Cause: Limited, OpensIn: f.LimitOpens}
 	case limit.Askable:
 		return Decision{Access: Askable, Cause: Limited}
-	case limit.Free, limit.Held:
+	case limit.Unlimited, limit.Permitted:
 	}
-	return Decision{Held: f.Limit == limit.Held}
+	return Decision{Held: f.Limit == limit.Permitted}
 }
 
-// Willing reports whether an endpoint may still get a request for which it was chosen earlier: it
-// is usable, not leaving and not backing off.
-func Willing(usable bool, s State, now time.Time) bool {
+// AcceptsChosen reports whether an endpoint may still get a request for which it was chosen
+// earlier: it is usable, not leaving and not backing off.
+func AcceptsChosen(usable bool, s State, now time.Time) bool {
 	return usable && !s.Leaving() && !s.BackingOff(now)
 }
--- a/coord/admission/admission_test.go
+++ b/coord/admission/admission_test.go
@@ -15,11 +15,11 @@
 func after(d time.Duration) time.Time { return testStart.Add(d) }
 
 // backingOff is the state of an endpoint that asked for a backoff at testStart.
-var backingOff = admission.State{}.With(admission.Word{Backoff: backoff}, testStart)
+var backingOff = admission.State{}.With(admission.Signal{Backoff: backoff}, testStart)
 
 // TestDecide checks the decision for each combination of facts.
 func TestDecide(t *testing.T) {
-	leaving := admission.State{}.With(admission.Word{Leaving: true}, testStart)
+	leaving := admission.State{}.With(admission.Signal{Leaving: true}, testStart)
 	recovered := backingOff.WithRun(after(backoff + time.Millisecond))
 	onTrial := backingOff.WithSent(after(backoff))
 	for _, c := range []struct {
@@ -29,23 +29,23 @@
 		want  admission.Decision
 	}{
 		{"nothing said", admission.Facts{Usable: true}, 0, admission.Decision{}},
-		{"not listed", admission.Facts{}, 0, admission.Decision{Access: admission.Never, Cause: admission.Unusable}},
-		{"leaving", admission.Facts{Usable: true, State: leaving}, 0, admission.Decision{Access: admission.Never, Cause: admission.Leaving}},
-		{"leaving and backing off", admission.Facts{Usable: true, State: backingOff.With(admission.Word{Leaving: true}, testStart)}, time.Hour, admission.Decision{Access: admission.Never, Cause: admission.Leaving}},
-		{"backing off", admission.Facts{Usable: true, State: backingOff}, time.Second, admission.Decision{Access: admission.Shut, Cause: admission.BackingOff, OpensIn: 2 * time.Second}},
-		{"just before the backoff ends", admission.Facts{Usable: true, State: backingOff}, backoff - 1, admission.Decision{Access: admission.Shut, Cause: admission.BackingOff, OpensIn: 1}},
+		{"not listed", admission.Facts{}, 0, admission.Decision{Access: admission.Excluded, Cause: admission.Unusable}},
+		{"leaving", admission.Facts{Usable: true, State: leaving}, 0, admission.Decision{Access: admission.Excluded, Cause: admission.Leaving}},
+		{"leaving and backing off", admission.Facts{Usable: true, State: backingOff.With(admission.Signal{Leaving: true}, testStart)}, time.Hour, admission.Decision{Access: admission.Excluded, Cause: admission.Leaving}},
+		{"backing off", admission.Facts{Usable: true, State: backingOff}, time.Second, admission.Decision{Access: admission.Closed, Cause: admission.BackingOff, OpensIn: 2 * time.Second}},
+		{"just before the backoff ends", admission.Facts{Usable: true, State: backingOff}, backoff - 1, admission.Decision{Access: admission.Closed, Cause: admission.BackingOff, OpensIn: 1}},
 		{"the backoff has ended", admission.Facts{Usable: true, State: backingOff}, backoff, admission.Decision{}},
-		{"the backoff has ended, lot of 0.5", admission.Facts{Usable: true, State: backingOff, Lot: 0.5}, backoff, admission.Decision{Access: admission.Shut, Cause: admission.SlowStart, OpensIn: time.Second}},
-		{"half of the slow start, lot of 0.5", admission.Facts{Usable: true, State: backingOff, Lot: 0.5}, backoff + time.Second, admission.Decision{}},
-		{"trial in flight", admission.Facts{Usable: true, State: onTrial}, backoff + 400*time.Millisecond, admission.Decision{Access: admission.Shut, Cause: admission.SlowStart, OpensIn: 600 * time.Millisecond}},
+		{"the backoff has ended, random of 0.5", admission.Facts{Usable: true, State: backingOff, Random: 0.5}, backoff, admission.Decision{Access: admission.Closed, Cause: admission.SlowStart, OpensIn: time.Second}},
+		{"half of the slow start, random of 0.5", admission.Facts{Usable: true, State: backingOff, Random: 0.5}, backoff + time.Second, admission.Decision{}},
+		{"trial in flight", admission.Facts{Usable: true, State: onTrial}, backoff + 400*time.Millisecond, admission.Decision{Access: admission.Closed, Cause: admission.SlowStart, OpensIn: 600 * time.Millisecond}},
 		{"trial timed out", admission.Facts{Usable: true, State: onTrial}, backoff + time.Second, admission.Decision{}},
-		{"after the slow start", admission.Facts{Usable: true, State: onTrial, Lot: 0.999}, backoff + 2*time.Second, admission.Decision{}},
+		{"after the slow start", admission.Facts{Usable: true, State: onTrial, Random: 0.999}, backoff + 2*time.Second, admission.Decision{}},
 		{"recovered", admission.Facts{Usable: true, State: recovered.WithSent(after(backoff + 10*time.Millisecond))}, backoff + 20*time.Millisecond, admission.Decision{}},
-		{"recovered, lot of 0.5", admission.Facts{Usable: true, State: recovered, Lot: 0.5}, backoff + 20*time.Millisecond, admission.Decision{Access: admission.Shut, Cause: admission.SlowStart, OpensIn: 980 * time.Millisecond}},
-		{"no permit under its limit", admission.Facts{Usable: true, Limit: limit.Withheld, LimitOpens: 7}, 0, admission.Decision{Access: admission.Shut, Cause: admission.Limited, OpensIn: 7}},
+		{"recovered, random of 0.5", admission.Facts{Usable: true, State: recovered, Random: 0.5}, backoff + 20*time.Millisecond, admission.Decision{Access: admission.Closed, Cause: admission.SlowStart, OpensIn: 980 * time.Millisecond}},
+		{"no permit under its limit", admission.Facts{Usable: true, Limit: limit.Denied, LimitOpens: 7}, 0, admission.Decision{Access: admission.Closed, Cause: admission.Limited, OpensIn: 7}},
 		{"owner may grant a permit", admission.Facts{Usable: true, Limit: limit.Askable}, 0, admission.Decision{Access: admission.Askable, Cause: admission.Limited}},
-		{"owner has granted a permit", admission.Facts{Usable: true, Limit: limit.Held}, 0, admission.Decision{Held: true}},
-		{"permit, and backing off", admission.Facts{Usable: true, State: backingOff, Limit: limit.Held}, time.Second, admission.Decision{Access: admission.Shut, Cause: admission.BackingOff, OpensIn: 2 * time.Second}},
+		{"owner has granted a permit", admission.Facts{Usable: true, Limit: limit.Permitted}, 0, admission.Decision{Held: true}},
+		{"permit, and backing off", admission.Facts{Usable: true, State: backingOff, Limit: limit.Permitted}, time.Second, admission.Decision{Access: admission.Closed, Cause: admission.BackingOff, OpensIn: 2 * time.Second}},
 	} {
 		assert.Equal(t, admission.Decide(c.facts, after(c.at)), c.want, c.name)
 	}
@@ -54,19 +54,19 @@
 // TestLeavingAndBackoffAreNotRevoked checks that later answers, and answers to earlier requests,
 // neither shorten a backoff nor revoke that an endpoint is leaving.
 func TestLeavingAndBackoffAreNotRevoked(t *testing.T) {
-	shorter := backingOff.With(admission.Word{Backoff: time.Second}, after(time.Second))
-	assert.Equal(t, shorter.Until(), after(backoff), "a shorter backoff")
-	assert.Equal(t, backingOff.With(admission.Word{}, after(time.Second)).Until(), after(backoff), "no backoff")
-	assert.Equal(t, backingOff.WithRun(after(-time.Second)).Until(), after(backoff), "an answer to an earlier request")
-	longer := backingOff.With(admission.Word{Backoff: backoff}, after(time.Second))
-	assert.Equal(t, longer.Until(), after(backoff+time.Second), "a longer backoff")
-	assert.Assert(t, backingOff.With(admission.Word{Leaving: true}, testStart).With(admission.Word{}, after(time.Hour)).Leaving())
+	shorter := backingOff.With(admission.Signal{Backoff: time.Second}, after(time.Second))
+	assert.Equal(t, shorter.BackoffUntil(), after(backoff), "a shorter backoff")
+	assert.Equal(t, backingOff.With(admission.Signal{}, after(time.Second)).BackoffUntil(), after(backoff), "no backoff")
+	assert.Equal(t, backingOff.WithRun(after(-time.Second)).BackoffUntil(), after(backoff), "an answer to an earlier request")
+	longer := backingOff.With(admission.Signal{Backoff: backoff}, after(time.Second))
+	assert.Equal(t, longer.BackoffUntil(), after(backoff+time.Second), "a longer backoff")
+	assert.Assert(t, backingOff.With(admission.Signal{Leaving: true}, testStart).With(admission.Signal{}, after(time.Hour)).Leaving())
 }
 
 // TestSuspensionShortensBackoff checks that the time for which the VM was suspended counts towards
 // a backoff, although its clock stood still.
 func TestSuspensionShortensBackoff(t *testing.T) {
-	assert.Equal(t, backingOff.WithSuspension(time.Second).Until(), after(backoff-time.Second))
+	assert.Equal(t, backingOff.WithSuspension(time.Second).BackoffUntil(), after(backoff-time.Second))
 	assert.Equal(t, admission.State{}.WithSuspension(time.Second), admission.State{})
 }
 
@@ -75,8 +75,8 @@
 func TestUrgentRequestsAreReadmittedFirst(t *testing.T) {
 	at := after(backoff + time.Second) // in the middle of the slow start
 	admitted := func(priority int) (n int) {
-		for lot := range 100 {
-			if admission.Decide(admission.Facts{Usable: true, State: backingOff, Lot: float64(lot) / 100, Priority: priority}, at).Admits() {
+		for random := range 100 {
+			if admission.Decide(admission.Facts{Usable: true, State: backingOff, Random: float64(random) / 100, Priority: priority}, at).Admits() {
 				n++
 			}
 		}
@@ -88,9 +88,9 @@
 // TestWilling checks that a request for which an endpoint was chosen earlier is sent only if the
 // endpoint is neither leaving nor backing off.
 func TestWilling(t *testing.T) {
-	assert.Assert(t, admission.Willing(true, admission.State{}, testStart))
-	assert.Assert(t, !admission.Willing(false, admission.State{}, testStart))
-	assert.Assert(t, !admission.Willing(true, backingOff, after(time.Second)))
-	assert.Assert(t, admission.Willing(true, backingOff, after(backoff)))
-	assert.Assert(t, !admission.Willing(true, backingOff.With(admission.Word{Leaving: true}, testStart), after(time.Hour)))
+	assert.Assert(t, admission.AcceptsChosen(true, admission.State{}, testStart))
+	assert.Assert(t, !admission.AcceptsChosen(false, admission.State{}, testStart))
+	assert.Assert(t, !admission.AcceptsChosen(true, backingOff, after(time.Second)))
+	assert.Assert(t, admission.AcceptsChosen(true, backingOff, after(backoff)))
+	assert.Assert(t, !admission.AcceptsChosen(true, backingOff.With(admission.Signal{Leaving: true}, testStart), after(time.Hour)))
 }
--- a/coord/admission/fleet_test.go
+++ b/coord/admission/fleet_test.go
@@ -27,9 +27,9 @@
 	backedOff(d time.Duration, now time.Time) strategy
 	sent(now time.Time) strategy
 	ran(sent, now time.Time) strategy
-	admitsAt(lot float64, now time.Time) time.Time // now or earlier if the request may be sent
+	admitsAt(random float64, now time.Time) time.Time // now or earlier if the request may be sent
 	hinted(d time.Duration, now time.Time) strategy
-	deferred(lot float64, now time.Time) bool
+	deferred(random float64, now time.Time) bool
 }
 
 // noHints is embedded in strategies that ignore hints.
@@ -41,20 +41,20 @@
 type slowStarting struct{ admission.State }
 
 func (s slowStarting) backedOff(d time.Duration, now time.Time) strategy {
-	return slowStarting{s.With(admission.Word{Backoff: d}, now)}
+	return slowStarting{s.With(admission.Signal{Backoff: d}, now)}
 }
 func (s slowStarting) sent(now time.Time) strategy    { return slowStarting{s.WithSent(now)} }
 func (s slowStarting) ran(sent, _ time.Time) strategy { return slowStarting{s.WithRun(sent)} }
-func (s slowStarting) admitsAt(lot float64, now time.Time) time.Time {
-	return now.Add(admission.Decide(admission.Facts{Usable: true, State: s.State, Lot: lot}, now).OpensIn)
+func (s slowStarting) admitsAt(random float64, now time.Time) time.Time {
+	return now.Add(admission.Decide(admission.Facts{Usable: true, State: s.State, Random: random}, now).OpensIn)
 }
 
 func (s slowStarting) hinted(d time.Duration, now time.Time) strategy {
 	return slowStarting{s.WithHint(d, now)}
 }
 
-func (s slowStarting) deferred(lot float64, now time.Time) bool {
-	return admission.Decide(admission.Facts{Usable: true, State: s.State, Lot: lot}, now).Deferred
+func (s slowStarting) deferred(random float64, now time.Time) bool {
+	return admission.Decide(admission.Facts{Usable: true, State: s.State, Random: random}, now).Deferred
 }
 
 // immediate sends all requests again as soon as the backoff ends.
@@ -263,11 +263,11 @@
 	first := f.rng.IntN(len(f.inFlight))
 	for i := range f.inFlight {
 		e := (first + i) % len(f.inFlight)
-		lot := f.rng.Float64()
-		if e == tried || !deferred && f.strategies[b][e].deferred(lot, now) {
+		random := f.rng.Float64()
+		if e == tried || !deferred && f.strategies[b][e].deferred(random, now) {
 			continue
 		}
-		at := f.strategies[b][e].admitsAt(lot, now)
+		at := f.strategies[b][e].admitsAt(random, now)
 		if !at.After(now) {
 			return e, at
 		}
--- a/coord/admission/hints.go
+++ b/coord/admission/hints.go
@@ -23,14 +23,14 @@
 	heard, own []time.Time // times of all hints, and of those that this balancer sent, within hintWindow
 }
 
-// Told returns the count after this balancer sent a hint at now.
-func (h Hints) Told(now time.Time) Hints {
+// WithSent returns the count after this balancer sent a hint at now.
+func (h Hints) WithSent(now time.Time) Hints {
 	h.own = append(recent(h.own, now), now)
-	return h.Heard(now)
+	return h.WithReceived(now)
 }
 
-// Heard returns the count after another balancer sent a hint that arrived at now.
-func (h Hints) Heard(now time.Time) Hints {
+// WithReceived returns the count after another balancer sent a hint that arrived at now.
+func (h Hints) WithReceived(now time.Time) Hints {
 	h.heard = append(recent(h.heard, now), now)
 	return h
 }
--- a/coord/admission/model_test.go
+++ b/coord/admission/model_test.go
@@ -29,8 +29,8 @@
 )
 
 // decide returns the decision about a request at m.now.
-func (m *model) decide(lot float64, priority int) admission.Decision {
-	return admission.Decide(admission.Facts{Usable: true, State: m.state, Lot: lot, Priority: priority}, m.now)
+func (m *model) decide(random float64, priority int) admission.Decision {
+	return admission.Decide(admission.Facts{Usable: true, State: m.state, Random: random, Priority: priority}, m.now)
 }
 
 // step performs a random operation.
@@ -39,7 +39,7 @@
 	case 0:
 		m.now = m.now.Add(time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "passes")))
 	case 1: // an answer, which may arrive late
-		w := admission.Word{Leaving: rapid.IntRange(0, 30).Draw(t, "leaves") == 0}
+		w := admission.Signal{Leaving: rapid.IntRange(0, 30).Draw(t, "leaves") == 0}
 		w.Backoff = time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "backoff"))
 		heard := m.now.Add(-time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "late")))
 		m.state = m.state.With(w, heard)
@@ -52,7 +52,7 @@
 		m.state = m.state.WithHint(time.Duration(rapid.Int64Range(-1, int64(5*time.Second)).Draw(t, "hint")), m.now)
 		m.hinted = true
 	case 3:
-		if m.decide(rapid.Float64Range(0, 0.999).Draw(t, "lot"), 0).Admits() {
+		if m.decide(rapid.Float64Range(0, 0.999).Draw(t, "random"), 0).Admits() {
 			if inSlowStart := m.until.Before(m.now.Add(1)) && m.now.Before(m.until.Add(m.slow)); inSlowStart {
 				m.trialSent = m.now
 			}
@@ -72,44 +72,44 @@
 			m.trialSent = m.trialSent.Add(-suspended)
 		}
 	case 6:
-		m.state = admission.Restore(m.state.Snapshot()).With(admission.Word{Leaving: m.leaving}, m.now).WithHint(0, m.now)
+		m.state = admission.Restore(m.state.Snapshot()).With(admission.Signal{Leaving: m.leaving}, m.now).WithHint(0, m.now)
 		m.hinted = false
 	}
 }
 
 // check compares a random decision with the model.
 func (m *model) check(t *rapid.T) {
-	lot, priority := rapid.Float64Range(0, 0.999).Draw(t, "checked lot"), rapid.IntRange(0, 3).Draw(t, "priority")
-	d := m.decide(lot, priority)
+	random, priority := rapid.Float64Range(0, 0.999).Draw(t, "checked random"), rapid.IntRange(0, 3).Draw(t, "priority")
+	d := m.decide(random, priority)
 	switch {
 	case m.leaving:
-		assert.Equal(t, d.Access, admission.Never, "the endpoint is leaving")
-		assert.Assert(t, !admission.Willing(true, m.state, m.now))
+		assert.Equal(t, d.Access, admission.Excluded, "the endpoint is leaving")
+		assert.Assert(t, !admission.AcceptsChosen(true, m.state, m.now))
 		return
 	case m.now.Before(m.until):
-		assert.Equal(t, d.Access, admission.Shut, "%v before the backoff ends", m.until.Sub(m.now))
+		assert.Equal(t, d.Access, admission.Closed, "%v before the backoff ends", m.until.Sub(m.now))
 		assert.Assert(t, m.now.Add(d.OpensIn).Sub(m.until) >= 0, "opens %v early", m.until.Sub(m.now.Add(d.OpensIn)))
-		assert.Assert(t, !admission.Willing(true, m.state, m.now))
+		assert.Assert(t, !admission.AcceptsChosen(true, m.state, m.now))
 	case !m.now.Before(m.until.Add(m.slow)):
 		assert.Equal(t, d.Access, admission.Open, "the slow start is over")
 	case !m.recovered && !m.trialSent.IsZero() && m.now.Before(m.trialSent.Add(trialTimeout)) && !m.trialSent.Before(m.until):
-		assert.Equal(t, d.Access, admission.Shut, "a trial is in flight")
+		assert.Equal(t, d.Access, admission.Closed, "a trial is in flight")
 	}
-	if d.Access == admission.Shut {
+	if d.Access == admission.Closed {
 		assert.Assert(t, d.OpensIn > 0 && d.OpensIn <= max(0, m.until.Sub(m.now))+maxSlowStart, "%v", d.OpensIn)
 		at := m.now.Add(d.OpensIn)
-		later := admission.Decide(admission.Facts{Usable: true, State: m.state, Lot: lot, Priority: priority}, at)
+		later := admission.Decide(admission.Facts{Usable: true, State: m.state, Random: random, Priority: priority}, at)
 		assert.Assert(t, later.Cause != admission.BackingOff, "still backing off at OpensIn")
 	}
 	if d.Deferred {
 		assert.Assert(t, m.hinted, "no hint was received")
 	}
-	if m.decide(lot, priority+1).Admits() {
+	if m.decide(random, priority+1).Admits() {
 		assert.Assert(t, d.Admits(), "a less urgent request is admitted")
 	}
-	shut := admission.Decide(admission.Facts{Usable: true, State: m.state, Limit: limit.Withheld, Lot: lot}, m.now)
-	assert.Assert(t, !shut.Admits(), "the limit was ignored")
-	assert.Equal(t, admission.Decide(admission.Facts{State: m.state, Lot: lot}, m.now).Access, admission.Never, "an unlisted endpoint gets no requests")
+	closed := admission.Decide(admission.Facts{Usable: true, State: m.state, Limit: limit.Denied, Random: random}, m.now)
+	assert.Assert(t, !closed.Admits(), "the limit was ignored")
+	assert.Equal(t, admission.Decide(admission.Facts{State: m.state, Random: random}, m.now).Access, admission.Excluded, "an unlisted endpoint gets no requests")
 }
 
 // TestModel performs random sequences of answers, some of them late, requests, hints, suspensions
@@ -144,13 +144,13 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(100*time.Millisecond)).Draw(t, "passes")))
 			if rapid.Bool().Draw(t, "heard") {
-				h, heard = h.Heard(now), append(heard, now)
+				h, heard = h.WithReceived(now), append(heard, now)
 				continue
 			}
 			allowed := h.Allow(admission.State{}, now)
 			assert.Equal(t, allowed, within(told) < 2 && within(heard)+within(told) < 20)
 			if allowed {
-				h, told = h.Told(now), append(told, now)
+				h, told = h.WithSent(now), append(told, now)
 			}
 			assert.Assert(t, !h.Allow(admission.State{}.WithHint(time.Second, now), now), "a hint is in force")
 		}
--- a/coord/admission/state.go
+++ b/coord/admission/state.go
@@ -43,9 +43,9 @@
 // With returns the state after an answer that arrived at heard. Nothing revokes what an answer
 // said, since answers may arrive out of order: an endpoint that is leaving does not return, and a
 // backoff lasts until the latest end that was asked for.
-func (s State) With(w Word, heard time.Time) State {
-	s.leaving = s.leaving || w.Leaving
-	if b := newBackoff(w.Backoff, heard); w.Backoff > 0 && b.until.After(s.own.until) {
+func (s State) With(signal Signal, heard time.Time) State {
+	s.leaving = s.leaving || signal.Leaving
+	if b := newBackoff(signal.Backoff, heard); signal.Backoff > 0 && b.until.After(s.own.until) {
 		s.own, s.recovered, s.trialSent = b, false, time.Time{}
 	}
 	return s
@@ -91,8 +91,8 @@
 // Leaving reports whether the endpoint has said that it is leaving.
 func (s State) Leaving() bool { return s.leaving }
 
-// Until returns when the endpoint's backoff ends; zero if it has never asked for one.
-func (s State) Until() time.Time { return s.own.until }
+// BackoffUntil returns when the endpoint's backoff ends; zero if it has never asked for one.
+func (s State) BackoffUntil() time.Time { return s.own.until }
 
 // BackingOff reports whether the endpoint wants no requests from this balancer at now.
 func (s State) BackingOff(now time.Time) bool { return now.Before(s.own.until) }
@@ -108,16 +108,16 @@
 
 // admitsAt returns when a request may be sent to the endpoint as far as the backoff is concerned;
 // zero if there was none. During the slow start the share of requests that may be sent grows to
-// all of them. lot, a random number in [0,1) for the request and the endpoint, is the position of
-// the request among them. Each balancer applies the share to its own requests, so it need not know
-// how many balancers there are. More urgent requests, which have lower priority numbers, are
+// all of them. random, a random number in [0,1) for the request and the endpoint, is the position
+// of the request among them. Each balancer applies the share to its own requests, so it need not
+// know how many balancers there are. More urgent requests, which have lower priority numbers, are
 // admitted earlier.
-func (b backoff) admitsAt(lot float64, priority int) time.Time {
+func (b backoff) admitsAt(random float64, priority int) time.Time {
 	if b.until.IsZero() {
 		return time.Time{}
 	}
 	exponent := 1 / float64(1+max(0, priority))
-	return b.until.Add(time.Duration(float64(b.slowStart) * math.Pow(lot, exponent)))
+	return b.until.Add(time.Duration(float64(b.slowStart) * math.Pow(random, exponent)))
 }
 
 // HintedUntil returns when the hinted backoff ends; zero if there was no hint.
--- a/coord/budget/account.go
+++ b/coord/budget/account.go
@@ -36,9 +36,9 @@
 	return a, ok
 }
 
-// Holds reports whether the term is valid at now. Call it again just before sending a measurement
-// that Spend has allowed: the process may have been paused in between.
-func (a Account) Holds(now time.Time) bool { return a.term.Valid(now) }
+// TermValid reports whether the term is valid at now. Call it again just before sending a
+// measurement that Spend has allowed: the process may have been paused in between.
+func (a Account) TermValid(now time.Time) bool { return a.term.Valid(now) }
 
 // Term returns the lease term that the account belongs to.
 func (a Account) Term() lease.Term { return a.term }
--- a/coord/budget/account_test.go
+++ b/coord/budget/account_test.go
@@ -122,7 +122,7 @@
 		w.checkAndSend(h)
 		return
 	}
-	if h.account.Holds(w.now) && w.rng.IntN(100) == 0 { // planned shutdown
+	if h.account.TermValid(w.now) && w.rng.IntN(100) == 0 { // planned shutdown
 		h.account = budget.Account{}
 		_ = h.keeper.Release(context.Background())
 		h.renewedAt = w.now.Add(ttl)
@@ -151,7 +151,7 @@
 // checkAndSend checks the term a last time and sends the measurement, unless the holder is paused
 // in between.
 func (w *simulation) checkAndSend(h *holder) {
-	if !h.account.Holds(w.now) {
+	if !h.account.TermValid(w.now) {
 		return
 	}
 	if w.pendingLate < 1 && w.maybePause(h, 60) {
@@ -204,5 +204,5 @@
 	_, ok = a.Spend(now.Add(ttl), cost)
 	assert.Assert(t, !ok)
 	// A measurement that was charged before a pause is not sent after the term has ended.
-	assert.Assert(t, a.Holds(now) && !a.Holds(now.Add(ttl)))
+	assert.Assert(t, a.TermValid(now) && !a.TermValid(now.Add(ttl)))
 }
--- a/coord/contract/admit.go
+++ b/coord/contract/admit.go
@@ -84,8 +84,8 @@
 	var next time.Duration
 	for _, s := range l.order {
 		until := s.health.EjectedUntil()
-		if s.admission.Until().After(until) {
-			until = s.admission.Until()
+		if s.admission.BackoffUntil().After(until) {
+			until = s.admission.BackoffUntil()
 		}
 		if left := until.Sub(now); !s.leaving && left > 0 && (next == 0 || left < next) {
 			next = left
--- a/coord/contract/ledger.go
+++ b/coord/contract/ledger.go
@@ -132,7 +132,7 @@
 // Backoff notes that an endpoint wants no requests for a while.
 func (l *Ledger) Backoff(now time.Time, vm string, d time.Duration) {
 	if s, ok := l.endpoints[vm]; ok {
-		s.admission = s.admission.With(admission.Word{Backoff: d}, now)
+		s.admission = s.admission.With(admission.Signal{Backoff: d}, now)
 	}
 }
 
--- a/coord/limit/fleet_test.go
+++ b/coord/limit/fleet_test.go
@@ -179,14 +179,14 @@
 func (f *fleet) answer(n *node, asked time.Time, probe bool) {
 	rate, said := Parse(headerValues(f.header))
 	if probe && !f.probesHaveHeader {
-		rate, said = 0, Nothing
+		rate, said = 0, HeaderAbsent
 	}
 	target, incarnation := f.target, n.incarnation
 	f.After(time.Millisecond, func() {
 		if n.incarnation != incarnation || n.down {
 			return
 		}
-		if said == Named && n.toldAt.IsZero() && !probe {
+		if said == HeaderNamed && n.toldAt.IsZero() && !probe {
 			n.toldAt = f.Now()
 		}
 		n.limiter.ObserveAnswer(target, Answer{Said: said, Rate: rate, Asked: asked, Heard: f.Now()}, probe)
@@ -217,13 +217,13 @@
 	}
 	s, _ := n.limiter.Standing(f.target, f.Now())
 	switch s {
-	case Free, Held:
+	case Unlimited, Permitted:
 		f.send(n)
 	case Askable:
 		a, _ := n.limiter.Ask(f.target, f.Now())
 		f.call(n, a)
 		f.awaitPermit(n, n.incarnation, f.Now())
-	case Withheld:
+	case Denied:
 	}
 }
 
@@ -234,9 +234,9 @@
 			return
 		}
 		switch s, _ := n.limiter.Standing(f.target, f.Now()); {
-		case s == Held || s == Free:
+		case s == Permitted || s == Unlimited:
 			f.send(n)
-		case s == Withheld && f.Now().Sub(since) < simAskWait:
+		case s == Denied && f.Now().Sub(since) < simAskWait:
 			f.awaitPermit(n, incarnation, since)
 		}
 	})
--- a/coord/limit/limit.go
+++ b/coord/limit/limit.go
@@ -29,30 +29,30 @@
 
 import "github.com/lotuswing/lotuswing/coord/decimal"
 
-// Said says whether an answer names a limit in its header.
-type Said uint8
+// HeaderState says whether an answer names a limit in its header.
+type HeaderState uint8
 
-// The values of Said.
+// The values of HeaderState.
 const (
-	Nothing    Said = iota // there is no limit header
-	Named                  // the header names a limit
-	Unreadable             // the header is not a valid limit, and neither sets nor lifts one
+	HeaderAbsent     HeaderState = iota // there is no limit header
+	HeaderNamed                         // the header names a limit
+	HeaderUnreadable                    // the header is not a valid limit, and neither sets nor lifts one
 )
 
 // String returns the name used in logs.
-func (s Said) String() string { return [...]string{"nothing", "named", "unreadable"}[s] }
+func (s HeaderState) String() string { return [...]string{"nothing", "named", "unreadable"}[s] }
 
 // Parse parses the values of the limit header. A valid header is a single non-negative decimal
 // number, such as 12 or 2.5, in requests per second. Signs, exponents, names such as NaN and a
 // repeated header are unreadable: a header that can be understood in two ways is ignored.
-func Parse(values []string) (perSecond float64, s Said) {
+func Parse(values []string) (perSecond float64, s HeaderState) {
 	switch len(values) {
 	case 0:
-		return 0, Nothing
+		return 0, HeaderAbsent
 	case 1:
 		if perSecond, ok := decimal.Parse(values[0]); ok {
-			return perSecond, Named
+			return perSecond, HeaderNamed
 		}
 	}
-	return 0, Unreadable
+	return 0, HeaderUnreadable
 }
--- a/coord/limit/limit_test.go
+++ b/coord/limit/limit_test.go
@@ -14,33 +14,33 @@
 	for _, c := range []struct {
 		values []string
 		rate   float64
-		said   Said
+		said   HeaderState
 	}{
-		{nil, 0, Nothing},
-		{[]string{"0"}, 0, Named},
-		{[]string{"2.5"}, 2.5, Named},
-		{[]string{".5"}, 0.5, Named},
-		{[]string{"3."}, 3, Named},
-		{[]string{"007"}, 7, Named},
-		{[]string{"100000000000000000000"}, 1e20, Named},
-		{[]string{"2.500000000000000000000000000000001"}, 2.5, Named},
-		{[]string{""}, 0, Unreadable},
-		{[]string{"."}, 0, Unreadable},
-		{[]string{"-1"}, 0, Unreadable},
-		{[]string{"+1"}, 0, Unreadable},
-		{[]string{"1e3"}, 0, Unreadable},
-		{[]string{"0x10"}, 0, Unreadable},
-		{[]string{"1_000"}, 0, Unreadable},
-		{[]string{"1 2"}, 0, Unreadable},
-		{[]string{" 1"}, 0, Unreadable},
-		{[]string{"1,5"}, 0, Unreadable},
-		{[]string{"1.2.3"}, 0, Unreadable},
-		{[]string{"NaN"}, 0, Unreadable},
-		{[]string{"Inf"}, 0, Unreadable},
-		{[]string{"٣"}, 0, Unreadable},
-		{[]string{strings.Repeat("1", 8<<10)}, 0, Unreadable},
-		{[]string{"2", "3"}, 0, Unreadable},
-		{[]string{"2", "2"}, 0, Unreadable},
+		{nil, 0, HeaderAbsent},
+		{[]string{"0"}, 0, HeaderNamed},
+		{[]string{"2.5"}, 2.5, HeaderNamed},
+		{[]string{".5"}, 0.5, HeaderNamed},
+		{[]string{"3."}, 3, HeaderNamed},
+		{[]string{"007"}, 7, HeaderNamed},
+		{[]string{"100000000000000000000"}, 1e20, HeaderNamed},
+		{[]string{"2.500000000000000000000000000000001"}, 2.5, HeaderNamed},
+		{[]string{""}, 0, HeaderUnreadable},
+		{[]string{"."}, 0, HeaderUnreadable},
+		{[]string{"-1"}, 0, HeaderUnreadable},
+		{[]string{"+1"}, 0, HeaderUnreadable},
+		{[]string{"1e3"}, 0, HeaderUnreadable},
+		{[]string{"0x10"}, 0, HeaderUnreadable},
+		{[]string{"1_000"}, 0, HeaderUnreadable},
+		{[]string{"1 2"}, 0, HeaderUnreadable},
+		{[]string{" 1"}, 0, HeaderUnreadable},
+		{[]string{"1,5"}, 0, HeaderUnreadable},
+		{[]string{"1.2.3"}, 0, HeaderUnreadable},
+		{[]string{"NaN"}, 0, HeaderUnreadable},
+		{[]string{"Inf"}, 0, HeaderUnreadable},
+		{[]string{"٣"}, 0, HeaderUnreadable},
+		{[]string{strings.Repeat("1", 8<<10)}, 0, HeaderUnreadable},
+		{[]string{"2", "3"}, 0, HeaderUnreadable},
+		{[]string{"2", "2"}, 0, HeaderUnreadable},
 	} {
 		rate, said := Parse(c.values)
 		assert.Equal(t, said, c.said, "%.20q", c.values)
@@ -55,9 +55,9 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		rate, said := Parse([]string{text})
-		assert.Assert(t, said == Named || said == Unreadable)
+		assert.Assert(t, said == HeaderNamed || said == HeaderUnreadable)
 		assert.Assert(t, rate >= 0 && !math.IsInf(rate, 0) && !math.IsNaN(rate), "%q: %v", text, rate)
-		assert.Assert(t, said == Named || rate == 0)
+		assert.Assert(t, said == HeaderNamed || rate == 0)
 	})
 }
 
@@ -69,7 +69,7 @@
 // named returns an answer that names a limit. asked and heard are in milliseconds after testStart,
 // as for withoutLimit.
 func named(rate float64, asked, heard int) Answer {
-	return Answer{Said: Named, Rate: rate, Asked: at(asked), Heard: at(heard)}
+	return Answer{Said: HeaderNamed, Rate: rate, Asked: at(asked), Heard: at(heard)}
 }
 
 // withoutLimit returns an answer without a limit header.
@@ -94,8 +94,8 @@
 		"lifted, and an old answer names it":  {answers: []Answer{named(3, 0, 10), withoutLimit(10, 20), named(3, 15, 25)}, rate: 3},
 		"named again":                         {answers: []Answer{named(3, 0, 10), withoutLimit(10, 20), named(4, 20, 30)}, rate: 4},
 		"lifted after a late one":             {answers: []Answer{named(3, 0, 10), withoutLimit(10, 20), named(3, 15, 25), withoutLimit(25, 30)}, rate: 3, lifted: true},
-		"unreadable":                          {answers: []Answer{named(3, 0, 10), {Said: Unreadable, Asked: at(10), Heard: at(20)}}, rate: 3},
-		"a mute answer":                       {answers: []Answer{named(3, 0, 10), {Asked: at(10), Heard: at(20), Mute: true}}, rate: 3},
+		"unreadable":                          {answers: []Answer{named(3, 0, 10), {Said: HeaderUnreadable, Asked: at(10), Heard: at(20)}}, rate: 3},
+		"a mute answer":                       {answers: []Answer{named(3, 0, 10), {Asked: at(10), Heard: at(20), MayLackHeader: true}}, rate: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var w Observation
--- a/coord/limit/limiter.go
+++ b/coord/limit/limiter.go
@@ -68,14 +68,14 @@
 func (l *Limiter) ObserveAnswer(t Target, a Answer, probe bool) {
 	e, ok := l.known[t]
 	switch {
-	case !ok && a.Said != Named:
+	case !ok && a.Said != HeaderNamed:
 		return
 	case !ok:
 		e = l.addEntry(t, a.Heard)
 	}
 	if probe {
-		e.probesNameLimit = e.probesNameLimit || a.Said == Named
-		a.Mute = a.Mute || !e.probesNameLimit
+		e.probesNameLimit = e.probesNameLimit || a.Said == HeaderNamed
+		a.MayLackHeader = a.MayLackHeader || !e.probesNameLimit
 	}
 	l.setObserved(e, e.observed.With(a), a.Heard)
 }
@@ -138,41 +138,41 @@
 type Standing uint8
 
 // Admits reports whether a request may be sent to the endpoint.
-func (s Standing) Admits() bool { return s == Free || s == Held }
+func (s Standing) Admits() bool { return s == Unlimited || s == Permitted }
 
 // The values of Standing.
 const (
-	Free     Standing = iota // no limit applies
-	Held                     // the balancer holds a permit
-	Askable                  // no permit, but the owner may grant one
-	Withheld                 // no permit, and no ask is allowed now
+	Unlimited Standing = iota // no limit applies
+	Permitted                 // the balancer holds a permit
+	Askable                   // no permit, but the owner may grant one
+	Denied                    // no permit, and no ask is allowed now
 )
 
-// Standing returns the standing of an endpoint and, if that is Withheld, how long it lasts; 0 if
+// Standing returns the standing of an endpoint and, if that is Denied, how long it lasts; 0 if
 // that is unknown because an ask is in flight.
 func (l *Limiter) Standing(t Target, now time.Time) (Standing, time.Duration) {
 	e, ok := l.known[t]
 	if !ok {
-		return Free, 0
+		return Unlimited, 0
 	}
 	switch _, limited := e.observed.RateAt(now); {
 	case !limited:
-		return Free, 0
+		return Unlimited, 0
 	case e.allowance.hasPermit(now):
-		return Held, 0
+		return Permitted, 0
 	case e.allowance.askPending:
-		return Withheld, 0
+		return Denied, 0
 	case now.Before(e.allowance.retryAt):
-		return Withheld, e.allowance.retryAt.Sub(now)
+		return Denied, e.allowance.retryAt.Sub(now)
 	}
 	return Askable, 0
 }
 
 // Use takes a permit for a request that is sent to an endpoint now, if its limit requires one. It
-// returns the standing before; the request may be sent only if that is Free or Held.
+// returns the standing before; the request may be sent only if that is Unlimited or Permitted.
 func (l *Limiter) Use(t Target, now time.Time) Standing {
 	s, _ := l.Standing(t, now)
-	if s == Held {
+	if s == Permitted {
 		e := l.known[t]
 		e.allowance = e.allowance.withPermitUsed()
 		e.sent++
--- a/coord/limit/observation.go
+++ b/coord/limit/observation.go
@@ -20,12 +20,12 @@
 
 // Answer is what one answer of an endpoint said about its limit.
 type Answer struct {
-	Said  Said
-	Rate  float64   // requests per second, if Said is Named
+	Said  HeaderState
+	Rate  float64   // requests per second, if Said is HeaderNamed
 	Asked time.Time // when the request was sent
 	Heard time.Time // when the header of the answer arrived
-	// Mute says that an answer of this kind may lack the header while a limit is in force.
-	Mute bool
+	// MayLackHeader says that an answer of this kind may lack the header while a limit is in force.
+	MayLackHeader bool
 }
 
 // Observation is what an endpoint last said about its limit. It is an immutable value; the zero
@@ -54,9 +54,9 @@
 // before the limit was set.
 func (o Observation) With(a Answer) Observation {
 	switch {
-	case a.Said == Named:
+	case a.Said == HeaderNamed:
 		return o.Merge(Observation{rate: a.Rate, asked: a.Asked, heard: a.Heard})
-	case a.Said == Unreadable || a.Mute || !o.Known() || o.lifted || a.Asked.Before(o.heard):
+	case a.Said == HeaderUnreadable || a.MayLackHeader || !o.Known() || o.lifted || a.Asked.Before(o.heard):
 		return o
 	}
 	return o.Merge(Observation{rate: o.rate, lifted: true, asked: a.Asked, heard: a.Heard})
--- a/coord/selection/candidate.go
+++ b/coord/selection/candidate.go
@@ -135,7 +135,7 @@
 
 // blockedByAdmission reports whether the admission decision forbids sending the request to the
 // endpoint now.
-func (c *Candidate) blockedByAdmission() bool { return c.Admission.Access == admission.Shut }
+func (c *Candidate) blockedByAdmission() bool { return c.Admission.Access == admission.Closed }
 
 // compare orders candidates: those blocked by admission rank last, those that are full before them,
 // and the others first. Within each group the lowest cost ranks first.
@@ -198,7 +198,7 @@
 func (r *Ranking) Shut() (earliest admission.Decision, all bool) {
 	for i := range r.list {
 		d := r.list[i].Admission
-		if d.Access != admission.Shut {
+		if d.Access != admission.Closed {
 			return admission.Decision{}, false
 		}
 		if i == 0 || d.OpensIn < earliest.OpensIn {
--- a/coord/selection/decide_test.go
+++ b/coord/selection/decide_test.go
@@ -67,7 +67,7 @@
 }
 
 // backingOff is the listing of an endpoint that asked balancers to send it nothing for one second.
-var backingOff = selection.Listing{Slots: 3, SameZone: true, Admission: admission.Decision{Access: admission.Shut, Cause: admission.BackingOff, OpensIn: time.Second}}
+var backingOff = selection.Listing{Slots: 3, SameZone: true, Admission: admission.Decision{Access: admission.Closed, Cause: admission.BackingOff, OpensIn: time.Second}}
 
 // TestBlockedEndpointHidesNoOther checks that an idle endpoint in a backoff does not rank before one
 // that is acceptable but not good. Otherwise a request would be refused although the other endpoint
--- a/direct/acquire.go
+++ b/direct/acquire.go
@@ -150,7 +150,7 @@
 			continue
 		}
 		state, admitted := c.admission(s, indices, i, now)
-		if admitted.Access == admission.Never {
+		if admitted.Access == admission.Excluded {
 			continue
 		}
 		listing := selection.Listing{Slots: e.Slots, SameZone: e.Zone == c.cfg.Zone, Admission: admitted, WarmAt: e.WarmAt, WarmTold: e.WarmTold}
--- a/direct/admission_model_test.go
+++ b/direct/admission_model_test.go
@@ -75,7 +75,7 @@
 	m.mu.Unlock()
 	time.Sleep(took)
 	incarnation := placement.Incarnation{VM: g.Endpoint.VM, Start: g.Choice.Start}
-	var w admission.Word
+	var w admission.Signal
 	outcome := placement.Completed
 	switch {
 	case draw == 0:
--- a/direct/admit.go
+++ b/direct/admit.go
@@ -25,7 +25,7 @@
 // held.
 func (c *Chooser) admission(s *search, indices []int, index int, now time.Time) (*endpointState, admission.Decision) {
 	e := &s.listed[index]
-	f := admission.Facts{Usable: e.Usable(now), Lot: s.randomFor(index), Priority: s.request.Priority}
+	f := admission.Facts{Usable: e.Usable(now), Random: s.randomFor(index), Priority: s.request.Priority}
 	if !f.Usable {
 		return nil, admission.Decide(f, now)
 	}
@@ -55,7 +55,7 @@
 	if !ok || state.start != g.Choice.Start {
 		return listed.Usable(now)
 	}
-	return admission.Willing(listed.Usable(now), state.admission, now)
+	return admission.AcceptsChosen(listed.Usable(now), state.admission, now)
 }
 
 // MayProbe reports whether the endpoint with an ID may be probed, that is, whether it is not known
--- a/direct/backoff_notes.go
+++ b/direct/backoff_notes.go
@@ -57,7 +57,7 @@
 		return false
 	}
 	state.admission = state.admission.WithHint(d, now)
-	c.backoffNotes = c.backoffNotes.Told(now)
+	c.backoffNotes = c.backoffNotes.WithSent(now)
 	return true
 }
 
@@ -74,7 +74,7 @@
 	listed, ok := c.cfg.Directory.Snapshot().Find(note.Service, note.ID)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.backoffNotes = c.backoffNotes.Heard(now)
+	c.backoffNotes = c.backoffNotes.WithReceived(now)
 	if ok && listed.Start == note.Start {
 		state := c.state(listed)
 		state.admission = state.admission.WithHint(note.For, now.Add(-n.Age))
--- a/direct/backoff_test.go
+++ b/direct/backoff_test.go
@@ -18,7 +18,7 @@
 
 // requestBackoff makes the endpoint of a grant refuse its request and ask for a backoff.
 func (r *fixture) requestBackoff(g placement.Grant) {
-	r.ObserveResponse(g, reportWith(admission.Word{Backoff: backoff}))
+	r.ObserveResponse(g, reportWith(admission.Signal{Backoff: backoff}))
 	r.Complete(g, placement.Result{Outcome: placement.Shed})
 }
 
@@ -93,7 +93,7 @@
 		first := acquireUpTo(30)
 		assert.Equal(t, len(first), 1, "one request at a time")
 		assert.Assert(t, first[0].Choice.Trial)
-		answer := reportWith(admission.Word{})
+		answer := reportWith(admission.Signal{})
 		answer.Ran = true
 		r.ObserveResponse(first[0], answer)
 		r.Complete(first[0], placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
@@ -120,7 +120,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newFixtureForgetting(1, selection.Options{}, time.Nanosecond)
 		g, other := grant(t, r), grant(t, r)
-		r.ObserveResponse(g, reportWith(admission.Word{Backoff: time.Minute}))
+		r.ObserveResponse(g, reportWith(admission.Signal{Backoff: time.Minute}))
 		r.Complete(g, placement.Result{Outcome: placement.Shed})
 		r.directory.Apply(directory.Changes{Gone: []directory.Gone{{ID: "e0", Revision: 2}}}, time.Now())
 		time.Sleep(30 * time.Second)
--- a/direct/leaving_test.go
+++ b/direct/leaving_test.go
@@ -20,13 +20,13 @@
 )
 
 // reportWith returns a report that has just arrived, with an endpoint's announcement.
-func reportWith(w admission.Word) upstream.Report {
+func reportWith(w admission.Signal) upstream.Report {
 	now := time.Now()
 	return upstream.Report{Asked: now, Heard: now, Word: w}
 }
 
 // leaving is an endpoint's announcement that it is leaving.
-var leaving = admission.Word{Leaving: true}
+var leaving = admission.Signal{Leaving: true}
 
 // publisher records the notes that a chooser publishes.
 type publisher struct{ notes []relay.Note }
--- a/direct/limits.go
+++ b/direct/limits.go
@@ -27,7 +27,7 @@
 // Limits.Standing does.
 func (c *Chooser) limitStanding(e *directory.Endpoint, now time.Time) (limit.Standing, time.Duration) {
 	if c.cfg.Limits == nil || c.cfg.Limits.HasNoLimits() {
-		return limit.Free, 0
+		return limit.Unlimited, 0
 	}
 	return c.cfg.Limits.Standing(limitsEndpoint(e), now)
 }
--- a/direct/limits_test.go
+++ b/direct/limits_test.go
@@ -63,9 +63,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.requested = append(f.requested, e.ID)
-	f.standing[e.ID] = limit.Withheld
+	f.standing[e.ID] = limit.Denied
 	if f.grants[e.ID] {
-		f.standing[e.ID] = limit.Held
+		f.standing[e.ID] = limit.Permitted
 	}
 	return f.allowProbe
 }
@@ -79,14 +79,14 @@
 		return false
 	}
 	f.used = append(f.used, e.ID)
-	return f.standing[e.ID] != limit.Withheld
+	return f.standing[e.ID] != limit.Denied
 }
 
 // withhold makes permits for endpoints unavailable for a duration, or for an unknown time if d is
 // 0.
 func (f *fakeLimits) withhold(d time.Duration, ids ...string) {
 	for _, id := range ids {
-		f.standing[id] = limit.Withheld
+		f.standing[id] = limit.Denied
 		if d > 0 {
 			f.withheldUntil[id] = time.Now().Add(d)
 		}
@@ -194,7 +194,7 @@
 		f.allowProbe = true
 		f.standing["e0"] = limit.Askable
 		answer := r.prober.answers["e0"]
-		answer.Limit = limit.Answer{Said: limit.Named, Rate: 2, Heard: time.Now()}
+		answer.Limit = limit.Answer{Said: limit.HeaderNamed, Rate: 2, Heard: time.Now()}
 		r.prober.answers["e0"] = answer
 		foreign := answer
 		foreign.Instance = "another"
--- a/direct/notices.go
+++ b/direct/notices.go
@@ -52,9 +52,9 @@
 	s := state.admission
 	notice = EndpointNotice{
 		Endpoint: e.VM, Service: e.Service, Zone: e.Zone,
-		Backoff: max(0, s.Until().Sub(now)), Slow: s.SlowStart(now), Hint: max(0, s.HintedUntil().Sub(now)),
+		Backoff: max(0, s.BackoffUntil().Sub(now)), Slow: s.SlowStart(now), Hint: max(0, s.HintedUntil().Sub(now)),
 	}
-	if s.Until().IsZero() {
+	if s.BackoffUntil().IsZero() {
 		notice.Backoff = 0
 	}
 	if s.HintedUntil().IsZero() {
--- a/direct/responses.go
+++ b/direct/responses.go
@@ -48,13 +48,13 @@
 // observe processes what the response to a request or a probe says about the endpoint.
 func (c *Chooser) observe(e limits.Endpoint, r upstream.Report, source string) {
 	c.unsupported.record(e, r.Unread)
-	if r.Word.Silent() {
+	if r.Word.IsEmpty() {
 		return
 	}
 	if r.Word.Leaving {
 		c.handleLeaving(e, source, r.Heard)
 	}
-	if before, after := c.updateAdmission(e, r); after.Until() != before.Until() {
+	if before, after := c.updateAdmission(e, r); after.BackoffUntil() != before.BackoffUntil() {
 		c.logBackoff(e, r, before.BackingOff(r.Heard), source)
 		c.publishBackoff(e, r.Word.Backoff, r.Heard)
 	}
--- a/limits/fleet_test.go
+++ b/limits/fleet_test.go
@@ -26,13 +26,13 @@
 	published      int             // number of published notes
 }
 
-// testCarrier is the Carrier of one keeper.
-type testCarrier struct {
+// testTransport is the Transport of one keeper.
+type testTransport struct {
 	net  *network
 	addr string
 }
 
-func (p testCarrier) ServesAsRelay() bool {
+func (p testTransport) ServesAsRelay() bool {
 	for _, r := range p.Owners() {
 		if r.Addr == p.addr {
 			return true
@@ -41,15 +41,15 @@
 	return false
 }
 
-func (p testCarrier) ConnectedToStore() bool { return true }
+func (p testTransport) ConnectedToStore() bool { return true }
 
-func (p testCarrier) Owners() []limit.Relay {
+func (p testTransport) Owners() []limit.Relay {
 	p.net.mu.Lock()
 	defer p.net.mu.Unlock()
 	return p.net.relays
 }
 
-func (p testCarrier) Ask(_ context.Context, addr string, asks []limit.Ask) (limit.Reply, error) {
+func (p testTransport) Ask(_ context.Context, addr string, asks []limit.Ask) (limit.Reply, error) {
 	time.Sleep(time.Millisecond)
 	p.net.mu.Lock()
 	k, cut, earlierVersion := p.net.keepers[addr], p.net.isCut[addr] || p.net.isCut[p.addr], p.net.earlierVersion[addr]
@@ -61,16 +61,16 @@
 	case earlierVersion:
 		return limit.Reply{}, nil
 	}
-	return k.Asked(p.addr, asks), nil
+	return k.HandleAsks(p.addr, asks), nil
 }
 
-func (p testCarrier) Publish(topic string, data []byte) error {
+func (p testTransport) Publish(topic string, data []byte) error {
 	p.net.mu.Lock()
 	defer p.net.mu.Unlock()
 	p.net.published++
 	for addr, k := range p.net.keepers {
 		if addr != p.addr && !p.net.isCut[addr] && !p.net.isCut[p.addr] {
-			go func() { _ = k.Hear(relay.Note{Origin: p.addr, Topic: topic, Data: data}) }()
+			go func() { _ = k.HandleNote(relay.Note{Origin: p.addr, Topic: topic, Data: data}) }()
 		}
 	}
 	return nil
@@ -98,7 +98,7 @@
 	}
 	for _, addr := range []string{"a0", "a1", "a2", "b0", "b1"} {
 		k := limits.New(limits.Config{Addr: addr, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
-		k.SetCarrier(testCarrier{net: n, addr: addr})
+		k.SetTransport(testTransport{net: n, addr: addr})
 		n.keepers[addr] = k
 	}
 	return n
@@ -127,7 +127,7 @@
 			if s, _ := k.Standing(overloaded, time.Now()); s == limit.Askable {
 				k.RequestPermit(context.Background(), overloaded, 25*time.Millisecond)
 			}
-			if s, _ := k.Standing(overloaded, time.Now()); s == limit.Held && k.TakePermit(overloaded, time.Now()) {
+			if s, _ := k.Standing(overloaded, time.Now()); s == limit.Permitted && k.TakePermit(overloaded, time.Now()) {
 				sent++
 			}
 		}
@@ -143,7 +143,7 @@
 		n.keepers["b1"].ObserveAnswer(overloaded, answerNow("2"))
 		time.Sleep(10 * time.Millisecond)
 		for addr := range n.keepers {
-			assert.Assert(t, n.standing(addr) != limit.Free, addr)
+			assert.Assert(t, n.standing(addr) != limit.Unlimited, addr)
 		}
 		assert.Equal(t, n.noteCount(), 1)
 		sent := n.sendAll(10 * time.Second)
@@ -154,7 +154,7 @@
 		n.keepers["a1"].ObserveAnswer(overloaded, answerNow())
 		time.Sleep(2100 * time.Millisecond)
 		for addr := range n.keepers {
-			assert.Equal(t, n.standing(addr), limit.Free, addr)
+			assert.Equal(t, n.standing(addr), limit.Unlimited, addr)
 		}
 		assert.Equal(t, n.noteCount(), 2)
 	})
@@ -216,7 +216,7 @@
 	}
 }
 
-// TestSingleBalancer checks that a balancer without a Carrier enforces the whole limit itself.
+// TestSingleBalancer checks that a balancer without a Transport enforces the whole limit itself.
 func TestSingleBalancer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := limits.New(limits.Config{Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
@@ -231,7 +231,7 @@
 func TestInvalidNotesAreIgnored(t *testing.T) {
 	n := newNetwork()
 	for _, data := range []string{"", "{", `{"Target":{"ID":"i-1","Start":1},"Word":{"Known":true,"Rate":-1}}`, `{"Target":{"ID":"i-1","Start":1}}`, `{"Word":7}`} {
-		_ = n.keepers["a1"].Hear(relay.Note{Topic: limits.Topic, Data: []byte(data)})
-		assert.Equal(t, n.standing("a1"), limit.Free, data)
+		_ = n.keepers["a1"].HandleNote(relay.Note{Topic: limits.Topic, Data: []byte(data)})
+		assert.Equal(t, n.standing("a1"), limit.Unlimited, data)
 	}
 }
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -5,12 +5,12 @@
 // requests and probes, asks the owner of an endpoint for a permit before a request is sent,
 // replies to other balancers if this one is an owner, and publishes changes to all balancers
 // (notes.go). The rules are in package coord/limit. A Keeper sends asks and notes through a
-// Carrier; without one it assumes that there are no other balancers.
+// Transport; without one it assumes that there are no other balancers.
 //
 // # Usage
 //
 //	k := limits.New(limits.Config{Addr: link, Log: log, Metrics: registry})
-//	k.SetCarrier(relays)
+//	k.SetTransport(relays)
 //	k.ObserveAnswer(endpoint, report.Limit)
 //	if standing, _ := k.Standing(endpoint, now); standing == limit.Askable {
 //		k.RequestPermit(ctx, endpoint, wait)
@@ -42,8 +42,8 @@
 
 func (e Endpoint) target() limit.Target { return limit.Target{ID: e.ID, Start: e.Start} }
 
-// Carrier sends asks and notes to other balancers.
-type Carrier interface {
+// Transport sends asks and notes to other balancers.
+type Transport interface {
 	// ServesAsRelay reports whether this balancer is the relay of its zone.
 	ServesAsRelay() bool
 	// ConnectedToStore reports whether this balancer is connected to the store.
@@ -73,7 +73,7 @@
 	knownCount atomic.Int64
 
 	mu            sync.Mutex
-	carrier       Carrier // nil before SetCarrier, or if there are no other balancers
+	transport     Transport // nil before SetTransport, or if there are no other balancers
 	limiter       *limit.Limiter
 	endpoints     map[limit.Target]Endpoint
 	lastWarned    map[limit.Target]time.Time // when an unreadable header was last logged
@@ -101,11 +101,11 @@
 	}
 }
 
-// SetCarrier sets the Carrier through which the keeper reaches other balancers.
-func (k *Keeper) SetCarrier(c Carrier) {
+// SetTransport sets the Transport through which the keeper reaches other balancers.
+func (k *Keeper) SetTransport(c Transport) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.carrier = c
+	k.transport = c
 }
 
 // Resume drops all permits. It is called after the VM was suspended.
@@ -122,7 +122,7 @@
 // that is unknown.
 func (k *Keeper) Standing(e Endpoint, now time.Time) (limit.Standing, time.Duration) {
 	if k.HasNoLimits() {
-		return limit.Free, 0
+		return limit.Unlimited, 0
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -138,7 +138,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.limiter.Use(e.target(), now)
-	if s == limit.Held {
+	if s == limit.Permitted {
 		k.counters.sent.Inc(1)
 	}
 	return s.Admits()
@@ -188,11 +188,11 @@
 	return mayProbe
 }
 
-// Asked replies to asks of the balancer at address from, if this balancer is a relay; otherwise
-// the reply is empty.
-func (k *Keeper) Asked(from string, asks []limit.Ask) limit.Reply {
+// HandleAsks replies to asks of the balancer at address from, if this balancer is a relay;
+// otherwise the reply is empty.
+func (k *Keeper) HandleAsks(from string, asks []limit.Ask) limit.Reply {
 	k.mu.Lock()
-	c := k.carrier
+	c := k.transport
 	k.mu.Unlock()
 	if c == nil || !c.ServesAsRelay() {
 		return limit.Reply{}
--- a/limits/notes.go
+++ b/limits/notes.go
@@ -24,12 +24,12 @@
 // publishNews publishes a note about an endpoint if there is news: now or, if the last note was
 // too recent, after a delay. k.mu must be held.
 func (k *Keeper) publishNews(e Endpoint, now time.Time) {
-	if k.carrier == nil {
+	if k.transport == nil {
 		return
 	}
 	t := e.target()
 	if news, ok := k.limiter.TakeNote(t, now); ok {
-		go k.publish(k.carrier, note{Target: t, Word: news})
+		go k.publish(k.transport, note{Target: t, Word: news})
 		return
 	}
 	after, due := k.limiter.NoteDelay(t, now)
@@ -46,7 +46,7 @@
 }
 
 // publish sends a note to all other balancers.
-func (k *Keeper) publish(c Carrier, n note) {
+func (k *Keeper) publish(c Transport, n note) {
 	data, err := json.Marshal(n)
 	if err == nil {
 		err = c.Publish(Topic, data)
@@ -56,9 +56,9 @@
 	}
 }
 
-// Hear merges the observation in a note from another balancer. It returns an error if the note
-// cannot be decoded.
-func (k *Keeper) Hear(r relay.Note) error {
+// HandleNote merges the observation in a note from another balancer. It returns an error if the
+// note cannot be decoded.
+func (k *Keeper) HandleNote(r relay.Note) error {
 	var n note
 	if err := json.Unmarshal(r.Data, &n); err != nil {
 		return fmt.Errorf("limits: note: %w", err)
--- a/limits/observe.go
+++ b/limits/observe.go
@@ -24,12 +24,12 @@
 // observe records what an answer said, and reports it to the owner of the endpoint if that is news
 // to the owner.
 func (k *Keeper) observe(e Endpoint, a limit.Answer, from string) {
-	if a.Said == limit.Nothing && k.HasNoLimits() {
+	if a.Said == limit.HeaderAbsent && k.HasNoLimits() {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if a.Said == limit.Unreadable {
+	if a.Said == limit.HeaderUnreadable {
 		k.recordUnreadable(e, a.Heard)
 	}
 	before := k.limiter.Observation(e.target())
--- a/limits/owner.go
+++ b/limits/owner.go
@@ -14,10 +14,10 @@
 )
 
 // askOwner sends an ask to the owner of an endpoint, which may be this balancer, and returns its
-// reply. Without a carrier this balancer owns all endpoints.
+// reply. Without a transport this balancer owns all endpoints.
 func (k *Keeper) askOwner(ctx context.Context, e Endpoint, a limit.Ask) (limit.Reply, error) {
 	k.mu.Lock()
-	c := k.carrier
+	c := k.transport
 	k.mu.Unlock()
 	if c == nil {
 		return k.answerAsks(k.cfg.Addr, []limit.Ask{a}, true), nil
--- a/limits/status.go
+++ b/limits/status.go
@@ -16,7 +16,7 @@
 	Zone     string `json:",omitempty"`
 	State    string // named or lifted
 	limit.Status
-	Owner string // link address of the balancer that owns the endpoint; empty if there is none, or no Carrier
+	Owner string // link address of the balancer that owns the endpoint; empty if there is none, or no Transport
 	Owns  bool   // this balancer is the owner
 }
 
@@ -38,11 +38,11 @@
 func (k *Keeper) statusOf(t limit.Target, now time.Time) Status {
 	e := k.endpointOf(t)
 	st := Status{Endpoint: e.ID, Service: e.Service, Zone: e.Zone, State: stateName(k.limiter.Observation(t)), Status: k.limiter.Status(t, now)}
-	if k.carrier == nil {
+	if k.transport == nil {
 		st.Owns = true
 		return st
 	}
-	st.Owner, _ = limit.Owner(e.Zone, t, k.carrier.Owners())
+	st.Owner, _ = limit.Owner(e.Zone, t, k.transport.Owners())
 	st.Owns = st.Owner == k.cfg.Addr
 	return st
 }
--- a/node/alone.go
+++ b/node/alone.go
@@ -73,7 +73,7 @@
 	candidates = make([]pick.Candidate, len(list))
 	for i, e := range list {
 		o := known[e.VM]
-		usable := admission.Willing(!marks.Has(e.VM), o.admission, now) && !o.health.Ejected(now)
+		usable := admission.AcceptsChosen(!marks.Has(e.VM), o.admission, now) && !o.health.Ejected(now)
 		share := max(1, aloneLimit*e.Slots/max(1, balancers))
 		if o.admission.OnTrial(now) {
 			share = 1
--- a/node/hear.go
+++ b/node/hear.go
@@ -32,5 +32,5 @@
 
 // StillAccepts reports whether the endpoint of a grant still may get the request.
 func (n *Node) StillAccepts(g placement.Grant, now time.Time) bool {
-	return admission.Willing(!n.snapshot.Load().leaving.Has(g.Endpoint.VM), n.local.admission(g.Endpoint.VM), now)
+	return admission.AcceptsChosen(!n.snapshot.Load().leaving.Has(g.Endpoint.VM), n.local.admission(g.Endpoint.VM), now)
 }
--- a/node/local.go
+++ b/node/local.go
@@ -60,7 +60,7 @@
 
 // hear takes what an answer says of whether its endpoint wants requests.
 func (p *local) hear(g placement.Grant, r upstream.Report) {
-	if r.Word.Silent() && !r.Ran {
+	if r.Word.IsEmpty() && !r.Ran {
 		return
 	}
 	p.mu.Lock()
--- a/node/measure.go
+++ b/node/measure.go
@@ -165,7 +165,7 @@
 		return upstream.Report{}
 	}
 	m.mu.Lock()
-	holds := m.account.Holds(bootclock.Now())
+	holds := m.account.TermValid(bootclock.Now())
 	m.mu.Unlock()
 	if !holds {
 		return upstream.Report{}
--- a/node/status.go
+++ b/node/status.go
@@ -22,7 +22,7 @@
 	defer m.mu.Unlock()
 	st := MeasuringStatus{
 		Tenant: m.tenant,
-		Holds:  m.account.Holds(now),
+		Holds:  m.account.TermValid(now),
 		Spent:  time.Duration(m.spent.Count()) * time.Microsecond,
 		Probes: m.probes.Count(),
 	}
--- a/server/chooser.go
+++ b/server/chooser.go
@@ -79,7 +79,7 @@
 			stop()
 			return err
 		}
-		s.limits.SetCarrier(s.relays)
+		s.limits.SetTransport(s.relays)
 	}
 	if s.keeper != nil {
 		go s.keeper.Run(ctx)
@@ -175,7 +175,7 @@
 	var err error
 	switch n.Topic {
 	case limits.Topic:
-		err = s.limits.Hear(n)
+		err = s.limits.HandleNote(n)
 	case direct.LeavingTopic, direct.BackoffTopic:
 		err = s.direct.HandleNote(n)
 	case rollout.Topic:
@@ -215,7 +215,7 @@
 		ID: settings.ID, Zone: settings.Zone, Addr: settings.Link, Seeds: settings.Peers, Cores: settings.Cores,
 		LinkRate: settings.LinkRate * bytesPerMegabit,
 		Registry: s.cfg.Relays, Decoder: s.cfg.Relays, Log: log, TLS: secured,
-		Options: relay.OptionsWithin(settings.Discovery.Within()), OnNote: s.hearNote, OnReport: s.fleet.HandleReport, OnAsk: s.limits.Asked, Suspensions: s.suspended,
+		Options: relay.OptionsWithin(settings.Discovery.Within()), OnNote: s.hearNote, OnReport: s.fleet.HandleReport, OnAsk: s.limits.HandleAsks, Suspensions: s.suspended,
 	}), nil
 }
 
--- a/upstream/report.go
+++ b/upstream/report.go
@@ -25,7 +25,7 @@
 	Load     placement.LoadReport
 	Warmup   Warmup
 	Limit    limit.Answer
-	Word     admission.Word
+	Word     admission.Signal
 	// Unread names headers that nothing here reads, or with a value that cannot be read.
 	Unread []string
 }
@@ -46,7 +46,7 @@
 // that leaves does so for good, and a backoff counted from a later time ends later. Loads,
 // limits and warm-ups are as of their time.
 func (r Report) Undated() Report {
-	return Report{Asked: r.Asked, Heard: r.Heard, Ran: r.Ran, Instance: r.Instance, Word: r.Word, Unread: r.Unread, Limit: limit.Answer{Mute: true, Asked: r.Asked, Heard: r.Heard}}
+	return Report{Asked: r.Asked, Heard: r.Heard, Ran: r.Ran, Instance: r.Instance, Word: r.Word, Unread: r.Unread, Limit: limit.Answer{MayLackHeader: true, Asked: r.Asked, Heard: r.Heard}}
 }
 
 const (
@@ -103,7 +103,7 @@
 	}
 	leaving, leavingRead := d.leaving(h)
 	backoff, backoffRead := d.backoff(status, h, heard)
-	out.Word = admission.Word{Leaving: leaving || out.Load.State == placement.Draining, Backoff: backoff}
+	out.Word = admission.Signal{Leaving: leaving || out.Load.State == placement.Draining, Backoff: backoff}
 	if !leavingRead {
 		out.Unread = append(out.Unread, d.Leaving)
 	}
@@ -133,7 +133,7 @@
 // limitOf reads the endpoint's limit.
 func (d *Dialect) limitOf(h http.Header, asked, heard time.Time) limit.Answer {
 	if d.Limit == "" {
-		return limit.Answer{Mute: true, Asked: asked, Heard: heard}
+		return limit.Answer{MayLackHeader: true, Asked: asked, Heard: heard}
 	}
 	rate, said := limit.Parse(h.Values(d.Limit))
 	return limit.Answer{Said: said, Rate: rate, Asked: asked, Heard: heard}
--- a/upstream/report_test.go
+++ b/upstream/report_test.go
@@ -42,7 +42,7 @@
 	} {
 		for _, status := range []int{200, 404, 429, 500, 503} {
 			r := read(status, http.Header{"Server-Leaving": c.values})
-			assert.Equal(t, r.Word, admission.Word{Leaving: c.leaving}, "%s, %d", name, status)
+			assert.Equal(t, r.Word, admission.Signal{Leaving: c.leaving}, "%s, %d", name, status)
 			assert.Equal(t, slices.Contains(r.Unread, "Server-Leaving"), c.unread, "%s, %d", name, status)
 		}
 	}
@@ -77,7 +77,7 @@
 		"long":                    {values: []string{strings.Repeat("3", 8<<10)}, unread: true},
 	} {
 		r := read(503, http.Header{"Date": {date}, "Retry-After": c.values})
-		assert.Equal(t, r.Word, admission.Word{Backoff: c.want}, name)
+		assert.Equal(t, r.Word, admission.Signal{Backoff: c.want}, name)
 		assert.Equal(t, slices.Contains(r.Unread, "Retry-After"), c.unread, name)
 	}
 }
@@ -126,8 +126,8 @@
 // is; its load, its limit and its warm-up do not.
 func TestUndatedReport(t *testing.T) {
 	r := read(503, http.Header{"Server-Leaving": {"1"}, "Retry-After": {"3"}, "Server-Load": {"1,0,3"}, "Server-Limit": {"2"}, "Warmup-Ms": {"9"}}).Undated()
-	assert.Equal(t, r.Word, admission.Word{Leaving: true, Backoff: 3 * time.Second})
-	assert.Assert(t, !r.Load.Known && !r.Warmup.Told && r.Limit.Mute)
+	assert.Equal(t, r.Word, admission.Signal{Leaving: true, Backoff: 3 * time.Second})
+	assert.Assert(t, !r.Load.Known && !r.Warmup.Told && r.Limit.MayLackHeader)
 }
 
 // TestLoadReportSaysLeaving in the product's own dialect, which has no header of its own for it.
