--- a/coord/selection/candidate.go
+++ b/coord/selection/candidate.go
@@ -39,37 +39,37 @@
 type Listing struct {
 	Slots    int  // number of requests that it works on at once
 	SameZone bool // it is in the balancer's zone
-	// Admission is whether and from when the request may be sent there; its Access is not Never.
-	Admission admission.Decision
-	WarmAt    time.Time // end of its warm-up
-	WarmTold  time.Time // when the directory received WarmAt
+	// Admission is whether and from when the request may be sent there; its Access is not Excluded.
+	Admission        admission.Decision
+	WarmUntil        time.Time // end of its warm-up
+	WarmupReceivedAt time.Time // when the directory received WarmUntil
 }
 
-// Usual is what candidates are rated by: what was learned of the request's kind and service, and
-// the request's own parameters. It belongs to one ranking, since it caches the concurrency limit
-// of the last number of slots; most endpoints of a service have the same number.
-type Usual struct {
-	Work     time.Duration // usual service time of the kind
-	Crowding Crowding      // of the service
-	Prospect Prospect      // of the service
-	Warming  Warming       // of the service
+// ScoringParams is what candidates are rated by: what was learned of the request's kind and
+// service, and the request's own parameters. It belongs to one ranking, since it caches the
+// concurrency limit of the last number of slots; most endpoints of a service have the same number.
+type ScoringParams struct {
+	Work          time.Duration // usual service time of the kind
+	Crowding      Crowding      // of the service
+	ProbeHistory  ProbeHistory  // of the service
+	WarmupBackoff WarmupBackoff // of the service
 
-	Fresh     time.Duration // maximum age of a fresh report
-	TellsLoad bool          // the service's endpoints can be probed
+	MaxFreshAge time.Duration // maximum age of a fresh report
+	Probeable   bool          // the service's endpoints can be probed
 
 	WarmupRate float64 // requests per second that one endpoint can take while it warms up; 0 if unknown
-	Lot        uint32  // random number of the request; selects the endpoints in warm-up that it may use
+	Random     uint32  // random number of the request; selects the endpoints in warm-up that it may use
 	Alone      bool    // an endpoint that holds no other request is preferred
 
 	slots, limitForSlots int // cached argument and result of concurrencyLimit
 }
 
 // concurrencyLimit returns the concurrency limit of an endpoint with the given number of slots.
-func (u *Usual) concurrencyLimit(slots int) int {
-	if u.slots != slots {
-		u.slots, u.limitForSlots = slots, u.Crowding.ConcurrencyLimit(slots)
+func (p *ScoringParams) concurrencyLimit(slots int) int {
+	if p.slots != slots {
+		p.slots, p.limitForSlots = slots, p.Crowding.ConcurrencyLimit(slots)
 	}
-	return u.limitForSlots
+	return p.limitForSlots
 }
 
 // Candidate is the rating of an endpoint for one request at one time.
@@ -92,7 +92,7 @@
 
 // NewCandidate rates an endpoint, which it does not change. index is the endpoint's place in the
 // caller's list, and tieBreaker a random number that orders candidates of equal cost.
-func NewCandidate(e *Endpoint, index int, l Listing, usual *Usual, tieBreaker uint32, now time.Time) Candidate {
+func NewCandidate(e *Endpoint, index int, l Listing, params *ScoringParams, tieBreaker uint32, now time.Time) Candidate {
 	isWarmingUp := e.isWarmingUp(l, now)
 	untried := !isWarmingUp && e.untried(l)
 	conditions := Conditions{
@@ -100,11 +100,11 @@
 		Warm:     !isWarmingUp,
 		Untried:  untried,
 		Slowness: max(1, e.health.Slowness()/slownessTolerance),
-		Crowding: &usual.Crowding,
+		Crowding: &params.Crowding,
 	}
 	c := Candidate{
 		Index:      index,
-		Estimate:   e.load.Estimate(conditions, usual.Work, now) + time.Duration(e.unansweredProbes)*unansweredProbePenalty,
+		Estimate:   e.load.Estimate(conditions, params.Work, now) + time.Duration(e.unansweredProbes)*unansweredProbePenalty,
 		Age:        e.load.Age(now),
 		Busy:       e.load.Busy(now),
 		Slots:      e.load.Slots(l.Slots),
@@ -117,18 +117,18 @@
 		c.Estimate += crossZoneDelay
 		c.cost = crossZonePenalty
 	}
-	if !untried && !e.InUse(now) {
+	if !untried && !e.HasOpenConnection(now) {
 		c.cost += newConnectionPenalty
 	}
-	if usual.Alone && c.Busy > 0 {
+	if params.Alone && c.Busy > 0 {
 		c.cost += sharedEndpointPenalty
 	}
 	if l.Admission.Deferred {
 		c.cost += deferredPenalty
 	}
 	c.cost += c.Estimate
-	c.ColdBlocked = isWarmingUp && e.blockedInWarmup(usual, index, c.Estimate, now)
-	c.Full = c.ColdBlocked || c.blockedByAdmission() || c.Busy >= usual.concurrencyLimit(c.Slots) || now.Before(e.pausedUntil)
+	c.ColdBlocked = isWarmingUp && e.blockedInWarmup(params, index, c.Estimate, now)
+	c.Full = c.ColdBlocked || c.blockedByAdmission() || c.Busy >= params.concurrencyLimit(c.Slots) || now.Before(e.pausedUntil)
 	c.Good = !c.Full && c.Admission.Admits() && e.unansweredProbes == 0 && e.load.Pace(now) <= maxGoodPace
 	return c
 }
@@ -193,9 +193,9 @@
 	return nil, false
 }
 
-// Shut reports whether there are candidates and all of them are blocked by admission. If so,
+// AllBlocked reports whether there are candidates and all of them are blocked by admission. If so,
 // earliest is the admission decision of the candidate that opens earliest.
-func (r *Ranking) Shut() (earliest admission.Decision, all bool) {
+func (r *Ranking) AllBlocked() (earliest admission.Decision, all bool) {
 	for i := range r.list {
 		d := r.list[i].Admission
 		if d.Access != admission.Closed {
--- a/coord/selection/decide.go
+++ b/coord/selection/decide.go
@@ -13,20 +13,20 @@
 // latency target.
 const searchTimeWithoutTarget = 200 * time.Millisecond
 
-// GiveUpAt returns when the search for a good endpoint ends. The request then takes the best
+// SearchDeadline returns when the search for a good endpoint ends. The request then takes the best
 // acceptable endpoint, or is refused. began is when the search started; it is used only if the
 // request has no latency target.
-func (o Options) GiveUpAt(r placement.Request, began time.Time) time.Time {
+func (o Options) SearchDeadline(r placement.Request, began time.Time) time.Time {
 	if r.Target <= 0 {
 		return began.Add(searchTimeWithoutTarget)
 	}
-	return r.Accepted.Add(time.Duration(o.RefuseShare * float64(r.Target)))
+	return r.Accepted.Add(time.Duration(o.SearchShare * float64(r.Target)))
 }
 
-// Situation is the state of a request's search beside its candidates.
-type Situation struct {
-	GiveUp     time.Time // end of the search, from GiveUpAt
-	Blind      bool      // no endpoint could be probed, so waiting yields no new information
+// SearchState is the state of a request's search beside its candidates.
+type SearchState struct {
+	Deadline   time.Time // end of the search, from SearchDeadline
+	NoneProbed bool      // no endpoint could be probed, so waiting yields no new information
 	CallerLeft bool      // the caller no longer waits for the response
 	Evacuated  bool      // operators are evacuating the zones of all endpoints
 	// OutOfRegion: all endpoints are in regions in which the request may not be served.
@@ -45,39 +45,39 @@
 
 // Decision is the result of Decide.
 type Decision struct {
-	Do     Action
-	Reason reason.Code   // of Refuse
-	Pause  time.Duration // of Wait: until the next evaluation
-	After  time.Duration // of Refuse: time from now until an endpoint may accept requests; 0 if unknown
+	Action     Action
+	Reason     reason.Code   // of Refuse
+	Pause      time.Duration // of Wait: until the next evaluation
+	RetryAfter time.Duration // of Refuse: time from now until an endpoint may accept requests; 0 if unknown
 }
 
 // Decide returns what to do with a request, given its candidates. It takes a good candidate at
 // once. While there is none, it waits for the next evaluation until the time to give up; then it
 // takes the best candidate if that is acceptable, and refuses the request otherwise.
-func (o Options) Decide(list *Ranking, r placement.Request, s Situation, now time.Time) Decision {
-	giveUp := !now.Before(s.GiveUp)
-	earliest, allBlocked := list.Shut()
+func (o Options) Decide(list *Ranking, r placement.Request, s SearchState, now time.Time) Decision {
+	giveUp := !now.Before(s.Deadline)
+	earliest, allBlocked := list.AllBlocked()
 	switch {
 	case list.Len() == 0 && s.OutOfRegion:
-		return Decision{Do: Refuse, Reason: reason.OutOfRegion}
+		return Decision{Action: Refuse, Reason: reason.OutOfRegion}
 	case list.Len() == 0 && s.Evacuated:
-		return Decision{Do: Refuse, Reason: reason.Evacuated}
+		return Decision{Action: Refuse, Reason: reason.Evacuated}
 	case list.Len() == 0:
-		return Decision{Do: Refuse, Reason: reason.NoEndpoint}
+		return Decision{Action: Refuse, Reason: reason.NoEndpoint}
 	case s.CallerLeft:
-		return Decision{Do: Refuse, Reason: reason.CallerLeft}
-	case allBlocked && (giveUp || now.Add(earliest.OpensIn).After(s.GiveUp)):
-		return Decision{Do: Refuse, Reason: blockedReason(earliest.Cause), After: earliest.OpensIn}
+		return Decision{Action: Refuse, Reason: reason.CallerLeft}
+	case allBlocked && (giveUp || now.Add(earliest.OpensIn).After(s.Deadline)):
+		return Decision{Action: Refuse, Reason: blockedReason(earliest.Cause), RetryAfter: earliest.OpensIn}
 	case allBlocked:
-		return Decision{Do: Wait, Pause: cmp.Or(min(earliest.OpensIn, s.GiveUp.Sub(now)), o.LookAgain)}
-	case list.Best().Good, (s.Blind || giveUp) && list.Best().acceptable(r, now):
-		return Decision{Do: Take}
+		return Decision{Action: Wait, Pause: cmp.Or(min(earliest.OpensIn, s.Deadline.Sub(now)), o.RoundPause)}
+	case list.Best().Good, (s.NoneProbed || giveUp) && list.Best().acceptable(r, now):
+		return Decision{Action: Take}
 	case !now.Before(r.Deadline):
-		return Decision{Do: Refuse, Reason: reason.Expired}
+		return Decision{Action: Refuse, Reason: reason.Expired}
 	case giveUp:
-		return Decision{Do: Refuse, Reason: reason.TooLate}
+		return Decision{Action: Refuse, Reason: reason.TooLate}
 	}
-	return Decision{Do: Wait, Pause: min(o.LookAgain, s.GiveUp.Sub(now))}
+	return Decision{Action: Wait, Pause: min(o.RoundPause, s.Deadline.Sub(now))}
 }
 
 // blockedReason returns the reason code for refusing a request because all candidates are blocked by
@@ -100,9 +100,9 @@
 	return r.Target <= 0 || !now.Add(c.Estimate).After(r.Accepted.Add(r.Target))
 }
 
-// Search returns the counts of candidates by state and the lowest estimate, for the log. probes is
+// Summary returns the counts of candidates by state and the lowest estimate, for the log. probes is
 // the number of probes that the request has sent.
-func (r *Ranking) Search(probes int) placement.Search {
+func (r *Ranking) Summary(probes int) placement.Search {
 	s := placement.Search{Known: len(r.list), Probes: probes}
 	for i := range r.list {
 		if r.list[i].Ejected {
--- a/coord/selection/endpoint.go
+++ b/coord/selection/endpoint.go
@@ -25,18 +25,20 @@
 // NewEndpoint returns the state of an endpoint of which nothing is known.
 func NewEndpoint() Endpoint { return Endpoint{health: health.New(health.Options{})} }
 
-// NewJoined returns the state of an endpoint that joined a service whose other endpoints are
-// known already. Once it has warmed up, and until its first response, it counts as idle, at
-// its usual pace and with an open connection. Otherwise it would get no request as long as
-// the known endpoints are healthy.
-func NewJoined() Endpoint {
+// NewJoinedEndpoint returns the state of an endpoint that joined a service whose other endpoints
+// are known already. Once it has warmed up, and until its first response, it counts as idle, at its
+// usual pace and with an open connection. Otherwise it would get no request as long as the known
+// endpoints are healthy.
+func NewJoinedEndpoint() Endpoint {
 	e := NewEndpoint()
 	e.joined = true
 	return e
 }
 
-// InUse reports whether a connection to the endpoint is probably open.
-func (e *Endpoint) InUse(now time.Time) bool { return now.Sub(e.lastResponse) <= assumedConnectionLife }
+// HasOpenConnection reports whether a connection to the endpoint is probably open.
+func (e *Endpoint) HasOpenConnection(now time.Time) bool {
+	return now.Sub(e.lastResponse) <= assumedConnectionLife
+}
 
 // untried reports whether the endpoint joined and this balancer has sent it nothing yet, so that it
 // should get a request or a probe once it is warm. Only balancers in the endpoint's zone treat it so.
@@ -50,8 +52,8 @@
 // Health returns the endpoint's health, as judged by this balancer's own requests.
 func (e Endpoint) Health() health.State { return e.health }
 
-// WithSent returns the endpoint after a request was sent to it.
-func (e Endpoint) WithSent() Endpoint {
+// WithRequestSent returns the endpoint after a request was sent to it.
+func (e Endpoint) WithRequestSent() Endpoint {
 	e.load = e.load.WithSent()
 	return e
 }
@@ -75,15 +77,15 @@
 	return e
 }
 
-// WithoutProbe returns the endpoint after a probe without a response.
-func (e Endpoint) WithoutProbe() Endpoint {
+// WithUnansweredProbe returns the endpoint after a probe without a response.
+func (e Endpoint) WithUnansweredProbe() Endpoint {
 	e.unansweredProbes++
 	return e
 }
 
-// WithEnded returns the endpoint after a request ended there. r is the load report of its
+// WithRequestEnded returns the endpoint after a request ended there. r is the load report of its
 // response, if there was one.
-func (e Endpoint) WithEnded(r placement.LoadReport, now time.Time) Endpoint {
+func (e Endpoint) WithRequestEnded(r placement.LoadReport, now time.Time) Endpoint {
 	e.load = e.load.WithEnded()
 	if r.Known {
 		e.lastResponse, e.unansweredProbes = now, 0
--- a/coord/selection/probe.go
+++ b/coord/selection/probe.go
@@ -15,16 +15,16 @@
 	softProbeLimit    = 24
 )
 
-// ProbeRounds returns the maximum number of probes in one search round. before is the number of
+// MaxProbes returns the maximum number of probes in one search round. before is the number of
 // probes that the request has sent in earlier rounds.
-func ProbeRounds(before int) int {
+func MaxProbes(before int) int {
 	return max(minProbesPerRound, min(maxProbesPerRound, softProbeLimit-before))
 }
 
 // NeedsProbe reports whether an endpoint should be probed before a decision. That is the case if
 // the best candidate is not good, if its report is no longer fresh, or if the expected gain from
 // probing another endpoint exceeds the cost of the probe.
-func (o Options) NeedsProbe(list *Ranking, usual *Usual) bool {
+func (o Options) NeedsProbe(list *Ranking, params *ScoringParams) bool {
 	if list.Len() == 0 {
 		return false
 	}
@@ -32,7 +32,7 @@
 	if best.Admission.Access == admission.Askable {
 		return false // the limit's owner has to be asked first; it may have no room for the request
 	}
-	return !best.Good || best.Age > o.ProbeFresh || usual.worthFurtherProbe(best)
+	return !best.Good || best.Age > o.MaxFreshAge || params.worthFurtherProbe(best)
 }
 
 // NextProbe returns the Index of the best candidate whose report is not fresh and that mayProbe
@@ -40,7 +40,7 @@
 func (o Options) NextProbe(list *Ranking, mayProbe func(index int) bool) (index int, ok bool) {
 	for i := range list.Len() {
 		c := list.At(i)
-		if c.Age > o.ProbeFresh && c.Admission.Admits() && mayProbe(c.Index) {
+		if c.Age > o.MaxFreshAge && c.Admission.Admits() && mayProbe(c.Index) {
 			return c.Index, true
 		}
 	}
--- a/coord/selection/selection.go
+++ b/coord/selection/selection.go
@@ -10,23 +10,23 @@
 // A search runs in rounds. In each round NewCandidate rates every endpoint, and a Ranking orders
 // the candidates by cost (candidate.go). NeedsProbe and NextProbe select the endpoint to probe
 // before a decision (probe.go); if the best candidate is good already, the latest probes tell
-// whether a further one pays (prospect.go). Decide then takes the best candidate, waits for the
+// whether a further one pays (probehistory.go). Decide then takes the best candidate, waits for the
 // next round, or refuses the request (decide.go). The state of an endpoint is in endpoint.go
 // and load.go, and the learning of usual service times in learn.go. Rules for endpoints that are
 // warming up are in warmup.go.
 //
-// The package keeps no state: Endpoint, ProbeBudget, Workload, Crowding, Prospect and Warming
-// are immutable values that the caller keeps. It has no clock, does no input or output
-// and starts no goroutine; times and random numbers are arguments.
+// The package keeps no state: Endpoint, ProbeBudget, ServiceTime, Crowding, ProbeHistory and
+// WarmupBackoff are immutable values that the caller keeps. It has no clock, does no input or
+// output and starts no goroutine; times and random numbers are arguments.
 //
 // # Usage
 //
 //	ranking.Reset(len(listed))
 //	for i, e := range listed {
-//		ranking.Add(selection.NewCandidate(known[e.ID], i, e.Listing, usual, random, now))
+//		ranking.Add(selection.NewCandidate(known[e.ID], i, e.Listing, params, random, now))
 //	}
 //	ranking.DropEjected()
-//	switch d := options.Decide(&ranking, request, situation, now); d.Do { ... }
+//	switch d := options.Decide(&ranking, request, state, now); d.Action { ... }
 package selection
 
 import (
@@ -37,28 +37,28 @@
 // Options of the choice. WithDefaults replaces zero fields by the defaults, which are used
 // everywhere except in tests.
 type Options struct {
-	ProbeFresh  time.Duration // an endpoint whose report is at most so old is not probed; default 4 ms
+	MaxFreshAge time.Duration // an endpoint whose report is at most so old is not probed; default 4 ms
 	ProbeRate   float64       // probes per second of this process to one endpoint; default 3
 	ProbeBurst  float64       // size of the token bucket for these probes; default 6
-	RefuseShare float64       // share of the latency target after which the search for an endpoint ends; default 0.2
-	LookAgain   time.Duration // usual pause between two search rounds; default 40 ms
+	SearchShare float64       // share of the latency target after which the search for an endpoint ends; default 0.2
+	RoundPause  time.Duration // usual pause between two search rounds; default 40 ms
 }
 
 // Defaults of Options.
 const (
-	defaultProbeFresh  = 4 * time.Millisecond
+	defaultMaxFreshAge = 4 * time.Millisecond
 	defaultProbeRate   = 3
 	defaultProbeBurst  = 6
-	defaultRefuseShare = 0.2
-	defaultLookAgain   = 40 * time.Millisecond
+	defaultSearchShare = 0.2
+	defaultRoundPause  = 40 * time.Millisecond
 )
 
 // WithDefaults returns the options with zero fields filled in.
 func (o Options) WithDefaults() Options {
-	o.ProbeFresh = cmp.Or(o.ProbeFresh, defaultProbeFresh)
+	o.MaxFreshAge = cmp.Or(o.MaxFreshAge, defaultMaxFreshAge)
 	o.ProbeRate = cmp.Or(o.ProbeRate, defaultProbeRate)
 	o.ProbeBurst = cmp.Or(o.ProbeBurst, defaultProbeBurst)
-	o.RefuseShare = cmp.Or(o.RefuseShare, defaultRefuseShare)
-	o.LookAgain = cmp.Or(o.LookAgain, defaultLookAgain)
+	o.SearchShare = cmp.Or(o.SearchShare, defaultSearchShare)
+	o.RoundPause = cmp.Or(o.RoundPause, defaultRoundPause)
 	return o
 }
--- a/coord/selection/selection_test.go
+++ b/coord/selection/selection_test.go
@@ -20,11 +20,11 @@
 // learnedCrowding returns the crowding after many completions at endpoints with the given factors
 // for 1, 2, ... requests in flight.
 func learnedCrowding(slots int, factors ...float64) *selection.Crowding {
-	var w selection.Workload
+	var w selection.ServiceTime
 	var c selection.Crowding
 	for range 400 {
 		for i, f := range factors {
-			w, c = selection.Learn(w, c, placement.Choice{Pace: 1, Busy: i + 1}, time.Duration(f*float64(work)), slots)
+			w, c = selection.WithCompletion(w, c, placement.Choice{Pace: 1, Busy: i + 1}, time.Duration(f*float64(work)), slots)
 		}
 	}
 	return &c
--- a/coord/selection/warmup.go
+++ b/coord/selection/warmup.go
@@ -30,22 +30,22 @@
 	maxWarmupDoublings = 3
 )
 
-// Warming is a balancer's backoff from the endpoints of a service that are warming up, after
+// WarmupBackoff is a balancer's backoff from the endpoints of a service that are warming up, after
 // refusals and failures there. It is an immutable value; the zero value is no backoff.
-type Warming struct {
+type WarmupBackoff struct {
 	pausedUntil time.Time // end of the pause
 	failures    int       // consecutive refusals and failures
 }
 
 // Paused reports whether endpoints of the service that are warming up get no requests at now.
-func (w Warming) Paused(now time.Time) bool { return now.Before(w.pausedUntil) }
+func (w WarmupBackoff) Paused(now time.Time) bool { return now.Before(w.pausedUntil) }
 
 // WithOutcome returns the backoff after a request to an endpoint in warm-up ended. rate is the
 // number of requests per second that one such endpoint can take; 0 if unknown.
-func (w Warming) WithOutcome(o placement.Outcome, rate float64, now time.Time) Warming {
+func (w WarmupBackoff) WithOutcome(o placement.Outcome, rate float64, now time.Time) WarmupBackoff {
 	switch o {
 	case placement.Completed:
-		return Warming{}
+		return WarmupBackoff{}
 	case placement.Failed, placement.Shed:
 		pause := defaultWarmupPause
 		if rate > 0 {
@@ -72,31 +72,31 @@
 	if now.Before(e.warmUntil) {
 		return true
 	}
-	return now.Before(l.WarmAt) && !e.warmupReportedAt.After(l.WarmTold)
+	return now.Before(l.WarmUntil) && !e.warmupReportedAt.After(l.WarmupReceivedAt)
 }
 
 // blockedInWarmup reports whether the endpoint, which is warming up, must not get the request now.
 // requestTime is the expected time of the request there. An endpoint that can be probed is also
 // blocked while its report is not fresh; a probe can change that.
-func (e *Endpoint) blockedInWarmup(usual *Usual, index int, requestTime time.Duration, now time.Time) bool {
-	if usual.Warming.Paused(now) || e.load.Busy(now) > 0 || !usual.mayUseInWarmup(index, requestTime) {
+func (e *Endpoint) blockedInWarmup(params *ScoringParams, index int, requestTime time.Duration, now time.Time) bool {
+	if params.WarmupBackoff.Paused(now) || e.load.Busy(now) > 0 || !params.mayUseInWarmup(index, requestTime) {
 		return true
 	}
-	return usual.TellsLoad && now.Sub(e.lastResponse) > usual.Fresh
+	return params.Probeable && now.Sub(e.lastResponse) > params.MaxFreshAge
 }
 
 // drawFactor lowers the probability that mayUseInWarmup selects an endpoint, because a request
 // evaluates several endpoints before it finds one that is free for it.
 const drawFactor = 0.25
 
-// mayUseInWarmup reports whether the request's random number (Lot) selects the endpoint at index,
-// which is warming up. The probability is proportional to requestTime, the expected time of the
-// request there. The result is the same in all search rounds of a request.
-func (u *Usual) mayUseInWarmup(index int, requestTime time.Duration) bool {
-	if u.WarmupRate <= 0 {
+// mayUseInWarmup reports whether the request's random number (Random) selects the endpoint at
+// index, which is warming up. The probability is proportional to requestTime, the expected time of
+// the request there. The result is the same in all search rounds of a request.
+func (p *ScoringParams) mayUseInWarmup(index int, requestTime time.Duration) bool {
+	if p.WarmupRate <= 0 {
 		return true
 	}
 	const hashMultiplier = 0x9e3779b9 // 2^32 divided by the golden ratio; spreads adjacent indices
-	draw := (u.Lot ^ uint32(index+1)*hashMultiplier) * hashMultiplier
-	return float64(draw)/math.MaxUint32 < drawFactor*u.WarmupRate*requestTime.Seconds()
+	draw := (p.Random ^ uint32(index+1)*hashMultiplier) * hashMultiplier
+	return float64(draw)/math.MaxUint32 < drawFactor*p.WarmupRate*requestTime.Seconds()
 }
--- a/coord/selection/warmup_test.go
+++ b/coord/selection/warmup_test.go
@@ -13,12 +13,12 @@
 )
 
 // coldListing is the listing of an endpoint of the same zone that is warming up.
-var coldListing = selection.Listing{Slots: 2, SameZone: true, WarmAt: start.Add(time.Hour), WarmTold: start.Add(-time.Second)}
+var coldListing = selection.Listing{Slots: 2, SameZone: true, WarmUntil: start.Add(time.Hour), WarmupReceivedAt: start.Add(-time.Second)}
 
-// probeableUsual returns usual with endpoints that can be probed for their load.
-func probeableUsual() selection.Usual {
-	u := usual
-	u.Fresh, u.TellsLoad = options.ProbeFresh, true
+// probeableParams returns params with endpoints that can be probed for their load.
+func probeableParams() selection.ScoringParams {
+	u := params
+	u.MaxFreshAge, u.Probeable = options.MaxFreshAge, true
 	return u
 }
 
@@ -26,7 +26,7 @@
 // whether it is warming up. A listing may have been written long before it was received, so it
 // never overrides the endpoint's own report of a warm-up.
 func TestWarmupState(t *testing.T) {
-	listedWarm := selection.Listing{Slots: 2, SameZone: true, WarmTold: start.Add(time.Second)}
+	listedWarm := selection.Listing{Slots: 2, SameZone: true, WarmupReceivedAt: start.Add(time.Second)}
 	cases := []struct {
 		name    string
 		state   selection.Endpoint
@@ -42,7 +42,7 @@
 		{"reported as cold, later listed as warm", probedEndpoint(0, 1).WithWarmup(3*time.Second, start), listedWarm, 2 * time.Second, true},
 	}
 	for _, c := range cases {
-		u := probeableUsual()
+		u := probeableParams()
 		got := selection.NewCandidate(&c.state, 0, c.listing, &u, 0, start.Add(c.after))
 		assert.Equal(t, got.Cold, c.cold, c.name)
 	}
@@ -61,16 +61,16 @@
 		{"idle", probedEndpoint(0, 1), 0, true},
 		{"working", probedEndpoint(1, 1), 0, false},
 		{"idle in an old report", probedEndpoint(0, 1), 10 * time.Millisecond, false},
-		{"was just sent a request", probedEndpoint(0, 1).WithSent(), 0, false},
+		{"was just sent a request", probedEndpoint(0, 1).WithRequestSent(), 0, false},
 		{"without a report", selection.NewEndpoint(), 0, false},
 	} {
-		u := probeableUsual()
+		u := probeableParams()
 		now := start.Add(c.after)
 		var list selection.Ranking
 		list.Add(selection.NewCandidate(&c.state, 0, coldListing, &u, 0, now))
 		// The search has ended, so any acceptable endpoint is taken.
-		d := options.Decide(&list, request, selection.Situation{GiveUp: now, Blind: true}, now)
-		assert.Equal(t, d.Do == selection.Take, c.takes, c.name)
+		d := options.Decide(&list, request, selection.SearchState{Deadline: now, NoneProbed: true}, now)
+		assert.Equal(t, d.Action == selection.Take, c.takes, c.name)
 	}
 }
 
@@ -78,7 +78,7 @@
 // all endpoints in warm-up, up to a limit, and that a completion ends it.
 func TestPauseForColdEndpointsAfterRefusals(t *testing.T) {
 	const rate = 2.5
-	var w selection.Warming
+	var w selection.WarmupBackoff
 	for _, pause := range []time.Duration{400, 800, 1600, 3200, 3200} {
 		w = w.WithOutcome(placement.Shed, rate, start)
 		assert.Assert(t, w.Paused(start.Add(pause*time.Millisecond-1)))
@@ -86,10 +86,10 @@
 	}
 	assert.Assert(t, w.WithOutcome(placement.Unused, rate, start).Paused(start), "an unused request does not end the pause")
 	assert.Assert(t, !w.WithOutcome(placement.Completed, rate, start).Paused(start))
-	assert.Assert(t, selection.Warming{}.WithOutcome(placement.Failed, 0, start).Paused(start.Add(399*time.Millisecond)), "default pause without a known rate")
+	assert.Assert(t, selection.WarmupBackoff{}.WithOutcome(placement.Failed, 0, start).Paused(start.Add(399*time.Millisecond)), "default pause without a known rate")
 
-	u := probeableUsual()
-	u.Warming = w
+	u := probeableParams()
+	u.WarmupBackoff = w
 	idle := probedEndpoint(0, 1)
 	assert.Assert(t, selection.NewCandidate(&idle, 0, coldListing, &u, 0, start).ColdBlocked)
 	assert.Assert(t, !selection.NewCandidate(&idle, 0, sameZone, &u, 0, start).Full, "warm endpoints are not affected")
@@ -99,7 +99,7 @@
 // take, with balancers that do not communicate.
 type coldFleet struct {
 	rng       *rand.Rand
-	warming   []selection.Warming // by balancer
+	warming   []selection.WarmupBackoff // by balancer
 	endpoints []coldEndpoint
 	usual     time.Duration // service time at warm endpoints
 	refusing  bool
@@ -136,14 +136,14 @@
 // a request to the first one that is not full.
 func (f *coldFleet) sendRequest(at time.Time) {
 	balancer, lot := f.rng.IntN(len(f.warming)), f.rng.Uint32()
-	for range selection.ProbeRounds(0) {
+	for range selection.MaxProbes(0) {
 		index := f.rng.IntN(len(f.endpoints))
 		e := &f.endpoints[index]
 		report := placement.LoadReport{Known: true, InFlight: e.inFlight(at), Slots: 2, Pace: 1}
 		state := selection.NewEndpoint().WithProbe(report, at.Add(probeLatency)).WithWarmup(time.Hour, at)
 		at = at.Add(probeLatency)
-		u := probeableUsual()
-		u.Work, u.Warming, u.WarmupRate, u.Lot = f.usual, f.warming[balancer], 2.5, lot
+		u := probeableParams()
+		u.Work, u.WarmupBackoff, u.WarmupRate, u.Random = f.usual, f.warming[balancer], 2.5, lot
 		if selection.NewCandidate(&state, index, coldListing, &u, 0, at).Full {
 			continue
 		}
@@ -196,7 +196,7 @@
 	} {
 		name := fmt.Sprintf("%d balancers, %d endpoints, work %v, refusing %v", c.balancers, c.endpoints, c.work, c.refusing)
 		f := &coldFleet{
-			rng: rand.New(rand.NewPCG(1, 2)), warming: make([]selection.Warming, c.balancers),
+			rng: rand.New(rand.NewPCG(1, 2)), warming: make([]selection.WarmupBackoff, c.balancers),
 			endpoints: make([]coldEndpoint, c.endpoints), usual: c.work / 2, refusing: c.refusing,
 		}
 		for i := range f.endpoints {
--- a/direct/acquire.go
+++ b/direct/acquire.go
@@ -21,10 +21,10 @@
 	listed       []directory.Endpoint // of the service, as of the last ranking
 	rolloutShare float64              // fraction of the requests that the new version gets during a rollout; 0 without a rollout
 	ranking      selection.Ranking
-	learned      selection.Usual // usual values for the request kind and the service, as of the last ranking
-	random       uint32          // drawn once, so that each ranking of this request decides alike
-	probes       int             // number sent for this request so far
-	lastProbed   int             // index in listed of the endpoint probed last
+	learned      selection.ScoringParams // usual values for the request kind and the service, as of the last ranking
+	random       uint32                  // drawn once, so that each ranking of this request decides alike
+	probes       int                     // number sent for this request so far
+	lastProbed   int                     // index in listed of the endpoint probed last
 }
 
 // Acquire chooses an endpoint for a request. It ranks and probes endpoints, then decides to grant
@@ -32,16 +32,16 @@
 // or earlier if a request of this process to the same service completes with a load report.
 func (c *Chooser) Acquire(ctx context.Context, r placement.Request) (placement.Grant, *placement.Refusal) {
 	s := search{request: r, service: tenant.ServiceName(r.Service), random: rand.Uint32()}
-	giveUp := c.opts.GiveUpAt(r, time.Now())
+	deadline := c.opts.SearchDeadline(r, time.Now())
 	for {
 		probesBefore := s.probes
 		c.rankAndProbe(ctx, &s)
 		now := time.Now()
-		d := c.opts.Decide(&s.ranking, r, selection.Situation{
-			GiveUp: giveUp, Blind: s.probes == probesBefore, CallerLeft: ctx.Err() != nil,
+		d := c.opts.Decide(&s.ranking, r, selection.SearchState{
+			Deadline: deadline, NoneProbed: s.probes == probesBefore, CallerLeft: ctx.Err() != nil,
 			Evacuated: allEvacuated(s.listed), OutOfRegion: c.allOutOfRegion(&s),
 		}, now)
-		switch d.Do {
+		switch d.Action {
 		case selection.Take:
 			if grant, ok := c.grantBest(&s, now); ok {
 				return grant, nil
@@ -59,7 +59,7 @@
 // number of rounds. Requesting a permit for a best candidate with a rate limit also takes a round.
 func (c *Chooser) rankAndProbe(ctx context.Context, s *search) {
 	c.rank(s, time.Now())
-	for range selection.ProbeRounds(s.probes) {
+	for range selection.MaxProbes(s.probes) {
 		if c.requestPermit(ctx, s) {
 			c.rank(s, time.Now())
 			continue
@@ -86,12 +86,12 @@
 // recorded estimates predict how good the endpoints that have not been probed yet are.
 func (c *Chooser) recordProspect(s *search) {
 	lastProbed, ok := s.ranking.Find(s.lastProbed)
-	if !ok || lastProbed.Age > c.opts.ProbeFresh {
+	if !ok || lastProbed.Age > c.opts.MaxFreshAge {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.prospects[s.service] = c.prospects[s.service].With(lastProbed.Estimate, s.learned.Work)
+	c.probeHistories[s.service] = c.probeHistories[s.service].With(lastProbed.Estimate, s.learned.Work)
 }
 
 // rank ranks the endpoints that the request may go to. During a rollout these are the endpoints of
@@ -101,10 +101,10 @@
 	s.listed, s.rolloutShare = snapshot.Endpoints[s.service], snapshot.Shares[s.service]
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.learned = selection.Usual{
-		Work: c.workloads[s.request.Kind].Usual(s.request.Target), Crowding: c.crowding[s.service], Prospect: c.prospects[s.service],
-		Warming: c.warming[s.service], Fresh: c.opts.ProbeFresh, TellsLoad: c.probePath(s.service) != "",
-		WarmupRate: c.warmupRate(s.service), Lot: s.random, Alone: s.request.Alone,
+	s.learned = selection.ScoringParams{
+		Work: c.serviceTimes[s.request.Kind].Expected(s.request.Target), Crowding: c.crowding[s.service], ProbeHistory: c.probeHistories[s.service],
+		WarmupBackoff: c.warmupBackoffs[s.service], MaxFreshAge: c.opts.MaxFreshAge, Probeable: c.probePath(s.service) != "",
+		WarmupRate: c.warmupRate(s.service), Random: s.random, Alone: s.request.Alone,
 	}
 	preferredSide := s.preferredSide()
 	c.rankSide(s, preferredSide, now)
@@ -153,15 +153,15 @@
 		if admitted.Access == admission.Excluded {
 			continue
 		}
-		listing := selection.Listing{Slots: e.Slots, SameZone: e.Zone == c.cfg.Zone, Admission: admitted, WarmAt: e.WarmAt, WarmTold: e.WarmTold}
+		listing := selection.Listing{Slots: e.Slots, SameZone: e.Zone == c.cfg.Zone, Admission: admitted, WarmUntil: e.WarmAt, WarmupReceivedAt: e.WarmTold}
 		s.ranking.Add(selection.NewCandidate(&state.observed, i, listing, &s.learned, c.rng.Uint32(), now))
 	}
 	s.ranking.DropEjected()
 }
 
 // stateForRanking returns the state of a listed endpoint, and creates it if there is none. An
-// endpoint that appears after others of its service counts as joined (selection.NewJoined), which
-// makes this process try it, with the probability recentlyUsedFraction: then about as many
+// endpoint that appears after others of its service counts as joined (selection.NewJoinedEndpoint),
+// which makes this process try it, with the probability recentlyUsedFraction: then about as many
 // balancers try it as use each of the others. The same goes for an endpoint that restarted under
 // its ID, since what was observed before the restart does not apply to it. c.mu must be held.
 func (c *Chooser) stateForRanking(s *search, indices []int, listed *directory.Endpoint, now time.Time) *endpointState {
@@ -169,7 +169,7 @@
 		return e
 	}
 	if c.listed[s.service] && c.rng.Float64() < c.recentlyUsedFraction(s.listed, indices, now) {
-		return c.addState(listed, selection.NewJoined())
+		return c.addState(listed, selection.NewJoinedEndpoint())
 	}
 	return c.addState(listed, selection.NewEndpoint())
 }
@@ -184,7 +184,7 @@
 			continue
 		}
 		near++
-		if e.observed.InUse(now) {
+		if e.observed.HasOpenConnection(now) {
 			used++
 		}
 	}
@@ -220,7 +220,7 @@
 	e := c.state(target)
 	c.countUnwantedSend(e, now)
 	trial := e.admission.OnTrial(now)
-	e.observed, e.admission = e.observed.WithSent(), e.admission.WithSent(now)
+	e.observed, e.admission = e.observed.WithRequestSent(), e.admission.WithSent(now)
 	load := e.observed.Load()
 	choice := placement.Choice{
 		Start: target.Start, Side: target.Side, Pace: load.Report().Pace, Busy: load.Busy(now), Cold: best.Cold, Trial: trial, Limited: best.Admission.Held, Estimate: best.Estimate, Age: -1, Probes: s.probes,
--- a/direct/complete.go
+++ b/direct/complete.go
@@ -22,7 +22,7 @@
 	if !ok || e.start != g.Choice.Start {
 		return // the endpoint has restarted, or its state was dropped
 	}
-	e.observed = e.observed.WithEnded(r.Load, now)
+	e.observed = e.observed.WithRequestEnded(r.Load, now)
 	if r.Load.Known {
 		defer c.wakeNext(tenant.ServiceName(g.Service)) // after the updates below
 	}
@@ -67,7 +67,7 @@
 // recordWarmupOutcome records the outcome of a request at an endpoint that was warming up; c.mu
 // must be held.
 func (c *Chooser) recordWarmupOutcome(service string, o placement.Outcome, now time.Time) {
-	c.warming[service] = c.warming[service].WithOutcome(o, c.warmupRate(service), now)
+	c.warmupBackoffs[service] = c.warmupBackoffs[service].WithOutcome(o, c.warmupRate(service), now)
 }
 
 // serviceTimeRatio returns the service time of a request divided by the usual one of its kind. It
@@ -77,14 +77,14 @@
 	if g.Choice.Cold {
 		return 1
 	}
-	return c.workloads[g.Kind].Ratio(took)
+	return c.serviceTimes[g.Kind].Ratio(took)
 }
 
 // learnServiceTime updates the usual service time of the request's kind, and how much requests of
 // its service slow down as slots fill up, from the time of a completed request; c.mu must be held.
 func (c *Chooser) learnServiceTime(g placement.Grant, took time.Duration, slots int) {
 	service := tenant.ServiceName(g.Service)
-	c.workloads[g.Kind], c.crowding[service] = selection.Learn(c.workloads[g.Kind], c.crowding[service], g.Choice, took, slots)
+	c.serviceTimes[g.Kind], c.crowding[service] = selection.WithCompletion(c.serviceTimes[g.Kind], c.crowding[service], g.Choice, took, slots)
 }
 
 // forgetUnlisted drops the states of endpoints that the directory no longer lists, that hold no
--- a/direct/direct.go
+++ b/direct/direct.go
@@ -114,18 +114,18 @@
 	leavingEndpoints metrics.Counter // endpoints that announced that they are leaving
 	unsupported      *unsupportedHeaders
 
-	mu           sync.Mutex
-	endpoints    map[string]*endpointState     // by VM
-	lastForget   time.Time                     // when the states of endpoints that are gone were last dropped
-	workloads    map[string]selection.Workload // usual service times, by request kind
-	crowding     map[string]selection.Crowding // how much requests slow down as slots fill up, by service
-	prospects    map[string]selection.Prospect // estimates for recently probed endpoints, by service
-	warming      map[string]selection.Warming  // outcomes of requests at cold endpoints, by service
-	waiters      map[string]waiters            // by service
-	listed       map[string]bool               // by service: whether it had endpoints in an earlier ranking
-	pools        map[string]pool               // by service
-	backoffNotes admission.Hints               // recent backoff notes
-	rng          *rand.Rand
+	mu             sync.Mutex
+	endpoints      map[string]*endpointState          // by VM
+	lastForget     time.Time                          // when the states of endpoints that are gone were last dropped
+	serviceTimes   map[string]selection.ServiceTime   // usual service times, by request kind
+	crowding       map[string]selection.Crowding      // how much requests slow down as slots fill up, by service
+	probeHistories map[string]selection.ProbeHistory  // estimates for recently probed endpoints, by service
+	warmupBackoffs map[string]selection.WarmupBackoff // outcomes of requests at cold endpoints, by service
+	waiters        map[string]waiters                 // by service
+	listed         map[string]bool                    // by service: whether it had endpoints in an earlier ranking
+	pools          map[string]pool                    // by service
+	backoffNotes   admission.Hints                    // recent backoff notes
+	rng            *rand.Rand
 }
 
 // endpointState is what this process knows of one start of an endpoint, that is, of one run of its
@@ -152,10 +152,10 @@
 		leavingEndpoints: metrics.GetOrRegisterCounter("endpoints_said_leaving", cfg.Metrics),
 		unsupported:      newUnsupportedHeaders(cfg.Log, cfg.Metrics),
 		endpoints:        map[string]*endpointState{},
-		workloads:        map[string]selection.Workload{},
+		serviceTimes:     map[string]selection.ServiceTime{},
 		crowding:         map[string]selection.Crowding{},
-		prospects:        map[string]selection.Prospect{},
-		warming:          map[string]selection.Warming{},
+		probeHistories:   map[string]selection.ProbeHistory{},
+		warmupBackoffs:   map[string]selection.WarmupBackoff{},
 		waiters:          map[string]waiters{},
 		listed:           map[string]bool{},
 		pools:            map[string]pool{},
--- a/direct/direct_test.go
+++ b/direct/direct_test.go
@@ -174,7 +174,7 @@
 
 // TestWaitsForFreeSlot checks that a request waits until a slot becomes free.
 func TestWaitsForFreeSlot(t *testing.T) {
-	r := newFixture(1, selection.Options{LookAgain: time.Millisecond, ProbeRate: 1e6})
+	r := newFixture(1, selection.Options{RoundPause: time.Millisecond, ProbeRate: 1e6})
 	r.prober.set("e0", 3, 1)
 	granted := make(chan placement.Grant)
 	go func() {
@@ -188,7 +188,7 @@
 // TestCompletionWakesWaitingRequest checks that the completion of a request wakes a waiting one,
 // without a probe and long before its pause is over.
 func TestCompletionWakesWaitingRequest(t *testing.T) {
-	r := newFixture(1, selection.Options{LookAgain: time.Hour, ProbeRate: 1e-9, ProbeBurst: 2})
+	r := newFixture(1, selection.Options{RoundPause: time.Hour, ProbeRate: 1e-9, ProbeBurst: 2})
 	r.prober.set("e0", 2, 1)
 	held, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
@@ -233,7 +233,7 @@
 // completions until a request is sent. Otherwise an estimate too high for every endpoint would
 // never be corrected.
 func TestRefusalsLowerInitialEstimate(t *testing.T) {
-	r := newFixture(1, selection.Options{RefuseShare: 1e-12, ProbeFresh: time.Nanosecond, ProbeBurst: 1000})
+	r := newFixture(1, selection.Options{SearchShare: 1e-12, MaxFreshAge: time.Nanosecond, ProbeBurst: 1000})
 	r.prober.set("e0", 0, 5)
 	_, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused != nil, "the first estimate is a third of the target, and the endpoint's pace multiplies it by five")
@@ -244,7 +244,7 @@
 // TestCanceledRequestStopsWaiting checks that a waiting request is refused once its caller has
 // left.
 func TestCanceledRequestStopsWaiting(t *testing.T) {
-	r := newFixture(1, selection.Options{LookAgain: time.Millisecond, ProbeRate: 1e6})
+	r := newFixture(1, selection.Options{RoundPause: time.Millisecond, ProbeRate: 1e6})
 	r.prober.set("e0", 3, 1)
 	ctx, leave := context.WithCancel(context.Background())
 	ended := make(chan *placement.Refusal)
@@ -317,7 +317,7 @@
 // TestFullEndpointGetsNothing checks that an endpoint whose slots are all taken gets no request,
 // even if its estimate is within the target.
 func TestFullEndpointGetsNothing(t *testing.T) {
-	r := newFixture(1, selection.Options{RefuseShare: 1e-12, ProbeFresh: time.Nanosecond, ProbeBurst: 1000})
+	r := newFixture(1, selection.Options{SearchShare: 1e-12, MaxFreshAge: time.Nanosecond, ProbeBurst: 1000})
 	r.learn(t)
 	r.prober.set("e0", 3, 1)
 	_, refused := r.Acquire(context.Background(), newRequest())
@@ -346,7 +346,7 @@
 
 // TestProbeRateIsBounded checks that the probes of one endpoint are limited to its budget.
 func TestProbeRateIsBounded(t *testing.T) {
-	r := newFixture(1, selection.Options{ProbeRate: 1e-9, ProbeBurst: 5, ProbeFresh: time.Nanosecond})
+	r := newFixture(1, selection.Options{ProbeRate: 1e-9, ProbeBurst: 5, MaxFreshAge: time.Nanosecond})
 	for range 50 {
 		g, _ := r.Acquire(context.Background(), newRequest())
 		r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
@@ -375,7 +375,7 @@
 // TestConcurrentRequests sends requests concurrently, for the race detector to find unguarded
 // access to the endpoint states.
 func TestConcurrentRequests(t *testing.T) {
-	r := newFixture(3, selection.Options{ProbeBurst: 1e6, ProbeFresh: time.Nanosecond})
+	r := newFixture(3, selection.Options{ProbeBurst: 1e6, MaxFreshAge: time.Nanosecond})
 	var all sync.WaitGroup
 	var granted atomic.Int64
 	for range 16 {
--- a/direct/evacuation_test.go
+++ b/direct/evacuation_test.go
@@ -24,7 +24,7 @@
 // TestEvacuatedZoneGetsNothing checks that an evacuated zone gets no requests, no second attempts
 // and no probes, even if it is the balancer's own and all endpoints elsewhere are full and slow.
 func TestEvacuatedZoneGetsNothing(t *testing.T) {
-	r := newFixture(6, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
+	r := newFixture(6, selection.Options{ProbeBurst: 1000, RoundPause: time.Millisecond})
 	r.learn(t)
 	r.evacuate(10, false, "near")
 	before := r.prober.probesTo("e0", "e2", "e4")
--- a/direct/probe.go
+++ b/direct/probe.go
@@ -104,7 +104,7 @@
 	defer c.mu.Unlock()
 	if err != nil {
 		c.cfg.Log.Debug("probe failed", "id", id, "error", err)
-		e.observed = e.observed.WithoutProbe()
+		e.observed = e.observed.WithUnansweredProbe()
 		return
 	}
 	e.observed = e.observed.WithProbe(answer.Load, now)
--- a/direct/refuse.go
+++ b/direct/refuse.go
@@ -14,12 +14,12 @@
 // refusal, which lowers the first estimate for a request kind that has no completion yet.
 func (c *Chooser) refuse(s *search, d selection.Decision) *placement.Refusal {
 	c.mu.Lock()
-	c.workloads[s.request.Kind] = c.workloads[s.request.Kind].WithRefusal()
+	c.serviceTimes[s.request.Kind] = c.serviceTimes[s.request.Kind].WithRefusal()
 	c.mu.Unlock()
 	return &placement.Refusal{
 		Reason:     d.Reason,
 		RetryAfter: retryAfter(d, s.request.Target),
-		Search:     s.ranking.Search(s.probes),
+		Search:     s.ranking.Summary(s.probes),
 	}
 }
 
@@ -29,7 +29,7 @@
 func retryAfter(d selection.Decision, target time.Duration) time.Duration {
 	spread := retry.RetryAfterNoEndpoint(target, rand.Float64())
 	if d.Reason == reason.EndpointsBackingOff {
-		return d.After + spread
+		return d.RetryAfter + spread
 	}
-	return max(d.After, spread)
+	return max(d.RetryAfter, spread)
 }
--- a/direct/split_test.go
+++ b/direct/split_test.go
@@ -41,7 +41,7 @@
 	}, time.Now())
 	c := direct.New(direct.Config{
 		ID: "vm-1", Zone: "near", Directory: d, Client: prober, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(),
-		Options: selection.Options{RefuseShare: 1e-12, ProbeRate: 1e9, ProbeBurst: 1e9},
+		Options: selection.Options{SearchShare: 1e-12, ProbeRate: 1e9, ProbeBurst: 1e9},
 	})
 	refused := 0
 	for range requests {
--- a/direct/start_test.go
+++ b/direct/start_test.go
@@ -26,7 +26,7 @@
 // another instance answers at its address. The end of a request that was sent before the restart
 // does not change the state of the new start.
 func TestRestartResetsState(t *testing.T) {
-	r := newFixture(1, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
+	r := newFixture(1, selection.Options{ProbeBurst: 1000, RoundPause: time.Millisecond})
 	r.restart("e0", 1, 2)
 	var before []placement.Grant
 	for range 3 {
@@ -57,7 +57,7 @@
 // endpoint even if a busy one in the own zone would be preferred otherwise, and to a busy one if
 // none is idle.
 func TestAloneRequestGoesToIdleEndpoint(t *testing.T) {
-	r := newFixture(2, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
+	r := newFixture(2, selection.Options{ProbeBurst: 1000, RoundPause: time.Millisecond})
 	r.learn(t)
 	r.prober.set("e0", 1, 1) // in the own zone
 	r.prober.set("e1", 0, 1)
@@ -76,7 +76,7 @@
 // TestSuspensionAgesReports checks that a load report from before a suspension of the VM is no
 // longer fresh after it.
 func TestSuspensionAgesReports(t *testing.T) {
-	r := newFixture(1, selection.Options{ProbeBurst: 1000, ProbeFresh: time.Hour, LookAgain: time.Millisecond})
+	r := newFixture(1, selection.Options{ProbeBurst: 1000, MaxFreshAge: time.Hour, RoundPause: time.Millisecond})
 	_, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
 	probes := r.prober.probesTo("e0")
@@ -94,7 +94,7 @@
 // ended while it had the request, however long this start stays listed. The request may go to
 // another start of the endpoint.
 func TestEndedStartGetsNoRetry(t *testing.T) {
-	r := newFixture(1, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
+	r := newFixture(1, selection.Options{ProbeBurst: 1000, RoundPause: time.Millisecond})
 	r.restart("e0", 7, 2)
 	request := newRequest()
 	request.Ended = []placement.Incarnation{{VM: "e0", Start: 7}}
--- a/direct/warmup_test.go
+++ b/direct/warmup_test.go
@@ -25,7 +25,7 @@
 // gets one request at a time, and that the time of that request does not count towards the usual
 // service time of its kind.
 func TestProbeReportsWarmup(t *testing.T) {
-	r := newFixture(2, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
+	r := newFixture(2, selection.Options{ProbeBurst: 1000, RoundPause: time.Millisecond})
 	r.learn(t)
 	r.prober.setWarmup("e0", time.Hour)
 	r.prober.set("e1", 3, 1)         // full
@@ -49,7 +49,7 @@
 // TestColdEndpointsAreAvoidedAfterRefusal checks that after one cold endpoint has refused a
 // request, the balancer avoids all cold endpoints of the service for a while.
 func TestColdEndpointsAreAvoidedAfterRefusal(t *testing.T) {
-	r := newFixture(2, selection.Options{ProbeBurst: 1000, LookAgain: time.Millisecond})
+	r := newFixture(2, selection.Options{ProbeBurst: 1000, RoundPause: time.Millisecond})
 	for _, e := range []string{"e0", "e1"} {
 		r.prober.setWarmup(e, time.Hour)
 	}
