--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -71,19 +71,19 @@
 	defer span.End()
 	kind := x.route.Kind
 	grant, refused := b.cfg.Chooser.Acquire(ctx, placement.Request{
-		ID:       b.cfg.Chooser.NextID(),
-		Service:  x.route.ServiceKey(),
-		Class:    kind.Class,
-		Patience: remainingPatience(x, time.Now()),
-		Deadline: x.deadline,
-		Avoid:    x.tried,
-		Kind:     x.route.Team + "/" + kind.Name,
-		Accepted: x.accepted,
-		Target:   kind.Target,
-		Alone:    x.pass.Trial,
-		Ended:    x.pass.Ended,
-		Priority: x.priority(b.teams()),
-		Regions:  x.allowedRegions(b.teams()),
+		ID:           b.cfg.Chooser.NextID(),
+		Service:      x.route.ServiceKey(),
+		Class:        kind.Class,
+		Patience:     remainingPatience(x, time.Now()),
+		Deadline:     x.deadline,
+		Avoid:        x.tried,
+		Kind:         x.route.Team + "/" + kind.Name,
+		Accepted:     x.accepted,
+		Target:       kind.Target,
+		Alone:        x.pass.Trial,
+		CrashedUnder: x.pass.Ended,
+		Priority:     x.priority(b.teams()),
+		Regions:      x.allowedRegions(b.teams()),
 	})
 	now := time.Now()
 	if refused != nil {
--- a/balancer/authenticate.go
+++ b/balancer/authenticate.go
@@ -94,7 +94,7 @@
 		return regions
 	}
 	team, _ := table.Team(x.team)
-	return regions.With(placement.Within(team.Regions))
+	return regions.Intersect(placement.NewRegions(team.Regions))
 }
 
 // priority returns the priority of the request; 0 is the most urgent. The team's priority
--- a/coord/placement/placement.go
+++ b/coord/placement/placement.go
@@ -67,13 +67,13 @@
 	Patience time.Duration // longest wait for a slot
 
 	// Used if the balancer itself decides.
-	Kind     string        // request kind; usual service times are learned by kind
-	Accepted time.Time     // when the balancer accepted the request
-	Target   time.Duration // latency target, counted from Accepted; 0 for none
-	Priority int           // 0 is the most urgent
-	Alone    bool          // an endpoint that holds no other request is preferred
-	Ended    []Incarnation // endpoints that terminated while they ran the request; they do not get it again, even if listed
-	Regions  Regions       // where it may be served
+	Kind         string        // request kind; usual service times are learned by kind
+	Accepted     time.Time     // when the balancer accepted the request
+	Target       time.Duration // latency target, counted from Accepted; 0 for none
+	Priority     int           // 0 is the most urgent
+	Alone        bool          // an endpoint that holds no other request is preferred
+	CrashedUnder []Incarnation // endpoints that terminated while they ran the request; they do not get it again, even if listed
+	Regions      Regions       // where it may be served
 }
 
 // Incarnation is one start of an endpoint.
@@ -89,24 +89,24 @@
 	Endpoint Endpoint
 
 	// Set if a home decided.
-	Class  Class
-	Home   string // address of the home for calls between balancers
-	HomeID string
+	Class    Class
+	HomeAddr string // address of the home for calls between balancers
+	HomeID   string
 
 	// Set if the balancer itself decided.
 	Kind   string // as in the Request
 	Choice Choice
 }
 
-// Side is the version of a service's software that an endpoint runs during a rollout.
-type Side uint8
+// RolloutSide is the version of a service's software that an endpoint runs during a rollout.
+type RolloutSide uint8
 
 // The sides.
 const (
-	AnySide  Side = iota // there is no rollout, or the version does not matter
-	OldSide              // the version in service before the rollout
-	NewSide              // the new version, at an endpoint that takes part in the current stage
-	HeldSide             // gets no requests: it runs a version that was rolled back or replaced, or does not take part yet
+	AnySide      RolloutSide = iota // there is no rollout, or the version does not matter
+	OldSide                         // the version in service before the rollout
+	NewSide                         // the new version, at an endpoint that takes part in the current stage
+	ExcludedSide                    // gets no requests: it runs a version that was rolled back or replaced, or does not take part yet
 )
 
 // Choice is what was known of an endpoint when the balancer chose it. It is logged, and used to
@@ -115,7 +115,7 @@
 	Start    int64         // Start of the endpoint's Incarnation; 0 if unknown
 	Pace     float64       // slowdown factor that the endpoint reported, 1 at its usual speed; 0 without a report
 	Busy     int           // estimated number of requests that it holds, including this one
-	Side     Side          // version that the endpoint runs during a rollout
+	Side     RolloutSide   // version that the endpoint runs during a rollout
 	Cold     bool          // it is warming up
 	Trial    bool          // it had asked for a backoff and has run no request since
 	Limited  bool          // it has a limit on requests per second, and the limit's owner has granted this request
--- a/coord/placement/regions.go
+++ b/coord/placement/regions.go
@@ -9,13 +9,13 @@
 	allowed    []string
 }
 
-// Within returns the regions with the given names, or all regions if there are no names.
-func Within(names []string) Regions {
+// NewRegions returns the regions with the given names, or all regions if there are no names.
+func NewRegions(names []string) Regions {
 	return Regions{restricted: len(names) > 0, allowed: names}
 }
 
-// With returns the regions that both r and o allow, such as those of a route and of its team.
-func (r Regions) With(o Regions) Regions {
+// Intersect returns the regions that both r and o allow, such as those of a route and of its team.
+func (r Regions) Intersect(o Regions) Regions {
 	switch {
 	case !r.restricted:
 		return o
@@ -26,6 +26,6 @@
 	return Regions{restricted: true, allowed: both}
 }
 
-// Allow reports whether a request may be served in a region. The empty name, for an unknown region,
-// is allowed only if all regions are.
-func (r Regions) Allow(name string) bool { return !r.restricted || slices.Contains(r.allowed, name) }
+// Allows reports whether a request may be served in a region. The empty name, for an unknown
+// region, is allowed only if all regions are.
+func (r Regions) Allows(name string) bool { return !r.restricted || slices.Contains(r.allowed, name) }
--- a/direct/acquire.go
+++ b/direct/acquire.go
@@ -116,7 +116,7 @@
 
 // preferredSide returns the version of the service for which the request is meant. During a rollout
 // that is the new version for a fraction rolloutShare of the requests.
-func (s *search) preferredSide() placement.Side {
+func (s *search) preferredSide() placement.RolloutSide {
 	switch {
 	case s.rolloutShare == 0:
 		return placement.AnySide
@@ -130,7 +130,7 @@
 // one, and returns that version. A request for the new version falls back to the old one if no
 // endpoint of the new version has room, unless rolloutShare is 1. A request for the old version
 // goes to the new one only if the request may go to no endpoint of the old version.
-func (s *search) fallbackSide(side placement.Side) (placement.Side, bool) {
+func (s *search) fallbackSide(side placement.RolloutSide) (placement.RolloutSide, bool) {
 	switch {
 	case side == placement.NewSide && s.rolloutShare < 1 && (s.ranking.Len() == 0 || s.ranking.Best().Full):
 		return placement.OldSide, true
@@ -141,7 +141,7 @@
 }
 
 // rankSide ranks the endpoints of one version that the request may go to; c.mu must be held.
-func (c *Chooser) rankSide(s *search, side placement.Side, now time.Time) {
+func (c *Chooser) rankSide(s *search, side placement.RolloutSide, now time.Time) {
 	indices := c.poolOf(s.service, s.listed)
 	s.ranking.Reset(len(indices))
 	for _, i := range indices {
--- a/direct/admit.go
+++ b/direct/admit.go
@@ -17,7 +17,7 @@
 // excludes reports whether the request must not go to an endpoint: it has already been sent there,
 // or this start of the endpoint ended while it had the request.
 func (s *search) excludes(e *directory.Endpoint) bool {
-	return slices.Contains(s.request.Avoid, e.VM) || slices.Contains(s.request.Ended, placement.Incarnation{VM: e.VM, Start: e.Start})
+	return slices.Contains(s.request.Avoid, e.VM) || slices.Contains(s.request.CrashedUnder, placement.Incarnation{VM: e.VM, Start: e.Start})
 }
 
 // admission decides whether, and from when, a request may go to the endpoint at an index of
--- a/direct/pool.go
+++ b/direct/pool.go
@@ -34,7 +34,7 @@
 	for i := range listed {
 		e := &listed[i]
 		members[i] = subset.Member{
-			ID: e.VM, SameZone: e.Zone == c.cfg.Zone, NewVersion: e.Side == placement.NewSide, Excluded: e.Evacuated || e.Side == placement.HeldSide,
+			ID: e.VM, SameZone: e.Zone == c.cfg.Zone, NewVersion: e.Side == placement.NewSide, Excluded: e.Evacuated || e.Side == placement.ExcludedSide,
 		}
 	}
 	return subset.Draw(c.cfg.ID, members, c.cfg.PoolSize)
--- a/direct/regions.go
+++ b/direct/regions.go
@@ -16,5 +16,5 @@
 
 // inRegion reports whether the request may be served in the region of an endpoint.
 func (c *Chooser) inRegion(s *search, e *directory.Endpoint) bool {
-	return s.request.Regions.Allow(c.cfg.Regions[e.Zone])
+	return s.request.Regions.Allows(c.cfg.Regions[e.Zone])
 }
--- a/direct/regions_test.go
+++ b/direct/regions_test.go
@@ -27,7 +27,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newFixture(2, selection.Options{})
 			request := newRequest()
-			request.Regions = placement.Within(c.regions)
+			request.Regions = placement.NewRegions(c.regions)
 			g, refused := r.Acquire(context.Background(), request)
 			if c.reason != "" {
 				assert.Assert(t, refused != nil)
--- a/direct/start_test.go
+++ b/direct/start_test.go
@@ -97,7 +97,7 @@
 	r := newFixture(1, selection.Options{ProbeBurst: 1000, RoundPause: time.Millisecond})
 	r.restart("e0", 7, 2)
 	request := newRequest()
-	request.Ended = []placement.Incarnation{{VM: "e0", Start: 7}}
+	request.CrashedUnder = []placement.Incarnation{{VM: "e0", Start: 7}}
 	_, refused := r.Acquire(context.Background(), request)
 	assert.Assert(t, refused != nil)
 	r.restart("e0", 8, 3)
--- a/directory/endpoint.go
+++ b/directory/endpoint.go
@@ -42,7 +42,7 @@
 	Spoiled   bool // its entry exists but cannot be read, so it must not get requests
 	Evacuated bool // its availability zone is evacuated; set only in a Snapshot
 	// Side says to which side of a rollout its version belongs; set only in a Snapshot.
-	Side placement.Side
+	Side placement.RolloutSide
 }
 
 const (
@@ -63,7 +63,7 @@
 
 // Usable reports whether the endpoint may get requests at now.
 func (e Endpoint) Usable(now time.Time) bool {
-	if e.Evacuated || e.Spoiled || e.Side == placement.HeldSide {
+	if e.Evacuated || e.Spoiled || e.Side == placement.ExcludedSide {
 		return false
 	}
 	return e.State == Listed || e.State == Missing && now.Sub(e.Changed) <= missingUsableFor
--- a/directory/rollout.go
+++ b/directory/rollout.go
@@ -198,7 +198,7 @@
 		case version == r.version():
 			newer = append(newer, i)
 		case slices.Contains(out, version):
-			list[i].Side = placement.HeldSide
+			list[i].Side = placement.ExcludedSide
 		default:
 			older = append(older, i)
 		}
@@ -207,18 +207,18 @@
 	case len(newer) == 0:
 		return 0
 	case r.Status().State == rollout.Completed:
-		setSide(list, older, placement.HeldSide)
+		setSide(list, older, placement.ExcludedSide)
 		return 0
 	}
 	share = r.Share()
 	setSide(list, older, placement.OldSide)
-	setSide(list, newer, placement.HeldSide)
+	setSide(list, newer, placement.ExcludedSide)
 	setSide(list, selectByShare(list, newer, share), placement.NewSide)
 	return share
 }
 
 // setSide sets the side of the endpoints at indices.
-func setSide(list []Endpoint, indices []int, side placement.Side) {
+func setSide(list []Endpoint, indices []int, side placement.RolloutSide) {
 	for _, i := range indices {
 		list[i].Side = side
 	}
--- a/node/acquire.go
+++ b/node/acquire.go
@@ -54,7 +54,7 @@
 		case reply.Kind == contract.Refused:
 			return placement.Grant{}, &placement.Refusal{Reason: reply.Reason, RetryAfter: reply.RetryAfter}
 		}
-		g := placement.Grant{ID: r.ID, Service: r.Service, Endpoint: reply.Endpoint, Home: home.Addr, HomeID: home.ID, Class: r.Class}
+		g := placement.Grant{ID: r.ID, Service: r.Service, Endpoint: reply.Endpoint, HomeAddr: home.Addr, HomeID: home.ID, Class: r.Class}
 		n.local.begin(g)
 		return g, nil
 	}
--- a/node/complete.go
+++ b/node/complete.go
@@ -18,8 +18,8 @@
 	if ok {
 		n.report(home, done)
 	}
-	if g.Home != "" && home.ID != g.HomeID { // the home has moved meanwhile
-		n.report(member.Member{ID: g.HomeID, Addr: g.Home}, done)
+	if g.HomeAddr != "" && home.ID != g.HomeID { // the home has moved meanwhile
+		n.report(member.Member{ID: g.HomeID, Addr: g.HomeAddr}, done)
 	}
 }
 
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -145,8 +145,8 @@
 func neverFails(time.Duration) bool  { return false }
 func alwaysFails(time.Duration) bool { return true }
 
-// countBySide returns the number of usable endpoints by version and placement.Side, such as v1/1 for
-// v1 on OldSide.
+// countBySide returns the number of usable endpoints by version and placement.RolloutSide, such as
+// v1/1 for v1 on OldSide.
 func (w *testFleet) countBySide() map[string]int {
 	n := map[string]int{}
 	for _, e := range w.directory.Snapshot().Endpoints["s"] {
--- a/tenant/prefix.go
+++ b/tenant/prefix.go
@@ -106,7 +106,7 @@
 			MaxAttempts: r.MaxAttempts,
 			MaxBody:     r.MaxBody,
 			Public:      r.Public,
-			Regions:     placement.Within(r.Regions),
+			Regions:     placement.NewRegions(r.Regions),
 		})
 	}
 	return entry
