--- a/coord/rollout/rollout.go
+++ b/coord/rollout/rollout.go
@@ -18,7 +18,7 @@
 //
 //	test = test.With(newer, older)
 //	facts := rollout.Facts{Bad: test.Bad(), Proved: test.Proved(), ...}
-//	next := rollout.Plan{Duration: 12 * time.Second, Settle: 2 * time.Second}.Next(status, facts)
+//	next := rollout.Plan{Duration: 12 * time.Second, SettleTime: 2 * time.Second}.Next(status, facts)
 package rollout
 
 import (
@@ -85,9 +85,9 @@
 // Plan is the schedule of a rollout.
 type Plan struct {
 	Duration time.Duration // time in which the operator wants the rollout completed
-	// Settle is how long it takes until all balancers apply a new status and the requests
+	// SettleTime is how long it takes until all balancers apply a new status and the requests
 	// sent before that have ended.
-	Settle time.Duration
+	SettleTime time.Duration
 }
 
 // Next returns the status that follows s, which is s itself if nothing is to change.
@@ -98,7 +98,7 @@
 	case f.Bad:
 		return Status{State: RolledBack}
 	case s.Stage == len(Stages)-1:
-		if f.InStage >= p.Settle {
+		if f.InStage >= p.SettleTime {
 			return Status{State: Completed}
 		}
 		return s
@@ -129,7 +129,7 @@
 // maxWaitForProof returns the time since the order after which the rollout goes on even if too few
 // requests have been counted to prove the new version.
 func (p Plan) maxWaitForProof() time.Duration {
-	return p.shareOfDuration(plannedCompletion) - p.shareOfDuration(secondStageLength) - p.Settle
+	return p.shareOfDuration(plannedCompletion) - p.shareOfDuration(secondStageLength) - p.SettleTime
 }
 
 // shareOfDuration returns a share of the planned duration.
--- a/coord/rollout/rollout_test.go
+++ b/coord/rollout/rollout_test.go
@@ -109,7 +109,7 @@
 // planned duration.
 func TestGoodVersionIsCompletedInTime(t *testing.T) {
 	for _, d := range []time.Duration{8 * time.Second, 12 * time.Second, 16 * time.Second, time.Minute} {
-		p := Plan{Duration: d, Settle: 2500 * time.Millisecond}
+		p := Plan{Duration: d, SettleTime: 2500 * time.Millisecond}
 		s, statusAt := Status{State: Running}, time.Duration(0)
 		at := time.Duration(0)
 		for ; s.State == Running; at += 100 * time.Millisecond {
@@ -126,7 +126,7 @@
 
 // TestNext checks the effect of each fact on the next status.
 func TestNext(t *testing.T) {
-	p := Plan{Duration: 10 * time.Second, Settle: 2 * time.Second}
+	p := Plan{Duration: 10 * time.Second, SettleTime: 2 * time.Second}
 	cases := []struct {
 		name string
 		from Status
@@ -161,7 +161,7 @@
 		for _, badFrom := range []time.Duration{0, 3 * time.Second, 6 * time.Second} {
 			t.Run(fmt.Sprintf("%d a second, bad from %v", rate, badFrom), func(t *testing.T) {
 				rng := rand.New(rand.NewPCG(uint64(rate), uint64(badFrom)))
-				p := Plan{Duration: 16 * time.Second, Settle: 2500 * time.Millisecond}
+				p := Plan{Duration: 16 * time.Second, SettleTime: 2500 * time.Millisecond}
 				var s SequentialTest
 				status, statusAt := Status{State: Running}, time.Duration(0)
 				var shares []float64 // share by tick
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -31,8 +31,8 @@
 
 // RecordOutcome counts the result of a request at the old or the new version of a service during
 // its rollout.
-func (k *Keeper) RecordOutcome(t direct.RolloutOutcome, now time.Time) {
-	r, ok := findRollout(k.cfg.Directory.Snapshot(), t.Service)
+func (c *Controller) RecordOutcome(t direct.RolloutOutcome, now time.Time) {
+	r, ok := findRollout(c.cfg.Directory.Snapshot(), t.Service)
 	if !ok || !r.Begun() {
 		return
 	}
@@ -43,12 +43,12 @@
 	key := func(count string) string {
 		return keyPrefix(t.Service, r.Order.Revision) + version + "/" + count + "/" + t.Kind
 	}
-	k.cfg.Counts.Add(key(askedCount), 1, now)
+	c.cfg.Counts.Add(key(askedCount), 1, now)
 	if t.Failed {
-		k.cfg.Counts.Add(key(failedCount), 1, now)
+		c.cfg.Counts.Add(key(failedCount), 1, now)
 	}
 	if t.Slow {
-		k.cfg.Counts.Add(key(slowCount), 1, now)
+		c.cfg.Counts.Add(key(slowCount), 1, now)
 	}
 }
 
--- a/rollout/notes.go
+++ b/rollout/notes.go
@@ -9,10 +9,10 @@
 	"github.com/lotuswing/lotuswing/relay"
 )
 
-// Topic is the topic of the notes by which the leader of a rollout tells all other balancers that
-// the version is bad. The notes are sent in addition to the rollout's record in the store, because
-// the record arrives later and cannot be written while the store is unavailable.
-const Topic = "rollout/bad"
+// BadVersionTopic is the topic of the notes by which the leader of a rollout tells all other
+// balancers that the version is bad. The notes are sent in addition to the rollout's record in the
+// store, because the record arrives later and cannot be written while the store is unavailable.
+const BadVersionTopic = "rollout/bad"
 
 // badNote is the data of a note on a bad version, encoded as JSON.
 type badNote struct {
@@ -26,22 +26,22 @@
 
 // takeOutOfService takes a bad version out of service at this balancer, and sends a note to all
 // others. It does so once for each order.
-func (k *Keeper) takeOutOfService(r directory.Rollout) {
-	if !k.cfg.Directory.MarkBad(r.Order.Service, r.Order.Revision, k.cfg.Now()) || k.cfg.Tell == nil {
+func (c *Controller) takeOutOfService(r directory.Rollout) {
+	if !c.cfg.Directory.MarkBad(r.Order.Service, r.Order.Revision, c.cfg.Now()) || c.cfg.Publish == nil {
 		return
 	}
 	data, err := json.Marshal(badNote{Service: r.Order.Service, Order: r.Order.Revision, Version: r.Order.Version})
 	if err == nil {
-		err = k.cfg.Tell(Topic, data)
+		err = c.cfg.Publish(BadVersionTopic, data)
 	}
 	if err != nil {
-		k.cfg.Log.Warn("bad version not announced to other balancers", "service", r.Order.Service, "version", r.Order.Version, "error", err)
+		c.cfg.Log.Warn("bad version not announced to other balancers", "service", r.Order.Service, "version", r.Order.Version, "error", err)
 	}
 }
 
-// Hear handles a note of Topic: it takes the version out of service at this balancer. It returns an
-// error for a malformed note.
-func (k *Keeper) Hear(n relay.Note) error {
+// HandleNote handles a note of BadVersionTopic: it takes the version out of service at this
+// balancer. It returns an error for a malformed note.
+func (c *Controller) HandleNote(n relay.Note) error {
 	var bad badNote
 	if err := json.Unmarshal(n.Data, &bad); err != nil {
 		return fmt.Errorf("rollout: decoding note: %w", err)
@@ -49,8 +49,8 @@
 	if bad.Service == "" || bad.Order == 0 {
 		return errIncompleteNote
 	}
-	if k.cfg.Directory.MarkBad(bad.Service, bad.Order, k.cfg.Now()) {
-		k.cfg.Log.Info("bad version taken out of service", "service", bad.Service, "version", bad.Version, "order", bad.Order, "from", n.Origin)
+	if c.cfg.Directory.MarkBad(bad.Service, bad.Order, c.cfg.Now()) {
+		c.cfg.Log.Info("bad version taken out of service", "service", bad.Service, "version", bad.Version, "order", bad.Order, "from", n.Origin)
 	}
 	return nil
 }
--- a/rollout/notes_test.go
+++ b/rollout/notes_test.go
@@ -21,9 +21,9 @@
 // is available again.
 func TestBadVersionTakenOutWithoutStore(t *testing.T) {
 	leader, other := newTestFleet(), newTestFleet()
-	k, heard := leader.newKeeper("vm-1", "a"), other.newKeeper("vm-2", "b")
+	k, heard := leader.newController("vm-1", "a"), other.newController("vm-2", "b")
 	var told []relay.Note
-	k.cfg.Tell = func(topic string, data []byte) error {
+	k.cfg.Publish = func(topic string, data []byte) error {
 		told = append(told, relay.Note{Origin: "vm-1", Topic: topic, Data: data})
 		return nil
 	}
@@ -39,7 +39,7 @@
 	assert.Equal(t, leader.written[len(leader.written)-1], rollout.Running)
 	assert.Equal(t, len(told), 1, "one note is sent")
 
-	assert.NilError(t, heard.Hear(told[0]))
+	assert.NilError(t, heard.HandleNote(told[0]))
 	assert.Equal(t, other.currentRollout().Status().State, rollout.RolledBack)
 	assert.Equal(t, other.currentRollout().Recorded().State, rollout.Running)
 
@@ -53,11 +53,11 @@
 // predecessor announced as bad, even if its own counts show nothing.
 func TestSuccessorWritesAnnouncedRollback(t *testing.T) {
 	w := newTestFleet()
-	k := w.newKeeper("vm-2", "a")
+	k := w.newController("vm-2", "a")
 	w.addEndpoints("v2", 10)
 	w.orderRollout("v2")
 	k.evaluateAll(context.Background()) // begins the rollout
-	assert.NilError(t, k.Hear(relay.Note{Data: []byte(`{"Service":"s","Order":21,"Version":"v2"}`)}))
+	assert.NilError(t, k.HandleNote(relay.Note{Data: []byte(`{"Service":"s","Order":21,"Version":"v2"}`)}))
 	assert.Equal(t, w.currentRollout().Order.Revision, uint64(21))
 	w.now = w.now.Add(time.Second)
 	k.evaluateAll(context.Background())
@@ -68,25 +68,25 @@
 // for the same version starts anew, and that it applies even if it arrives before the order.
 func TestNoteAppliesOnlyToItsOrder(t *testing.T) {
 	w := newTestFleet()
-	k := w.newKeeper("vm-1", "a")
+	k := w.newController("vm-1", "a")
 	w.addEndpoints("v2", 10)
 	note := relay.Note{Data: []byte(`{"Service":"s","Order":21,"Version":"v2"}`)}
-	assert.NilError(t, k.Hear(note)) // the order is not known here yet
+	assert.NilError(t, k.HandleNote(note)) // the order is not known here yet
 	w.orderRollout("v2")
 	assert.Equal(t, w.currentRollout().Order.Revision, uint64(21))
 	assert.Equal(t, w.currentRollout().Status().State, rollout.RolledBack)
 	w.orderRollout("v2")
 	assert.Equal(t, w.currentRollout().Status().State, rollout.Running)
-	assert.NilError(t, k.Hear(note))
+	assert.NilError(t, k.HandleNote(note))
 	assert.Equal(t, w.currentRollout().Status().State, rollout.Running)
 }
 
 // TestIncompleteNote checks that a note without a service or an order is an error without effect.
 func TestIncompleteNote(t *testing.T) {
 	w := newTestFleet()
-	k := w.newKeeper("vm-1", "a")
+	k := w.newController("vm-1", "a")
 	for _, data := range []string{"", "{}", `{"Service":"s"}`, `{"Order":21}`, `[]`} {
-		assert.Assert(t, k.Hear(relay.Note{Data: []byte(data)}) != nil, data)
+		assert.Assert(t, k.HandleNote(relay.Note{Data: []byte(data)}) != nil, data)
 	}
 	w.orderRollout("v2")
 	assert.Equal(t, w.currentRollout().Status().State, rollout.Running)
@@ -96,8 +96,8 @@
 // cannot send the note.
 func TestBadVersionTakenOutWithoutNote(t *testing.T) {
 	w := newTestFleet()
-	k := w.newKeeper("vm-1", "a")
-	k.cfg.Tell = func(string, []byte) error { return errors.New("too long") }
+	k := w.newController("vm-1", "a")
+	k.cfg.Publish = func(string, []byte) error { return errors.New("too long") }
 	w.addEndpoints("v2", 10)
 	w.orderRollout("v2")
 	k.takeOutOfService(w.currentRollout())
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -13,14 +13,14 @@
 // announced to all balancers by a note, on which they take it out of service at once (notes.go);
 // the leader at that time then writes the record.
 //
-// A Keeper owns the state of the tests so far, which a new leader computes anew, and the loop that
-// evaluates rollouts (Run). It relies on a Directory for orders and records, on Counts, on a
+// A Controller owns the state of the tests so far, which a new leader computes anew, and the loop
+// that evaluates rollouts (Run). It relies on a Directory for orders and records, on Counts, on a
 // Registry for the store, and on Zones to find the leader. The rules are in coord/rollout.
 //
 // # Usage
 //
-//	k := rollout.New(rollout.Config{ID: id, Zone: zone, Directory: d, Counts: fleet, Registry: store, Zones: relays, Log: log})
-//	go k.Run(ctx)
+//	c := rollout.New(rollout.Config{ID: id, Zone: zone, Directory: d, Counts: fleet, Registry: store, Zones: relays, Log: log})
+//	go c.Run(ctx)
 package rollout
 
 import (
@@ -65,26 +65,26 @@
 	RelayZones() []string
 }
 
-// Config is the configuration of a Keeper.
+// Config is the configuration of a Controller.
 type Config struct {
 	ID, Zone  string // of this balancer
 	Directory Directory
 	Counts    Counts
 	Registry  Registry
-	// Tell sends a note to all other balancers; nil if there are none.
-	Tell  func(topic string, data []byte) error
-	Zones Zones // nil if this balancer is the only one
-	// Settle is how long it takes until all balancers apply a change and the requests sent before
-	// that have ended.
-	Settle  time.Duration
-	Log     hclog.Logger
-	Metrics metrics.Registry
+	// Publish sends a note to all other balancers; nil if there are none.
+	Publish func(topic string, data []byte) error
+	Zones   Zones // nil if this balancer is the only one
+	// SettleTime is how long it takes until all balancers apply a change and the requests sent
+	// before that have ended.
+	SettleTime time.Duration
+	Log        hclog.Logger
+	Metrics    metrics.Registry
 	// Now is the clock; nil for time.Now.
 	Now func() time.Time
 }
 
-// Keeper carries out rollouts. It is safe for concurrent use.
-type Keeper struct {
+// Controller carries out rollouts. It is safe for concurrent use.
+type Controller struct {
 	cfg  Config
 	wake chan struct{} // buffered with one element: signals Run that there is an order
 
@@ -110,21 +110,21 @@
 	test         rollout.SequentialTest
 }
 
-// New returns a keeper. Its Run has to be called for it to work.
-func New(cfg Config) *Keeper {
+// New returns a controller. Its Run has to be called for it to work.
+func New(cfg Config) *Controller {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
-	return &Keeper{cfg: cfg, wake: make(chan struct{}, 1), states: map[string]*rolloutState{}}
+	return &Controller{cfg: cfg, wake: make(chan struct{}, 1), states: map[string]*rolloutState{}}
 }
 
 // Observe wakes Run if there are rollouts. It has to be called after changes of the directory.
-func (k *Keeper) Observe(directory.Changes) {
-	if len(k.cfg.Directory.Snapshot().Rollouts) == 0 {
+func (c *Controller) Observe(directory.Changes) {
+	if len(c.cfg.Directory.Snapshot().Rollouts) == 0 {
 		return
 	}
 	select {
-	case k.wake <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default: // a signal is pending already
 	}
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -21,7 +21,8 @@
 
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// testFleet simulates a store, a directory that follows it, and counters that all keepers share.
+// testFleet simulates a store, a directory that follows it, and counters that all controllers
+// share.
 type testFleet struct {
 	now            time.Time
 	directory      *directory.Directory
@@ -109,9 +110,9 @@
 	return w
 }
 
-func (w *testFleet) newKeeper(id, zone string) *Keeper {
+func (w *testFleet) newController(id, zone string) *Controller {
 	return New(Config{
-		ID: id, Zone: zone, Directory: w, Counts: w, Registry: w, Zones: &testZone{testFleet: w, serving: true}, Settle: 2 * time.Second,
+		ID: id, Zone: zone, Directory: w, Counts: w, Registry: w, Zones: &testZone{testFleet: w, serving: true}, SettleTime: 2 * time.Second,
 		Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Now: func() time.Time { return w.now },
 	})
 }
@@ -122,7 +123,7 @@
 // simulate simulates a hundred requests per second, until the rollout has ended, but at most for
 // maxTime. While fails returns true, half of the requests at the new version fail. It returns the
 // simulated time.
-func (w *testFleet) simulate(maxTime time.Duration, fails func(at time.Duration) bool, keepers ...*Keeper) time.Duration {
+func (w *testFleet) simulate(maxTime time.Duration, fails func(at time.Duration) bool, controllers ...*Controller) time.Duration {
 	from := w.now
 	for n := 0; w.now.Sub(from) < maxTime; n++ {
 		if r := w.currentRollout(); r.Begun() && r.Status().State != rollout.Running {
@@ -133,9 +134,9 @@
 		for i := range 10 {
 			newer := float64((n*10+i)%100) < 100*share
 			failed := newer && i%2 == 0 && fails(w.now.Sub(from))
-			keepers[0].RecordOutcome(direct.RolloutOutcome{Service: "s", Kind: "read", NewVersion: newer, Failed: failed}, w.now)
+			controllers[0].RecordOutcome(direct.RolloutOutcome{Service: "s", Kind: "read", NewVersion: newer, Failed: failed}, w.now)
 		}
-		for _, k := range keepers {
+		for _, k := range controllers {
 			k.evaluateAll(context.Background())
 		}
 	}
@@ -161,7 +162,7 @@
 // rollout is completed in time, and the old version gets no requests any more after that.
 func TestGoodVersionIsCompleted(t *testing.T) {
 	w := newTestFleet()
-	k := w.newKeeper("one", "a")
+	k := w.newController("one", "a")
 	w.orderRollout("v2")
 	w.addEndpoints("v2", 10)
 	assert.DeepEqual(t, w.countBySide(), map[string]int{"v1/1": 10})
@@ -184,7 +185,7 @@
 		"later":          func(at time.Duration) bool { return at > 6*time.Second },
 	} {
 		w := newTestFleet()
-		k := w.newKeeper("one", "a")
+		k := w.newController("one", "a")
 		w.orderRollout("v2")
 		w.addEndpoints("v2", 10)
 		w.simulate(12*time.Second, fails, k)
@@ -199,20 +200,20 @@
 func TestOneLeader(t *testing.T) {
 	w := newTestFleet()
 	w.zones = []string{"a", "b", "c"}
-	keepers := []*Keeper{w.newKeeper("one", "a"), w.newKeeper("two", "b"), w.newKeeper("three", "c")}
+	controllers := []*Controller{w.newController("one", "a"), w.newController("two", "b"), w.newController("three", "c")}
 	w.orderRollout("v2")
 	w.addEndpoints("v2", 10)
-	w.simulate(6*time.Second, neverFails, keepers...)
+	w.simulate(6*time.Second, neverFails, controllers...)
 	first := w.currentRollout().Record.By
 	assert.Assert(t, first != "")
 	before := len(w.written)
 	w.zones = nil
-	for _, k := range keepers {
+	for _, k := range controllers {
 		if k.cfg.ID != first {
 			w.zones = append(w.zones, k.cfg.Zone)
 		}
 	}
-	w.simulate(8*time.Second, neverFails, keepers...)
+	w.simulate(8*time.Second, neverFails, controllers...)
 	assert.Equal(t, w.currentRollout().Status().State, rollout.Completed)
 	assert.Assert(t, w.currentRollout().Record.By != first)
 	assert.Assert(t, len(w.written) > before && len(w.written) <= 4, "%v", w.written)
@@ -222,7 +223,7 @@
 // after a network partition, neither overwrites a record of the other.
 func TestTwoLeadersWriteOnce(t *testing.T) {
 	w := newTestFleet()
-	one, two := w.newKeeper("one", "a"), w.newKeeper("two", "a")
+	one, two := w.newController("one", "a"), w.newController("two", "a")
 	w.orderRollout("v2")
 	w.addEndpoints("v2", 10)
 	w.simulate(12*time.Second, neverFails, one, two)
@@ -239,7 +240,7 @@
 func TestLostResponsesAreRetried(t *testing.T) {
 	for _, appliesWrites := range []bool{false, true} {
 		w := newTestFleet()
-		k := w.newKeeper("one", "a")
+		k := w.newController("one", "a")
 		w.orderRollout("v2")
 		w.addEndpoints("v2", 10)
 		w.storeDown, w.appliesWrites = true, appliesWrites
@@ -255,7 +256,7 @@
 // replaced, and one that is withdrawn.
 func TestReplacedAndWithdrawnOrders(t *testing.T) {
 	w := newTestFleet()
-	k := w.newKeeper("one", "a")
+	k := w.newController("one", "a")
 	w.orderRollout("v2")
 	k.evaluateAll(context.Background())
 	assert.DeepEqual(t, w.countBySide(), map[string]int{"v1/0": 10}) // no endpoint runs v2
@@ -282,15 +283,15 @@
 // TestStop checks that an operator can roll back a new version, and only once.
 func TestStop(t *testing.T) {
 	w := newTestFleet()
-	k := w.newKeeper("one", "a")
-	assert.Equal(t, k.Stop(context.Background(), "s"), ErrNone)
+	k := w.newController("one", "a")
+	assert.Equal(t, k.Stop(context.Background(), "s"), ErrNoRollout)
 	w.orderRollout("v2")
 	w.addEndpoints("v2", 10)
 	k.evaluateAll(context.Background())
 	assert.NilError(t, k.Stop(context.Background(), "s"))
 	assert.Equal(t, w.currentRollout().Status().State, rollout.RolledBack)
-	assert.Equal(t, k.Stop(context.Background(), "s"), ErrNone)
-	list := k.List()
+	assert.Equal(t, k.Stop(context.Background(), "s"), ErrNoRollout)
+	list := k.Statuses()
 	assert.Assert(t, len(list) == 1 && list[0].State == rollout.RolledBack && list[0].Leads, "%+v", list)
 }
 
--- a/rollout/run.go
+++ b/rollout/run.go
@@ -32,15 +32,15 @@
 )
 
 // Run carries out rollouts until ctx is done. Without an open rollout it waits for an order.
-func (k *Keeper) Run(ctx context.Context) {
+func (c *Controller) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		switch open, leads := k.evaluateAll(ctx); {
+		switch open, leads := c.evaluateAll(ctx); {
 		case leads:
 			pause.For(ctx, evaluateInterval)
 		case open:
-			pause.Until(ctx, k.wake, leaderCheckInterval)
+			pause.Until(ctx, c.wake, leaderCheckInterval)
 		default:
-			pause.Until(ctx, k.wake, time.Hour)
+			pause.Until(ctx, c.wake, time.Hour)
 		}
 	}
 }
@@ -48,40 +48,40 @@
 // evaluateAll evaluates all rollouts once. It reports whether any is open and whether this balancer
 // leads one of these. A rollout is open until it is completed or rolled back in the store's record,
 // or its order is withdrawn.
-func (k *Keeper) evaluateAll(ctx context.Context) (open, leads bool) {
-	s := k.cfg.Directory.Snapshot()
+func (c *Controller) evaluateAll(ctx context.Context) (open, leads bool) {
+	s := c.cfg.Directory.Snapshot()
 	for _, r := range s.Rollouts {
 		if r.Order.Over || r.Begun() && r.Recorded().State != rollout.Running {
 			continue
 		}
 		open = true
-		t := k.stateOf(r, k.cfg.Now())
-		if !k.leads(r.Order.Service) {
+		t := c.stateOf(r, c.cfg.Now())
+		if !c.leads(r.Order.Service) {
 			continue
 		}
 		leads = true
-		k.advance(ctx, r, t, s.Endpoints[r.Order.Service])
+		c.advance(ctx, r, t, s.Endpoints[r.Order.Service])
 	}
 	return open, leads
 }
 
 // leads reports whether this balancer is the leader of a service's rollouts.
-func (k *Keeper) leads(service string) bool {
-	if k.cfg.Zones == nil {
+func (c *Controller) leads(service string) bool {
+	if c.cfg.Zones == nil {
 		return true
 	}
-	zone, ok := rendezvous.First(service, k.cfg.Zones.RelayZones())
-	return ok && zone == k.cfg.Zone && k.cfg.Zones.Serving()
+	zone, ok := rendezvous.First(service, c.cfg.Zones.RelayZones())
+	return ok && zone == c.cfg.Zone && c.cfg.Zones.Serving()
 }
 
 // stateOf returns the state of a rollout, updated to its current order and record.
-func (k *Keeper) stateOf(r directory.Rollout, now time.Time) *rolloutState {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	t, ok := k.states[r.Order.Service]
+func (c *Controller) stateOf(r directory.Rollout, now time.Time) *rolloutState {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	t, ok := c.states[r.Order.Service]
 	if !ok || t.order != r.Order.Revision {
 		t = &rolloutState{order: r.Order.Revision, orderSeen: now, kinds: map[string]*kindEvidence{}}
-		k.states[r.Order.Service] = t
+		c.states[r.Order.Service] = t
 	}
 	if status := r.Recorded(); t.revision != r.Revision || t.status != status {
 		t.status, t.revision, t.statusSeen, t.writePause = status, r.Revision, now, 0
@@ -90,25 +90,25 @@
 }
 
 // advance decides on the next status of a rollout, and writes it if it has changed.
-func (k *Keeper) advance(ctx context.Context, r directory.Rollout, t *rolloutState, listed []directory.Endpoint) {
-	now := k.cfg.Now()
-	next, changed := k.next(r, t, listed, now)
+func (c *Controller) advance(ctx context.Context, r directory.Rollout, t *rolloutState, listed []directory.Endpoint) {
+	now := c.cfg.Now()
+	next, changed := c.next(r, t, listed, now)
 	if next.State == rollout.RolledBack {
-		k.takeOutOfService(r)
+		c.takeOutOfService(r)
 	}
 	if !changed || now.Sub(t.lastWrite) < t.writePause {
 		return
 	}
 	t.lastWrite = now
-	err := k.writeStatus(ctx, r, next)
+	err := c.writeStatus(ctx, r, next)
 	switch {
 	case err == nil:
-		k.cfg.Log.Info("rollout advanced", "service", r.Order.Service, "version", r.Order.Version, "state", next.State, "share", next.Share())
-		metrics.GetOrRegisterCounter(fmt.Sprintf("rollouts{state=%q}", next.State), k.cfg.Metrics).Inc(1)
+		c.cfg.Log.Info("rollout advanced", "service", r.Order.Service, "version", r.Order.Version, "state", next.State, "share", next.Share())
+		metrics.GetOrRegisterCounter(fmt.Sprintf("rollouts{state=%q}", next.State), c.cfg.Metrics).Inc(1)
 	case errors.Is(err, relay.ErrTaken):
-		k.cfg.Log.Info("rollout record was changed meanwhile", "service", r.Order.Service)
+		c.cfg.Log.Info("rollout record was changed meanwhile", "service", r.Order.Service)
 	default:
-		k.cfg.Log.Warn("rollout record not written", "service", r.Order.Service, "error", err)
+		c.cfg.Log.Warn("rollout record not written", "service", r.Order.Service, "error", err)
 	}
 	// The written record comes back as a change of the directory, which resets the pause. Until then
 	// the pause keeps it from being written again.
@@ -116,20 +116,20 @@
 }
 
 // next returns the next status of a rollout, and whether it differs from the one in the store.
-func (k *Keeper) next(r directory.Rollout, t *rolloutState, listed []directory.Endpoint, now time.Time) (rollout.Status, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (c *Controller) next(r directory.Rollout, t *rolloutState, listed []directory.Endpoint, now time.Time) (rollout.Status, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if !r.Begun() {
 		return rollout.Status{State: rollout.Running}, true
 	}
-	bad, proved := t.evaluate(k.cfg.Counts.Sums(keyPrefix(r.Order.Service, r.Order.Revision)))
+	bad, proved := t.evaluate(c.cfg.Counts.Sums(keyPrefix(r.Order.Service, r.Order.Revision)))
 	facts := rollout.Facts{
 		Since: now.Sub(t.orderSeen), InStage: now.Sub(t.statusSeen), Bad: bad || r.Bad, Proved: proved,
 	}
 	facts.New, facts.Old = countByVersion(listed, r.Order.Version, now)
-	plan := rollout.Plan{Duration: r.Order.Duration, Settle: k.cfg.Settle}
+	plan := rollout.Plan{Duration: r.Order.Duration, SettleTime: c.cfg.SettleTime}
 	next := plan.Next(t.status, facts)
-	k.cfg.Log.Debug("rollout evaluated", "service", r.Order.Service, "stage", t.status.Stage, "since", facts.Since, "in_stage", facts.InStage,
+	c.cfg.Log.Debug("rollout evaluated", "service", r.Order.Service, "stage", t.status.Stage, "since", facts.Since, "in_stage", facts.InStage,
 		"proved", facts.Proved, "new", facts.New, "old", facts.Old)
 	return next, next != t.status
 }
@@ -150,34 +150,34 @@
 }
 
 // writeStatus writes a status to the store, for all balancers and for operators.
-func (k *Keeper) writeStatus(ctx context.Context, r directory.Rollout, next rollout.Status) error {
+func (c *Controller) writeStatus(ctx context.Context, r directory.Rollout, next rollout.Status) error {
 	value, err := json.Marshal(directory.RolloutRecord{
-		Order: r.Order.Revision, Version: r.Order.Version, State: next.State, Stage: next.Stage, By: k.cfg.ID, Out: r.Out(),
+		Order: r.Order.Revision, Version: r.Order.Version, State: next.State, Stage: next.Stage, By: c.cfg.ID, Out: r.Out(),
 	})
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	return k.cfg.Registry.WriteRollout(ctx, directory.RecordName(r.Order.Service), value, r.Revision, r.Order, next.State)
+	return c.cfg.Registry.WriteRollout(ctx, directory.RecordName(r.Order.Service), value, r.Revision, r.Order, next.State)
 }
 
 // Errors of Stop.
 var (
-	// ErrNone is returned if the service has no open rollout.
-	ErrNone = errors.New("rollout: no version of this service comes in")
+	// ErrNoRollout is returned if the service has no open rollout.
+	ErrNoRollout = errors.New("rollout: no version of this service comes in")
 	// ErrChanged is returned if the rollout's record was changed meanwhile.
 	ErrChanged = errors.New("rollout: it has gone on meanwhile; look again")
 )
 
-// Stop rolls back the new version of a service, whatever the evidence. It returns ErrNone or
+// Stop rolls back the new version of a service, whatever the evidence. It returns ErrNoRollout or
 // ErrChanged, or an error of the store.
-func (k *Keeper) Stop(ctx context.Context, service string) error {
-	r, ok := findRollout(k.cfg.Directory.Snapshot(), service)
+func (c *Controller) Stop(ctx context.Context, service string) error {
+	r, ok := findRollout(c.cfg.Directory.Snapshot(), service)
 	if !ok || r.Order.Over || r.Begun() && r.Recorded().State != rollout.Running {
-		return ErrNone
+		return ErrNoRollout
 	}
-	err := k.writeStatus(ctx, r, rollout.Status{State: rollout.RolledBack})
+	err := c.writeStatus(ctx, r, rollout.Status{State: rollout.RolledBack})
 	if errors.Is(err, relay.ErrTaken) {
 		return ErrChanged
 	}
@@ -204,28 +204,28 @@
 	Bad, Proved  bool
 }
 
-// List returns the status of all rollouts, sorted by service.
-func (k *Keeper) List() []Status {
+// Statuses returns the status of all rollouts, sorted by service.
+func (c *Controller) Statuses() []Status {
 	var all []Status
-	for _, r := range k.cfg.Directory.Snapshot().Rollouts {
-		all = append(all, k.statusOf(r))
+	for _, r := range c.cfg.Directory.Snapshot().Rollouts {
+		all = append(all, c.statusOf(r))
 	}
 	return all
 }
 
 // statusOf returns the status of a rollout.
-func (k *Keeper) statusOf(r directory.Rollout) Status {
+func (c *Controller) statusOf(r directory.Rollout) Status {
 	st := Status{
 		Service: r.Order.Service, Version: r.Order.Version, State: r.Status().State, Share: r.Share(), Duration: r.Order.Duration, By: r.Record.By,
-		Leads: k.leads(r.Order.Service),
+		Leads: c.leads(r.Order.Service),
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	t, ok := k.states[r.Order.Service]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	t, ok := c.states[r.Order.Service]
 	if !ok || t.order != r.Order.Revision {
 		return st
 	}
-	st.Since = k.cfg.Now().Sub(t.orderSeen)
+	st.Since = c.cfg.Now().Sub(t.orderSeen)
 	for name, kind := range t.kinds {
 		st.Kinds = append(st.Kinds, KindStatus{
 			Kind: name, Newer: kind.newer, Older: kind.older, Bad: kind.test.Bad(), Proved: kind.test.Proved(),
--- a/server/chooser.go
+++ b/server/chooser.go
@@ -124,11 +124,11 @@
 }
 
 // newRollouts returns this balancer's part in bringing versions in.
-func (s *Server) newRollouts() *rollout.Keeper {
+func (s *Server) newRollouts() *rollout.Controller {
 	settings := s.cfg.Settings
 	cfg := rollout.Config{
-		ID: settings.ID, Zone: settings.Zone, Directory: s.directory, Counts: s.fleet, Registry: s.cfg.Relays, Tell: s.tell,
-		Settle: settings.Discovery.ApplyWithin, Log: s.cfg.Log.Named("rollout"), Metrics: s.metrics,
+		ID: settings.ID, Zone: settings.Zone, Directory: s.directory, Counts: s.fleet, Registry: s.cfg.Relays, Publish: s.tell,
+		SettleTime: settings.Discovery.ApplyWithin, Log: s.cfg.Log.Named("rollout"), Metrics: s.metrics,
 	}
 	if settings.Link != "" {
 		cfg.Zones = relayZones{s}
@@ -178,8 +178,8 @@
 		err = s.limits.HandleNote(n)
 	case direct.LeavingTopic, direct.BackoffTopic:
 		err = s.direct.HandleNote(n)
-	case rollout.Topic:
-		err = s.rollouts.Hear(n)
+	case rollout.BadVersionTopic:
+		err = s.rollouts.HandleNote(n)
 	default:
 		s.keeper.Hear(n)
 	}
--- a/server/rollouts.go
+++ b/server/rollouts.go
@@ -20,7 +20,7 @@
 			http.Error(w, errNoRollouts.Error(), http.StatusNotImplemented)
 			return
 		}
-		s.encode(w, s.rollouts.List())
+		s.encode(w, s.rollouts.Statuses())
 	})
 	mux.HandleFunc("POST /rollouts/{service}/stop", func(w http.ResponseWriter, r *http.Request) {
 		if s.rollouts == nil {
@@ -41,7 +41,7 @@
 // none of the known reasons the store may have it.
 func rolloutStatus(err error) int {
 	switch {
-	case errors.Is(err, rollout.ErrNone):
+	case errors.Is(err, rollout.ErrNoRollout):
 		return http.StatusNotFound
 	case errors.Is(err, rollout.ErrChanged):
 		return http.StatusConflict
--- a/server/server.go
+++ b/server/server.go
@@ -77,7 +77,7 @@
 	keeper    *quarantine.Keeper   // nil without relays
 	fleet     *fleet.Keeper        // nil without a follower
 	limits    *limits.Keeper       // nil without a follower
-	rollouts  *rollout.Keeper      // nil without relays
+	rollouts  *rollout.Controller  // nil without relays
 	suspended *suspend.Detector
 	balancer  *balancer.Balancer
 	tracing   *telemetry.Tracing
