--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -113,5 +113,5 @@
 
 // retryAfterFailure returns the Retry-After for a request whose attempts failed.
 func retryAfterFailure(x *exchange) time.Duration {
-	return retry.RetryAfterFailure(x.route.Kind.Target)
+	return retry.DelayAfterFailure(x.route.Kind.Target)
 }
--- a/coord/retry/after.go
+++ b/coord/retry/after.go
@@ -17,10 +17,10 @@
 	defaultRetryAfter = time.Second
 )
 
-// RetryAfterNoEndpoint returns the Retry-After of a request for which no endpoint was found. It is
+// DelayAfterNoEndpoint returns the Retry-After of a request for which no endpoint was found. It is
 // varied at random by up to 50% in both directions, because callers that are refused together would
 // otherwise retry together. jitter is a random number in [0,1).
-func RetryAfterNoEndpoint(target time.Duration, jitter float64) time.Duration {
+func DelayAfterNoEndpoint(target time.Duration, jitter float64) time.Duration {
 	if target <= 0 {
 		return defaultRetryAfter
 	}
@@ -28,9 +28,9 @@
 	return time.Duration(share * (0.5 + jitter))
 }
 
-// RetryAfterFailure returns the Retry-After of a request whose attempts failed. It has no jitter,
+// DelayAfterFailure returns the Retry-After of a request whose attempts failed. It has no jitter,
 // because attempts fail one by one.
-func RetryAfterFailure(target time.Duration) time.Duration {
+func DelayAfterFailure(target time.Duration) time.Duration {
 	if target <= 0 {
 		return defaultRetryAfter
 	}
--- a/coord/retry/retry_test.go
+++ b/coord/retry/retry_test.go
@@ -67,9 +67,9 @@
 
 // TestRetryAfter checks the Retry-After if no endpoint was found, and if the attempts failed.
 func TestRetryAfter(t *testing.T) {
-	assert.Equal(t, retry.RetryAfterNoEndpoint(800*time.Millisecond, 0), 100*time.Millisecond)
-	assert.Equal(t, retry.RetryAfterNoEndpoint(800*time.Millisecond, 0.5), 200*time.Millisecond)
-	assert.Equal(t, retry.RetryAfterNoEndpoint(0, 0.5), time.Second)
-	assert.Equal(t, retry.RetryAfterFailure(800*time.Millisecond), 100*time.Millisecond)
-	assert.Equal(t, retry.RetryAfterFailure(0), time.Second)
+	assert.Equal(t, retry.DelayAfterNoEndpoint(800*time.Millisecond, 0), 100*time.Millisecond)
+	assert.Equal(t, retry.DelayAfterNoEndpoint(800*time.Millisecond, 0.5), 200*time.Millisecond)
+	assert.Equal(t, retry.DelayAfterNoEndpoint(0, 0.5), time.Second)
+	assert.Equal(t, retry.DelayAfterFailure(800*time.Millisecond), 100*time.Millisecond)
+	assert.Equal(t, retry.DelayAfterFailure(0), time.Second)
 }
--- a/direct/refuse.go
+++ b/direct/refuse.go
@@ -27,7 +27,7 @@
 // Callers that wait for the end of the same backoff are spread over a time after it, so that they
 // do not all retry at once.
 func retryAfter(d selection.Decision, target time.Duration) time.Duration {
-	spread := retry.RetryAfterNoEndpoint(target, rand.Float64())
+	spread := retry.DelayAfterNoEndpoint(target, rand.Float64())
 	if d.Reason == reason.EndpointsBackingOff {
 		return d.RetryAfter + spread
 	}
