--- a/direct/admit.go
+++ b/direct/admit.go
@@ -11,13 +11,13 @@
 )
 
 // An endpoint is checked three times: whether it may be chosen for a request (Chooser.admission),
-// whether it may still get the request when that is about to be written (Admits), and whether it
-// may be probed by another package (Willing). The rules are in coord/admission.
+// whether it may still get the request when that is about to be written (StillAccepts), and whether
+// it may be probed by another package (MayProbe). The rules are in coord/admission.
 
 // excludes reports whether the request must not go to an endpoint: it has already been sent there,
 // or this start of the endpoint ended while it had the request.
 func (s *search) excludes(e *directory.Endpoint) bool {
-	return slices.Contains(s.request.Avoid, e.VM) || slices.Contains(s.request.Ended, placement.Incarnation{VM: e.VM, Start: e.Start})
+	return slices.Contains(s.request.Avoid, e.VM) || slices.Contains(s.request.CrashedUnder, placement.Incarnation{VM: e.VM, Start: e.Start})
 }
 
 // admission decides whether, and from when, a request may go to the endpoint at an index of
@@ -25,7 +25,7 @@
 // held.
 func (c *Chooser) admission(s *search, indices []int, index int, now time.Time) (*endpointState, admission.Decision) {
 	e := &s.listed[index]
-	f := admission.Facts{Usable: e.Usable(now), Lot: s.randomFor(index), Priority: s.request.Priority}
+	f := admission.Facts{Usable: e.Usable(now), Random: s.randomFor(index), Priority: s.request.Priority}
 	if !f.Usable {
 		return nil, admission.Decide(f, now)
 	}
@@ -42,9 +42,9 @@
 	return float64((s.random^uint32(index+1)*goldenRatio)*goldenRatio) / (1 << 32)
 }
 
-// Admits reports whether the endpoint of a grant may still get the request. It may not if,
+// StillAccepts reports whether the endpoint of a grant may still get the request. It may not if,
 // since the grant, the endpoint has restarted, or announced that it is leaving or backing off.
-func (c *Chooser) Admits(g placement.Grant, now time.Time) bool {
+func (c *Chooser) StillAccepts(g placement.Grant, now time.Time) bool {
 	listed, ok := c.cfg.Directory.Snapshot().Find(tenant.ServiceName(g.Service), g.Endpoint.VM)
 	if !ok || listed.Start != g.Choice.Start {
 		return false
@@ -55,12 +55,12 @@
 	if !ok || state.start != g.Choice.Start {
 		return listed.Usable(now)
 	}
-	return admission.Willing(listed.Usable(now), state.admission, now)
+	return admission.AcceptsChosen(listed.Usable(now), state.admission, now)
 }
 
-// Willing reports whether the endpoint with an ID may be probed, that is, whether it is not known
+// MayProbe reports whether the endpoint with an ID may be probed, that is, whether it is not known
 // to be backing off.
-func (c *Chooser) Willing(id string, now time.Time) bool {
+func (c *Chooser) MayProbe(id string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state, ok := c.endpoints[id]
--- a/direct/leaving_test.go
+++ b/direct/leaving_test.go
@@ -20,13 +20,13 @@
 )
 
 // reportWith returns a report that has just arrived, with an endpoint's announcement.
-func reportWith(w admission.Word) upstream.Report {
+func reportWith(w admission.Signal) upstream.Report {
 	now := time.Now()
 	return upstream.Report{Asked: now, Heard: now, Word: w}
 }
 
 // leaving is an endpoint's announcement that it is leaving.
-var leaving = admission.Word{Leaving: true}
+var leaving = admission.Signal{Leaving: true}
 
 // publisher records the notes that a chooser publishes.
 type publisher struct{ notes []relay.Note }
@@ -40,7 +40,7 @@
 func newPublishingFixture(endpoints int, sent *publisher) *fixture {
 	r := newFixture(endpoints, selection.Options{})
 	r.Chooser = direct.New(direct.Config{
-		ID: "vm-1", Zone: "near", Directory: r.directory, Client: r.prober, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Tell: sent.publish,
+		ID: "vm-1", Zone: "near", Directory: r.directory, Client: r.prober, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Publish: sent.publish,
 	})
 	return r
 }
@@ -59,9 +59,9 @@
 func TestLeavingEndpointGetsNothing(t *testing.T) {
 	r := newFixture(2, selection.Options{})
 	first := grant(t, r)
-	assert.Assert(t, r.Admits(first, time.Now()))
-	r.Hear(first, reportWith(leaving))
-	assert.Assert(t, !r.Admits(first, time.Now()))
+	assert.Assert(t, r.StillAccepts(first, time.Now()))
+	r.ObserveResponse(first, reportWith(leaving))
+	assert.Assert(t, !r.StillAccepts(first, time.Now()))
 	probes := r.prober.probesTo(first.Endpoint.VM)
 	for range 20 {
 		g := grant(t, r)
@@ -69,7 +69,7 @@
 		r.Complete(g, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	}
 	assert.Equal(t, r.prober.probesTo(first.Endpoint.VM), probes)
-	r.Hear(grant(t, r), reportWith(leaving))
+	r.ObserveResponse(grant(t, r), reportWith(leaving))
 	_, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused != nil)
 	assert.Equal(t, refused.Reason, reason.NoEndpoint)
@@ -98,14 +98,14 @@
 	r := newPublishingFixture(2, &sent)
 	g := grant(t, r)
 	for range 3 {
-		r.Hear(g, reportWith(leaving))
+		r.ObserveResponse(g, reportWith(leaving))
 	}
 	assert.Equal(t, len(sent.notes), 1)
 	assert.Equal(t, sent.notes[0].Topic, direct.LeavingTopic)
 
 	var other publisher
 	o := newPublishingFixture(2, &other)
-	assert.NilError(t, o.HearNote(sent.notes[0]))
+	assert.NilError(t, o.HandleNote(sent.notes[0]))
 	assert.Equal(t, len(other.notes), 0, "a note is not published again")
 	for range 5 {
 		next := grant(t, o)
@@ -132,14 +132,14 @@
 		return ok
 	}
 	r := newFixture(1, selection.Options{})
-	assert.NilError(t, r.HearNote(note(7)))
+	assert.NilError(t, r.HandleNote(note(7)))
 	r.directory.Apply(entry(7), time.Now())
 	assert.Assert(t, !usable(r), "the note came before the entry")
 	r.directory.Apply(entry(8), time.Now())
 	assert.Assert(t, usable(r), "another start")
-	assert.NilError(t, r.HearNote(note(7)))
+	assert.NilError(t, r.HandleNote(note(7)))
 	assert.Assert(t, usable(r), "a late note about the previous start")
-	assert.NilError(t, r.HearNote(note(9)))
+	assert.NilError(t, r.HandleNote(note(9)))
 	assert.Assert(t, usable(r), "a note about a start that is not listed yet")
 	r.directory.Apply(entry(9), time.Now())
 	assert.Assert(t, !usable(r))
@@ -149,7 +149,7 @@
 func TestInvalidLeavingNotes(t *testing.T) {
 	r := newFixture(2, selection.Options{})
 	for _, data := range []string{"", "{", "7", `{"ID":""}`, `{"ID":3}`, `{"Start":1}`} {
-		assert.Assert(t, r.HearNote(relay.Note{Data: []byte(data)}) != nil, data)
+		assert.Assert(t, r.HandleNote(relay.Note{Data: []byte(data)}) != nil, data)
 	}
 	assert.Equal(t, r.directory.Snapshot().Known, 2)
 }
--- a/direct/responses.go
+++ b/direct/responses.go
@@ -17,15 +17,15 @@
 	sourceProbe    = "probe"
 )
 
-// Hear processes what the response to a request says about the endpoint. It must be called as soon
-// as the response header has arrived, whatever the status.
-func (c *Chooser) Hear(g placement.Grant, r upstream.Report) {
+// ObserveResponse processes what the response to a request says about the endpoint. It must be
+// called as soon as the response header has arrived, whatever the status.
+func (c *Chooser) ObserveResponse(g placement.Grant, r upstream.Report) {
 	if r.None() {
 		return
 	}
 	e := limits.Endpoint{ID: g.Endpoint.VM, Start: g.Choice.Start, Service: tenant.ServiceName(g.Service), Zone: g.Endpoint.Zone}
 	if c.cfg.Limits != nil {
-		c.cfg.Limits.Answered(e, r.Limit)
+		c.cfg.Limits.ObserveAnswer(e, r.Limit)
 	}
 	c.observe(e, r, sourceResponse)
 	if r.Ran && g.Choice.Trial {
@@ -40,7 +40,7 @@
 		return
 	}
 	if c.cfg.Limits != nil {
-		c.cfg.Limits.Probed(e, r.Limit)
+		c.cfg.Limits.ObserveProbe(e, r.Limit)
 	}
 	c.observe(e, r, sourceProbe)
 }
@@ -48,13 +48,13 @@
 // observe processes what the response to a request or a probe says about the endpoint.
 func (c *Chooser) observe(e limits.Endpoint, r upstream.Report, source string) {
 	c.unsupported.record(e, r.Unread)
-	if r.Word.Silent() {
+	if r.Word.IsEmpty() {
 		return
 	}
 	if r.Word.Leaving {
 		c.handleLeaving(e, source, r.Heard)
 	}
-	if before, after := c.updateAdmission(e, r); after.Until() != before.Until() {
+	if before, after := c.updateAdmission(e, r); after.BackoffUntil() != before.BackoffUntil() {
 		c.logBackoff(e, r, before.BackingOff(r.Heard), source)
 		c.publishBackoff(e, r.Word.Backoff, r.Heard)
 	}
--- a/limits/fleet_test.go
+++ b/limits/fleet_test.go
@@ -26,13 +26,13 @@
 	published      int             // number of published notes
 }
 
-// testCarrier is the Carrier of one keeper.
-type testCarrier struct {
+// testTransport is the Transport of one keeper.
+type testTransport struct {
 	net  *network
 	addr string
 }
 
-func (p testCarrier) Serving() bool {
+func (p testTransport) ServesAsRelay() bool {
 	for _, r := range p.Owners() {
 		if r.Addr == p.addr {
 			return true
@@ -41,15 +41,15 @@
 	return false
 }
 
-func (p testCarrier) InTouch() bool { return true }
+func (p testTransport) ConnectedToStore() bool { return true }
 
-func (p testCarrier) Owners() []limit.Relay {
+func (p testTransport) Owners() []limit.Relay {
 	p.net.mu.Lock()
 	defer p.net.mu.Unlock()
 	return p.net.relays
 }
 
-func (p testCarrier) Ask(_ context.Context, addr string, asks []limit.Ask) (limit.Reply, error) {
+func (p testTransport) Ask(_ context.Context, addr string, asks []limit.Ask) (limit.Reply, error) {
 	time.Sleep(time.Millisecond)
 	p.net.mu.Lock()
 	k, cut, earlierVersion := p.net.keepers[addr], p.net.isCut[addr] || p.net.isCut[p.addr], p.net.earlierVersion[addr]
@@ -61,16 +61,16 @@
 	case earlierVersion:
 		return limit.Reply{}, nil
 	}
-	return k.Asked(p.addr, asks), nil
+	return k.HandleAsks(p.addr, asks), nil
 }
 
-func (p testCarrier) Publish(topic string, data []byte) error {
+func (p testTransport) Publish(topic string, data []byte) error {
 	p.net.mu.Lock()
 	defer p.net.mu.Unlock()
 	p.net.published++
 	for addr, k := range p.net.keepers {
 		if addr != p.addr && !p.net.isCut[addr] && !p.net.isCut[p.addr] {
-			go func() { _ = k.Hear(relay.Note{Origin: p.addr, Topic: topic, Data: data}) }()
+			go func() { _ = k.HandleNote(relay.Note{Origin: p.addr, Topic: topic, Data: data}) }()
 		}
 	}
 	return nil
@@ -98,7 +98,7 @@
 	}
 	for _, addr := range []string{"a0", "a1", "a2", "b0", "b1"} {
 		k := limits.New(limits.Config{Addr: addr, Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
-		k.SetCarrier(testCarrier{net: n, addr: addr})
+		k.SetTransport(testTransport{net: n, addr: addr})
 		n.keepers[addr] = k
 	}
 	return n
@@ -125,9 +125,9 @@
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, k := range n.keepers {
 			if s, _ := k.Standing(overloaded, time.Now()); s == limit.Askable {
-				k.Seek(context.Background(), overloaded, 25*time.Millisecond)
+				k.RequestPermit(context.Background(), overloaded, 25*time.Millisecond)
 			}
-			if s, _ := k.Standing(overloaded, time.Now()); s == limit.Held && k.Use(overloaded, time.Now()) {
+			if s, _ := k.Standing(overloaded, time.Now()); s == limit.Permitted && k.TakePermit(overloaded, time.Now()) {
 				sent++
 			}
 		}
@@ -140,10 +140,10 @@
 func TestFleetSharesLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		n.keepers["b1"].Answered(overloaded, answerNow("2"))
+		n.keepers["b1"].ObserveAnswer(overloaded, answerNow("2"))
 		time.Sleep(10 * time.Millisecond)
 		for addr := range n.keepers {
-			assert.Assert(t, n.standing(addr) != limit.Free, addr)
+			assert.Assert(t, n.standing(addr) != limit.Unlimited, addr)
 		}
 		assert.Equal(t, n.noteCount(), 1)
 		sent := n.sendAll(10 * time.Second)
@@ -151,10 +151,10 @@
 		assert.Assert(t, n.keepers["a0"].List(time.Now())[0].Owns)
 		assert.Equal(t, n.keepers["a0"].List(time.Now())[0].Given, int64(sent))
 
-		n.keepers["a1"].Answered(overloaded, answerNow())
+		n.keepers["a1"].ObserveAnswer(overloaded, answerNow())
 		time.Sleep(2100 * time.Millisecond)
 		for addr := range n.keepers {
-			assert.Equal(t, n.standing(addr), limit.Free, addr)
+			assert.Equal(t, n.standing(addr), limit.Unlimited, addr)
 		}
 		assert.Equal(t, n.noteCount(), 2)
 	})
@@ -166,10 +166,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		for i := range 50 {
-			n.keepers["a1"].Answered(overloaded, answerNow([]string{"1", "9"}[i%2]))
+			n.keepers["a1"].ObserveAnswer(overloaded, answerNow([]string{"1", "9"}[i%2]))
 			time.Sleep(20 * time.Millisecond)
 		}
-		n.keepers["a1"].Answered(overloaded, answerNow("4"))
+		n.keepers["a1"].ObserveAnswer(overloaded, answerNow("4"))
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, n.noteCount() <= 4, "%d notes", n.noteCount())
 		for addr, k := range n.keepers {
@@ -194,7 +194,7 @@
 				n := newNetwork()
 				relays := n.relays
 				for _, k := range n.keepers {
-					k.Answered(overloaded, answerNow("4"))
+					k.ObserveAnswer(overloaded, answerNow("4"))
 				}
 				n.sendAll(5 * time.Second)
 				n.update(func() { c.fail(n) })
@@ -216,12 +216,12 @@
 	}
 }
 
-// TestSingleBalancer checks that a balancer without a Carrier enforces the whole limit itself.
+// TestSingleBalancer checks that a balancer without a Transport enforces the whole limit itself.
 func TestSingleBalancer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := limits.New(limits.Config{Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry()})
 		n := &network{keepers: map[string]*limits.Keeper{"": k}}
-		k.Answered(overloaded, answerNow("2"))
+		k.ObserveAnswer(overloaded, answerNow("2"))
 		sent := n.sendAll(10 * time.Second)
 		assert.Assert(t, sent >= 18 && sent <= 22, "%d of 20", sent)
 	})
@@ -231,7 +231,7 @@
 func TestInvalidNotesAreIgnored(t *testing.T) {
 	n := newNetwork()
 	for _, data := range []string{"", "{", `{"Target":{"ID":"i-1","Start":1},"Word":{"Known":true,"Rate":-1}}`, `{"Target":{"ID":"i-1","Start":1}}`, `{"Word":7}`} {
-		_ = n.keepers["a1"].Hear(relay.Note{Topic: limits.Topic, Data: []byte(data)})
-		assert.Equal(t, n.standing("a1"), limit.Free, data)
+		_ = n.keepers["a1"].HandleNote(relay.Note{Topic: limits.Topic, Data: []byte(data)})
+		assert.Equal(t, n.standing("a1"), limit.Unlimited, data)
 	}
 }
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -5,17 +5,17 @@
 // requests and probes, asks the owner of an endpoint for a permit before a request is sent,
 // replies to other balancers if this one is an owner, and publishes changes to all balancers
 // (notes.go). The rules are in package coord/limit. A Keeper sends asks and notes through a
-// Carrier; without one it assumes that there are no other balancers.
+// Transport; without one it assumes that there are no other balancers.
 //
 // # Usage
 //
 //	k := limits.New(limits.Config{Addr: link, Log: log, Metrics: registry})
-//	k.SetCarrier(relays)
-//	k.Answered(endpoint, report.Limit)
+//	k.SetTransport(relays)
+//	k.ObserveAnswer(endpoint, report.Limit)
 //	if standing, _ := k.Standing(endpoint, now); standing == limit.Askable {
-//		k.Seek(ctx, endpoint, wait)
+//		k.RequestPermit(ctx, endpoint, wait)
 //	}
-//	if k.Use(endpoint, time.Now()) { send }
+//	if k.TakePermit(endpoint, time.Now()) { send }
 package limits
 
 import (
@@ -42,12 +42,12 @@
 
 func (e Endpoint) target() limit.Target { return limit.Target{ID: e.ID, Start: e.Start} }
 
-// Carrier sends asks and notes to other balancers.
-type Carrier interface {
-	// Serving reports whether this balancer is the relay of its zone.
-	Serving() bool
-	// InTouch reports whether this balancer is connected to the store.
-	InTouch() bool
+// Transport sends asks and notes to other balancers.
+type Transport interface {
+	// ServesAsRelay reports whether this balancer is the relay of its zone.
+	ServesAsRelay() bool
+	// ConnectedToStore reports whether this balancer is connected to the store.
+	ConnectedToStore() bool
 	// Owners returns the registered relays.
 	Owners() []limit.Relay
 	// Ask sends asks to the balancer at addr and returns its reply.
@@ -73,7 +73,7 @@
 	knownCount atomic.Int64
 
 	mu            sync.Mutex
-	carrier       Carrier // nil before SetCarrier, or if there are no other balancers
+	transport     Transport // nil before SetTransport, or if there are no other balancers
 	limiter       *limit.Limiter
 	endpoints     map[limit.Target]Endpoint
 	lastWarned    map[limit.Target]time.Time // when an unreadable header was last logged
@@ -101,11 +101,11 @@
 	}
 }
 
-// SetCarrier sets the Carrier through which the keeper reaches other balancers.
-func (k *Keeper) SetCarrier(c Carrier) {
+// SetTransport sets the Transport through which the keeper reaches other balancers.
+func (k *Keeper) SetTransport(c Transport) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.carrier = c
+	k.transport = c
 }
 
 // Resume drops all permits. It is called after the VM was suspended.
@@ -115,39 +115,39 @@
 	k.limiter.DropPermits()
 }
 
-// Quiet reports whether no limit is known for any endpoint.
-func (k *Keeper) Quiet() bool { return k.knownCount.Load() == 0 }
+// HasNoLimits reports whether no limit is known for any endpoint.
+func (k *Keeper) HasNoLimits() bool { return k.knownCount.Load() == 0 }
 
 // Standing returns whether a request may be sent to an endpoint and, if not, for how long; 0 if
 // that is unknown.
 func (k *Keeper) Standing(e Endpoint, now time.Time) (limit.Standing, time.Duration) {
-	if k.Quiet() {
-		return limit.Free, 0
+	if k.HasNoLimits() {
+		return limit.Unlimited, 0
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.limiter.Standing(e.target(), now)
 }
 
-// Use takes a permit for a request that is sent to an endpoint now, if its limit requires one. It
-// reports whether the request may be sent.
-func (k *Keeper) Use(e Endpoint, now time.Time) bool {
-	if k.Quiet() {
+// TakePermit takes a permit for a request that is sent to an endpoint now, if its limit requires
+// one. It reports whether the request may be sent.
+func (k *Keeper) TakePermit(e Endpoint, now time.Time) bool {
+	if k.HasNoLimits() {
 		return true
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.limiter.Use(e.target(), now)
-	if s == limit.Held {
+	if s == limit.Permitted {
 		k.counters.sent.Inc(1)
 	}
 	return s.Admits()
 }
 
-// Seek asks the owner of an endpoint for a permit and waits for the reply until within has passed
-// or ctx is done. A later reply is still applied, for use by other requests. mayProbe reports
-// whether the endpoint may be probed to check whether its limit still holds.
-func (k *Keeper) Seek(ctx context.Context, e Endpoint, within time.Duration) (mayProbe bool) {
+// RequestPermit asks the owner of an endpoint for a permit and waits for the reply until within has
+// passed or ctx is done. A later reply is still applied, for use by other requests. mayProbe
+// reports whether the endpoint may be probed to check whether its limit still holds.
+func (k *Keeper) RequestPermit(ctx context.Context, e Endpoint, within time.Duration) (mayProbe bool) {
 	k.mu.Lock()
 	a, ok := k.limiter.Ask(e.target(), time.Now())
 	k.mu.Unlock()
@@ -188,16 +188,16 @@
 	return mayProbe
 }
 
-// Asked replies to asks of the balancer at address from, if this balancer is a relay; otherwise
-// the reply is empty.
-func (k *Keeper) Asked(from string, asks []limit.Ask) limit.Reply {
+// HandleAsks replies to asks of the balancer at address from, if this balancer is a relay;
+// otherwise the reply is empty.
+func (k *Keeper) HandleAsks(from string, asks []limit.Ask) limit.Reply {
 	k.mu.Lock()
-	c := k.carrier
+	c := k.transport
 	k.mu.Unlock()
-	if c == nil || !c.Serving() {
+	if c == nil || !c.ServesAsRelay() {
 		return limit.Reply{}
 	}
-	return k.answerAsks(from, asks, c.InTouch())
+	return k.answerAsks(from, asks, c.ConnectedToStore())
 }
 
 // answerAsks replies to asks as the owner of their endpoints, and publishes what is news.
--- a/limits/owner.go
+++ b/limits/owner.go
@@ -14,10 +14,10 @@
 )
 
 // askOwner sends an ask to the owner of an endpoint, which may be this balancer, and returns its
-// reply. Without a carrier this balancer owns all endpoints.
+// reply. Without a transport this balancer owns all endpoints.
 func (k *Keeper) askOwner(ctx context.Context, e Endpoint, a limit.Ask) (limit.Reply, error) {
 	k.mu.Lock()
-	c := k.carrier
+	c := k.transport
 	k.mu.Unlock()
 	if c == nil {
 		return k.answerAsks(k.cfg.Addr, []limit.Ask{a}, true), nil
@@ -27,7 +27,7 @@
 	case !ok:
 		return limit.Reply{}, errNoOwner
 	case addr == k.cfg.Addr:
-		return k.answerAsks(addr, []limit.Ask{a}, c.InTouch()), nil
+		return k.answerAsks(addr, []limit.Ask{a}, c.ConnectedToStore()), nil
 	}
 	r, err := c.Ask(ctx, addr, []limit.Ask{a})
 	if err == nil && (!r.Taken || len(r.Grants) != 1) {
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -29,25 +29,26 @@
 	return fmt.Sprintf("rollout/%s/%d/", service, order)
 }
 
-// Note counts the result of a request at the old or the new version of a service during its rollout.
-func (k *Keeper) Note(t direct.Trial, now time.Time) {
-	r, ok := findRollout(k.cfg.Directory.Snapshot(), t.Service)
+// RecordOutcome counts the result of a request at the old or the new version of a service during
+// its rollout.
+func (c *Controller) RecordOutcome(t direct.RolloutOutcome, now time.Time) {
+	r, ok := findRollout(c.cfg.Directory.Snapshot(), t.Service)
 	if !ok || !r.Begun() {
 		return
 	}
 	version := olderVersion
-	if t.Newer {
+	if t.NewVersion {
 		version = newerVersion
 	}
 	key := func(count string) string {
 		return keyPrefix(t.Service, r.Order.Revision) + version + "/" + count + "/" + t.Kind
 	}
-	k.cfg.Counts.Add(key(askedCount), 1, now)
+	c.cfg.Counts.Add(key(askedCount), 1, now)
 	if t.Failed {
-		k.cfg.Counts.Add(key(failedCount), 1, now)
+		c.cfg.Counts.Add(key(failedCount), 1, now)
 	}
 	if t.Slow {
-		k.cfg.Counts.Add(key(slowCount), 1, now)
+		c.cfg.Counts.Add(key(slowCount), 1, now)
 	}
 }
 
--- a/server/chooser.go
+++ b/server/chooser.go
@@ -23,8 +23,8 @@
 // balancers.
 type chooser interface {
 	balancer.Chooser
-	// Leave announces a planned stop.
-	Leave(ctx context.Context)
+	// HandOver announces a planned stop.
+	HandOver(ctx context.Context)
 	Close()
 }
 
@@ -79,13 +79,13 @@
 			stop()
 			return err
 		}
-		s.limits.SetCarrier(s.relays)
+		s.limits.SetTransport(s.relays)
 	}
 	if s.keeper != nil {
 		go s.keeper.Run(ctx)
 		go s.rollouts.Run(ctx)
 	}
-	go s.fleet.Run(ctx, s.carrier())
+	go s.fleet.Run(ctx, s.transport())
 	go s.follower.Run(ctx)
 	return nil
 }
@@ -95,10 +95,10 @@
 	cfg := direct.Config{
 		ID: s.cfg.Settings.ID, Zone: s.cfg.Settings.Zone, Regions: s.cfg.Settings.Regions, Directory: s.directory, Client: s.cfg.Policy.Client,
 		Log: s.cfg.Log.Named("choice"), Metrics: s.metrics, Stop: stop, Suspensions: s.suspended,
-		Limits: s.limits, Tell: s.tell,
+		Limits: s.limits, Publish: s.tell,
 	}
 	if s.keeper != nil {
-		cfg.Evidence = s.rollouts
+		cfg.RolloutRecorder = s.rollouts
 	}
 	if s.relays != nil {
 		cfg.Handover = s.relays.Leave
@@ -124,11 +124,11 @@
 }
 
 // newRollouts returns this balancer's part in bringing versions in.
-func (s *Server) newRollouts() *rollout.Keeper {
+func (s *Server) newRollouts() *rollout.Controller {
 	settings := s.cfg.Settings
 	cfg := rollout.Config{
-		ID: settings.ID, Zone: settings.Zone, Directory: s.directory, Counts: s.fleet, Registry: s.cfg.Relays, Tell: s.tell,
-		Settle: settings.Discovery.ApplyWithin, Log: s.cfg.Log.Named("rollout"), Metrics: s.metrics,
+		ID: settings.ID, Zone: settings.Zone, Directory: s.directory, Counts: s.fleet, Registry: s.cfg.Relays, Publish: s.tell,
+		SettleTime: settings.Discovery.ApplyWithin, Log: s.cfg.Log.Named("rollout"), Metrics: s.metrics,
 	}
 	if settings.Link != "" {
 		cfg.Zones = relayZones{s}
@@ -140,13 +140,13 @@
 type relayZones struct{ server *Server }
 
 // Serving reports whether this balancer is its zone's relay.
-func (z relayZones) Serving() bool { return z.server.relays.Serving() }
+func (z relayZones) Serving() bool { return z.server.relays.ServesAsRelay() }
 
 // RelayZones returns the zones that have one.
 func (z relayZones) RelayZones() []string { return z.server.relays.RelayZones() }
 
-// carrier returns what takes counts to other balancers; nil where there is nothing.
-func (s *Server) carrier() fleet.Carrier {
+// transport returns what takes counts to other balancers; nil where there is nothing.
+func (s *Server) transport() fleet.Transport {
 	if s.relays == nil {
 		return nil
 	}
@@ -158,7 +158,7 @@
 	return quarantine.New(quarantine.Config{
 		ID: s.cfg.Settings.ID, Log: s.cfg.Log.Named("quarantine"), Metrics: s.metrics,
 		Endpoints: s.directory, Prober: s.cfg.Policy.Client, Registry: s.cfg.Relays, Tell: s.tell, Serving: s.serving,
-		Willing: func(endpoint string) bool { return s.direct.Willing(endpoint, time.Now()) },
+		Willing: func(endpoint string) bool { return s.direct.MayProbe(endpoint, time.Now()) },
 	})
 }
 
@@ -175,11 +175,11 @@
 	var err error
 	switch n.Topic {
 	case limits.Topic:
-		err = s.limits.Hear(n)
+		err = s.limits.HandleNote(n)
 	case direct.LeavingTopic, direct.BackoffTopic:
-		err = s.direct.HearNote(n)
-	case rollout.Topic:
-		err = s.rollouts.Hear(n)
+		err = s.direct.HandleNote(n)
+	case rollout.BadVersionTopic:
+		err = s.rollouts.HandleNote(n)
 	default:
 		s.keeper.Hear(n)
 	}
@@ -189,7 +189,7 @@
 }
 
 // serving reports whether this balancer does what one of its zone should do.
-func (s *Server) serving() bool { return s.relays == nil || s.relays.Serving() }
+func (s *Server) serving() bool { return s.relays == nil || s.relays.ServesAsRelay() }
 
 // observe hands changes that are in force to all that keep something of them.
 func (s *Server) observe(c directory.Changes) {
@@ -215,7 +215,7 @@
 		ID: settings.ID, Zone: settings.Zone, Addr: settings.Link, Seeds: settings.Peers, Cores: settings.Cores,
 		LinkRate: settings.LinkRate * bytesPerMegabit,
 		Registry: s.cfg.Relays, Decoder: s.cfg.Relays, Log: log, TLS: secured,
-		Options: relay.OptionsWithin(settings.Discovery.Within()), OnNote: s.hearNote, OnReport: s.fleet.Hear, OnAsk: s.limits.Asked, Suspensions: s.suspended,
+		Options: relay.OptionsWithin(settings.Discovery.Within()), OnNote: s.hearNote, OnReport: s.fleet.HandleReport, OnAsk: s.limits.HandleAsks, Suspensions: s.suspended,
 	}), nil
 }
 
--- a/server/teams.go
+++ b/server/teams.go
@@ -17,9 +17,9 @@
 // Teams returns the teams of the configuration in force; nil where callers need no keys.
 func (t teams) Teams() *access.Table { return t.server.teams() }
 
-// InTouch reports whether this balancer has heard of the store's present state within the
+// ReceivesChanges reports whether this balancer has heard of the store's present state within the
 // time after which changes must be in force.
-func (t teams) InTouch(now time.Time) bool {
+func (t teams) ReceivesChanges(now time.Time) bool {
 	s := t.server
 	if s.follower.Settled(now) {
 		return true
@@ -70,8 +70,8 @@
 	}
 	var list []TeamStatus
 	table := s.teams()
-	for _, team := range table.All() {
-		list = append(list, TeamStatus{Team: team.Name, Keys: table.Keys(team.Name), Priority: team.Priority, Limit: team.Quota})
+	for _, team := range table.Teams() {
+		list = append(list, TeamStatus{Team: team.Name, Keys: table.KeyCount(team.Name), Priority: team.Priority, Limit: team.Quota})
 	}
 	slices.SortFunc(list, func(a, b TeamStatus) int { return cmp.Compare(a.Team, b.Team) })
 	return list
