--- a/upstream/report.go
+++ b/upstream/report.go
@@ -26,7 +26,7 @@
 	Load     placement.LoadReport
 	Warmup   Warmup
 	Limit    limit.Answer
-	Word     admission.Word // whether the endpoint is leaving, and its backoff
+	Word     admission.Signal // whether the endpoint is leaving, and its backoff
 	// Unread names the headers that are unknown, and the headers Dialect.Leaving and Retry-After
 	// if a value is malformed.
 	Unread []string
@@ -49,7 +49,7 @@
 // is leaving never takes that back, and if a backoff is counted from too late a time, it merely
 // ends later. Loads, limits and warm-ups hold only for the time of the response and are left out.
 func (r Report) Undated() Report {
-	return Report{Asked: r.Asked, Heard: r.Heard, Ran: r.Ran, Instance: r.Instance, Word: r.Word, Unread: r.Unread, Limit: limit.Answer{Mute: true, Asked: r.Asked, Heard: r.Heard}}
+	return Report{Asked: r.Asked, Heard: r.Heard, Ran: r.Ran, Instance: r.Instance, Word: r.Word, Unread: r.Unread, Limit: limit.Answer{MayLackHeader: true, Asked: r.Asked, Heard: r.Heard}}
 }
 
 const (
@@ -107,7 +107,7 @@
 	}
 	leaving, leavingValid := d.parseLeaving(h)
 	backoff, backoffValid := d.parseBackoff(status, h, heard)
-	out.Word = admission.Word{Leaving: leaving || out.Load.State == placement.Draining, Backoff: backoff}
+	out.Word = admission.Signal{Leaving: leaving || out.Load.State == placement.Draining, Backoff: backoff}
 	if !leavingValid {
 		out.Unread = append(out.Unread, d.Leaving)
 	}
@@ -135,11 +135,11 @@
 	return Warmup{Told: true, Left: time.Duration(ms) * time.Millisecond}
 }
 
-// parseLimit returns the endpoint's rate limit, or an Answer with Mute set if the dialect has no
+// parseLimit returns the endpoint's rate limit, or an Answer with MayLackHeader set if the dialect has no
 // header for it.
 func (d *Dialect) parseLimit(h http.Header, asked, heard time.Time) limit.Answer {
 	if d.Limit == "" {
-		return limit.Answer{Mute: true, Asked: asked, Heard: heard}
+		return limit.Answer{MayLackHeader: true, Asked: asked, Heard: heard}
 	}
 	rate, said := limit.Parse(h.Values(d.Limit))
 	return limit.Answer{Said: said, Rate: rate, Asked: asked, Heard: heard}
--- a/upstream/report_test.go
+++ b/upstream/report_test.go
@@ -43,7 +43,7 @@
 	} {
 		for _, status := range []int{200, 404, 429, 500, 503} {
 			r := readReport(status, http.Header{"Server-Leaving": c.values})
-			assert.Equal(t, r.Word, admission.Word{Leaving: c.leaving}, "%s, %d", name, status)
+			assert.Equal(t, r.Word, admission.Signal{Leaving: c.leaving}, "%s, %d", name, status)
 			assert.Equal(t, slices.Contains(r.Unread, "Server-Leaving"), c.unread, "%s, %d", name, status)
 		}
 	}
@@ -78,7 +78,7 @@
 		"long":                    {values: []string{strings.Repeat("3", 8<<10)}, unread: true},
 	} {
 		r := readReport(503, http.Header{"Date": {date}, "Retry-After": c.values})
-		assert.Equal(t, r.Word, admission.Word{Backoff: c.want}, name)
+		assert.Equal(t, r.Word, admission.Signal{Backoff: c.want}, name)
 		assert.Equal(t, slices.Contains(r.Unread, "Retry-After"), c.unread, name)
 	}
 }
@@ -128,8 +128,8 @@
 // load, limit and warm-up do not.
 func TestUndatedReport(t *testing.T) {
 	r := readReport(503, http.Header{"Server-Leaving": {"1"}, "Retry-After": {"3"}, "Server-Load": {"1,0,3"}, "Server-Limit": {"2"}, "Warmup-Ms": {"9"}}).Undated()
-	assert.Equal(t, r.Word, admission.Word{Leaving: true, Backoff: 3 * time.Second})
-	assert.Assert(t, !r.Load.Known && !r.Warmup.Told && r.Limit.Mute)
+	assert.Equal(t, r.Word, admission.Signal{Leaving: true, Backoff: 3 * time.Second})
+	assert.Assert(t, !r.Load.Known && !r.Warmup.Told && r.Limit.MayLackHeader)
 }
 
 // TestDrainingLoadReportMeansLeaving checks the Native dialect, which has no header for leaving.
