--- a/link/client.go
+++ b/link/client.go
@@ -14,44 +14,45 @@
 	"github.com/lotuswing/lotuswing/internal/dial"
 )
 
-// dialTimeout bounds the opening of a connection to a peer; calls have bounds of their own.
+// dialTimeout bounds the time to connect to a peer. Each call has its own deadline as well.
 const dialTimeout = 500 * time.Millisecond
 
-// ErrSilent says that the peer did not answer in time; it may still act on the
-// call.
-var ErrSilent = errors.New("link: peer is silent")
+// ErrSilent means that the context of a call ended before the peer replied. The
+// peer may still execute the call.
+var ErrSilent = errors.New("link: no reply from peer")
 
-// Client calls peers over one connection each.
+// Client calls peers over one connection to each. It is safe for concurrent use.
 type Client struct {
 	tls *tls.Config // nil for plain TCP
 
-	mu    sync.Mutex
-	peers map[string]*rpc.Client
+	mu      sync.Mutex
+	clients map[string]*rpc.Client // by the peer's address
 }
 
-// NewClient returns a client; a nil config means plain TCP.
+// NewClient returns a client without connections; Call opens them. A nil config
+// means plain TCP.
 func NewClient(config *tls.Config) *Client {
-	return &Client{tls: config, peers: map[string]*rpc.Client{}}
+	return &Client{tls: config, clients: map[string]*rpc.Client{}}
 }
 
-// Call calls a method of the peer at addr and waits until ctx ends. reply is written
-// before a call returns without an error, and never otherwise: the answer to one that was
-// given up may still come.
+// Call calls a method of the peer at addr, connecting to it first if necessary, and
+// waits for the reply until ctx ends. It writes to reply only when it returns nil: a reply
+// that arrives after Call has returned an error is discarded.
 func (c *Client) Call(ctx context.Context, addr, method string, args, reply any) error {
-	peer, err := c.peer(ctx, addr)
+	rpcClient, err := c.rpcClient(ctx, addr)
 	if err != nil {
 		return err
 	}
 	received := reflect.New(reflect.TypeOf(reply).Elem())
-	call := peer.Go(method, args, received.Interface(), make(chan *rpc.Call, 1))
+	call := rpcClient.Go(method, args, received.Interface(), make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
 	case <-ctx.Done():
 		return fmt.Errorf("%w: %s at %s: %w", ErrSilent, method, addr, ctx.Err())
 	}
-	var answered rpc.ServerError
-	if call.Error != nil && !errors.As(call.Error, &answered) {
-		c.drop(addr, peer)
+	var serverErr rpc.ServerError
+	if call.Error != nil && !errors.As(call.Error, &serverErr) {
+		c.drop(addr, rpcClient)
 	}
 	if call.Error != nil {
 		return fmt.Errorf("link: %s at %s: %w", method, addr, call.Error)
@@ -60,48 +61,49 @@
 	return nil
 }
 
-// Forget closes the connection to a peer that is gone; calls that wait on it
-// fail at once.
+// Forget closes the connection to the peer at addr, if there is one. Pending
+// calls on it fail at once.
 func (c *Client) Forget(addr string) {
 	c.mu.Lock()
-	peer := c.peers[addr]
-	delete(c.peers, addr)
+	rpcClient := c.clients[addr]
+	delete(c.clients, addr)
 	c.mu.Unlock()
-	if peer != nil {
-		_ = peer.Close() // given up, whatever it says
+	if rpcClient != nil {
+		_ = rpcClient.Close() // abandoned; a close error does not matter
 	}
 }
 
-// Close closes all connections.
+// Close closes all connections. Pending calls fail at once.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for addr, peer := range c.peers {
-		_ = peer.Close() // given up, whatever it says
-		delete(c.peers, addr)
+	for addr, rpcClient := range c.clients {
+		_ = rpcClient.Close() // abandoned; a close error does not matter
+		delete(c.clients, addr)
 	}
 }
 
-func (c *Client) peer(ctx context.Context, addr string) (*rpc.Client, error) {
+// rpcClient returns the RPC client of the peer at addr, connecting to it if there is none.
+func (c *Client) rpcClient(ctx context.Context, addr string) (*rpc.Client, error) {
 	c.mu.Lock()
-	peer := c.peers[addr]
+	rpcClient := c.clients[addr]
 	c.mu.Unlock()
-	if peer != nil {
-		return peer, nil
+	if rpcClient != nil {
+		return rpcClient, nil
 	}
 	conn, err := c.dial(ctx, addr)
 	if err != nil {
 		return nil, fmt.Errorf("link: dial %s: %w", addr, err)
 	}
-	fresh := rpc.NewClient(conn)
+	created := rpc.NewClient(conn)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if peer = c.peers[addr]; peer != nil { // another call was faster
-		_ = fresh.Close() // never used
-		return peer, nil
+	if rpcClient = c.clients[addr]; rpcClient != nil { // a concurrent call connected first
+		_ = created.Close() // never used
+		return rpcClient, nil
 	}
-	c.peers[addr] = fresh
-	return fresh, nil
+	c.clients[addr] = created
+	return created, nil
 }
 
 func (c *Client) dial(ctx context.Context, addr string) (net.Conn, error) {
@@ -114,11 +116,12 @@
 	return dial.Dialer(dialTimeout).DialContext(ctx, "tcp", addr)
 }
 
-func (c *Client) drop(addr string, peer *rpc.Client) {
+// drop closes a failed connection, so that the next call to addr connects again.
+func (c *Client) drop(addr string, rpcClient *rpc.Client) {
 	c.mu.Lock()
-	if c.peers[addr] == peer {
-		delete(c.peers, addr)
+	if c.clients[addr] == rpcClient {
+		delete(c.clients, addr)
 	}
 	c.mu.Unlock()
-	_ = peer.Close() // given up, whatever it says
+	_ = rpcClient.Close() // abandoned; a close error does not matter
 }
--- a/link/late_test.go
+++ b/link/late_test.go
@@ -11,28 +11,30 @@
 	"gotest.tools/v3/assert"
 )
 
-// lateReceiver answers when it is told to.
-type lateReceiver struct{ answer chan struct{} }
+// blockingReceiver replies to Reach once release is closed, and to Fetch at once.
+type blockingReceiver struct{ release chan struct{} }
 
-// Reach answers late. It has the form that net/rpc asks for.
-func (r *lateReceiver) Reach(_ link.ReachArgs, reply *link.AcquireReply) error {
-	<-r.answer
+// Reach waits for release, then sets a field that the test checks. net/rpc requires its
+// signature.
+func (r *blockingReceiver) Reach(_ link.ReachArgs, reply *link.AcquireReply) error {
+	<-r.release
 	reply.RetryAfter = time.Hour
 	return nil
 }
 
-// Fetch answers at once. What it answers is sent behind the late answer.
-func (r *lateReceiver) Fetch(_ link.FetchArgs, reply *link.FetchReply) error {
+// Fetch shares the connection with Reach; the test calls it after release is closed.
+func (r *blockingReceiver) Fetch(_ link.FetchArgs, reply *link.FetchReply) error {
 	reply.Found = true
 	return nil
 }
 
-// TestLateAnswerIsNotSeen: the answer to a call that was given up is read by the
-// connection, and never seen by the one that made the call.
-func TestLateAnswerIsNotSeen(t *testing.T) {
+// TestLateReplyIsDiscarded guards against a late write to the caller's reply value: the
+// connection still reads the reply to a call that has returned ErrSilent, and must not
+// write it to the value that the caller passed.
+func TestLateReplyIsDiscarded(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	receiver := &lateReceiver{answer: make(chan struct{})}
+	receiver := &blockingReceiver{release: make(chan struct{})}
 	server, err := link.Serve(l, nil, receiver)
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = server.Close() })
@@ -43,8 +45,8 @@
 	var reply link.AcquireReply
 	err = client.Call(ctx, l.Addr().String(), link.Reach, link.ReachArgs{}, &reply)
 	assert.Assert(t, errors.Is(err, link.ErrSilent), "%v", err)
-	close(receiver.answer)
-	for range 20 { // the late answer has arrived before the last of these
+	close(receiver.release)
+	for range 20 { // the late reply arrives before the last of these calls returns
 		var found link.FetchReply
 		assert.NilError(t, client.Call(t.Context(), l.Addr().String(), link.Fetch, link.FetchArgs{}, &found))
 		assert.Assert(t, found.Found)
--- a/link/link.go
+++ b/link/link.go
@@ -1,12 +1,13 @@
-// Package link is what balancers say to one another, over net/rpc.
+// Package link implements the calls between balancers, over net/rpc.
 //
-// A Client keeps one connection to each peer. Each call has a bound of its
-// own, because a peer that is paused keeps its connections open and silent.
+// A Client keeps one connection to each peer. Each call needs its own deadline,
+// because the connections to a paused peer stay open but carry no replies.
 //
-// The arguments and replies below are the wire: package gob sends the names of
-// their fields and of those within them, and drops what the other side does not
-// know. Package compat pins them; what wants another name inside is renamed where
-// it is decoded. The package owns connections and decides nothing.
+// The argument and reply types below define the wire format: package gob sends the
+// names of their fields, nested ones included, and ignores fields that the receiver
+// does not know. The tests of package compat fail if these names change; code that
+// uses other names internally converts after decoding. The package manages
+// connections and makes no decisions about requests.
 //
 // # Usage
 //
@@ -26,7 +27,7 @@
 	"github.com/lotuswing/lotuswing/coord/reason"
 )
 
-// Names of the methods, as net/rpc wants them.
+// Names of the net/rpc service and of its methods.
 const (
 	Service = "Balancer"
 
@@ -43,20 +44,21 @@
 	Sign        = Service + ".Sign"
 )
 
-// AcquireArgs asks the home of a service for a contract. Times are durations,
-// because the two machines' clocks may differ.
+// AcquireArgs asks the home of a service for a contract. Times are sent as
+// durations, because the clocks of the two machines may differ.
 type AcquireArgs struct {
 	Service   string // tenant/service
 	ID        string
 	Holder    string
 	Zone      string
 	Class     placement.Class
-	Patience  time.Duration // how long it may wait
-	Remaining time.Duration // to the deadline of the request
+	Patience  time.Duration // how long the request may wait
+	Remaining time.Duration // time left until the request's deadline
 	Avoid     []string
 }
 
-// AcquireReply is the home's decision. Where it is Queued, ask with Await.
+// AcquireReply is the home's decision. If Kind is Queued, the caller gets the final
+// decision by calling Await.
 type AcquireReply struct {
 	Kind       contract.Kind
 	Endpoint   placement.Endpoint
@@ -64,14 +66,15 @@
 	RetryAfter time.Duration
 }
 
-// AwaitArgs waits for the decision about a queued request, for at most Wait.
+// AwaitArgs asks for the decision about a queued request, and for the home to wait
+// for it for at most Wait.
 type AwaitArgs struct {
 	Service string
 	ID      string
 	Wait    time.Duration
 }
 
-// Done says how a request under a contract ended.
+// Done reports how a request under a contract ended. It is the argument of Complete.
 type Done struct {
 	Service string
 	ID      string
@@ -79,71 +82,77 @@
 	Outcome placement.Outcome
 	Took    time.Duration
 	Load    placement.LoadReport
-	Backoff time.Duration // for which the endpoint wants no requests; 0 where it did not say
+	Backoff time.Duration // how long the endpoint asked to receive no requests; 0 if it did not ask
 }
 
-// CancelArgs takes back a request.
+// CancelArgs withdraws a request from its home.
 type CancelArgs struct {
 	Service string
 	ID      string
 }
 
-// RenewArgs extends contracts that are in use. A home that does not know one,
-// because it is new, adopts it.
+// RenewArgs extends the contracts that a holder uses. A home that does not know one
+// of them, because it became the home after the grant, adopts it.
 type RenewArgs struct {
 	Service string
 	Holder  string
 	Held    []contract.Held
 }
 
-// Digest is what balancers exchange on each heartbeat. Its size is bounded by
-// the member table's digest.
+// Digest is the state that balancers exchange on each heartbeat. The number of
+// Members is bounded by the member table's digest, except in the reply to a new
+// member, which lists all of them.
 type Digest struct {
 	From     member.Member
 	Members  []member.Member
 	Leaving  []leaving.Mark
-	Versions map[string]uint64
-	Settled  bool // the sender has learnt the versions of the fleet
+	Versions map[string]uint64 // of the sender's documents, by name
+	Settled  bool              // the sender has caught up with the fleet's document versions
 }
 
-// ReachArgs asks a peer to try a member that did not answer.
+// ReachArgs asks a peer to contact the member at Addr, which did not answer the
+// caller (an indirect probe).
 type ReachArgs struct {
 	Addr string
 }
 
-// FetchArgs asks for a document.
+// FetchArgs asks a peer for the document called Name.
 type FetchArgs struct {
 	Name string
 }
 
-// FetchReply carries a document, if the peer has it.
+// FetchReply carries the document in Value if the peer has it; otherwise Found is
+// false.
 type FetchReply struct {
 	Found bool
 	Value document.Value
 }
 
-// OfferArgs carries a document that the sender has just taken in.
+// OfferArgs carries a document that the sender has just accepted. The receiver
+// applies it if it is newer than its own.
 type OfferArgs struct {
 	Value document.Value
 }
 
-// UnconfirmedArgs asks a home which endpoints have been silent for long.
+// UnconfirmedArgs asks a home for the idle endpoints of a service that have shown
+// no sign of life for at least Silent.
 type UnconfirmedArgs struct {
 	Service string
 	Silent  time.Duration
 }
 
-// UnconfirmedReply lists them, the longest silent first.
+// UnconfirmedReply lists the endpoints that UnconfirmedArgs asks for, the longest
+// silent first.
 type UnconfirmedReply struct {
 	Endpoints []placement.Endpoint
 }
 
-// SignArgs tells a home what an endpoint said of itself.
+// SignArgs passes on to a home the state that an endpoint reported about itself.
 type SignArgs struct {
 	Service string
 	VM      string
 	Load    placement.LoadReport
 }
 
-// Empty is the reply of a call that answers nothing.
+// Empty is the reply of calls that return no data.
 type Empty struct{}
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -21,7 +21,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// authority signs certificates for tests.
+// authority is a certificate authority for tests.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -41,7 +41,8 @@
 	return &authority{cert: cert, key: key}
 }
 
-// issue writes a certificate, its key and the authority to files.
+// issue signs a certificate for name that is valid until the given time, and writes it,
+// its key and the authority's certificate to files in dir.
 func (a *authority) issue(t *testing.T, dir, name string, until time.Time) link.Files {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
@@ -63,7 +64,7 @@
 	return files
 }
 
-// echo is a receiver of one method.
+// echo replies to Fetch with the requested name and counts the calls.
 type echo struct{ called int }
 
 func (e *echo) Fetch(a link.FetchArgs, reply *link.FetchReply) error {
@@ -99,9 +100,9 @@
 	return c
 }
 
-// TestOnlyCertifiedPeersGetThrough: a process without a valid certificate
-// calls no method.
-func TestOnlyCertifiedPeersGetThrough(t *testing.T) {
+// TestServerRejectsPeersWithoutValidCertificate: no call of a process without a valid
+// certificate reaches a method.
+func TestServerRejectsPeersWithoutValidCertificate(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	soon, past := time.Now().Add(time.Hour), time.Now().Add(-time.Hour)
 	addr, e := serve(t, config(t, ours.issue(t, t.TempDir(), "server", soon)))
@@ -120,9 +121,9 @@
 	assert.Equal(t, e.called, 1)
 }
 
-// TestKeysAreRotatedWithoutRestart: a running server shows the new certificate
-// and keeps its connections.
-func TestKeysAreRotatedWithoutRestart(t *testing.T) {
+// TestServerReloadsRotatedCertificate: when the certificate files change, a running
+// server presents the new certificate to new connections and keeps the open ones.
+func TestServerReloadsRotatedCertificate(t *testing.T) {
 	a := newAuthority(t)
 	dir := t.TempDir()
 	files := a.issue(t, dir, "first", time.Now().Add(time.Hour))
@@ -139,9 +140,9 @@
 	assert.NilError(t, fetch(t, old, addr))
 }
 
-// TestSilentPeerIsLeft: a peer that accepts and says nothing costs the caller
-// its own bound, no more.
-func TestSilentPeerIsLeft(t *testing.T) {
+// TestCallTimesOutWhenPeerDoesNotReply: a call to a peer that accepts the connection
+// and never replies returns ErrSilent when the caller's context ends.
+func TestCallTimesOutWhenPeerDoesNotReply(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = l.Close() }()
--- a/link/server.go
+++ b/link/server.go
@@ -9,18 +9,19 @@
 	"sync"
 )
 
-// Server answers peers.
+// Server accepts connections from peers and serves their calls.
 type Server struct {
 	rpc      *rpc.Server
 	listener net.Listener
 
-	mu    sync.Mutex
-	conns map[net.Conn]struct{}
-	done  bool
+	mu     sync.Mutex
+	conns  map[net.Conn]struct{} // open connections
+	closed bool
 }
 
-// Serve answers calls on the listener with the methods of receiver, which has
-// the form that net/rpc asks for. A nil config means plain TCP.
+// Serve starts a server that handles calls on the listener with the methods of
+// receiver, which must have the signatures that net/rpc requires. A nil config
+// means plain TCP.
 func Serve(l net.Listener, config *tls.Config, receiver any) (*Server, error) {
 	s := &Server{rpc: rpc.NewServer(), listener: l, conns: map[net.Conn]struct{}{}}
 	if err := s.rpc.RegisterName(Service, receiver); err != nil {
@@ -29,7 +30,7 @@
 	if config != nil {
 		s.listener = tls.NewListener(l, config)
 	}
-	go s.accept()
+	go s.acceptLoop()
 	return s, nil
 }
 
@@ -37,48 +38,51 @@
 func (s *Server) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.done = true
+	s.closed = true
 	for c := range s.conns {
-		_ = c.Close() // given up, whatever it says
+		_ = c.Close() // abandoned; a close error does not matter
 	}
 	return s.listener.Close()
 }
 
-func (s *Server) accept() {
+func (s *Server) acceptLoop() {
 	for {
 		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // of one connection, as when file descriptors run out for a moment
+			continue // concerns one connection, for example when file descriptors run out for a moment
 		}
-		if s.add(c) {
-			go s.serve(c)
+		if s.track(c) {
+			go s.serveConn(c)
 		}
 	}
 }
 
-func (s *Server) add(c net.Conn) bool {
+// track registers an accepted connection for Close. If the server is already
+// closed, it closes the connection and returns false.
+func (s *Server) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.done {
-		_ = c.Close() // given up, whatever it says
+	if s.closed {
+		_ = c.Close() // abandoned; a close error does not matter
 		return false
 	}
 	s.conns[c] = struct{}{}
 	return true
 }
 
-func (s *Server) serve(c net.Conn) {
+// serveConn serves calls on a connection until it is closed.
+func (s *Server) serveConn(c net.Conn) {
 	defer func() {
 		s.mu.Lock()
 		delete(s.conns, c)
 		s.mu.Unlock()
 	}()
-	// A peer with no valid certificate gets no further than the handshake.
+	// The handshake rejects a peer without a valid certificate before any call is read.
 	if t, ok := c.(*tls.Conn); ok && t.Handshake() != nil {
-		_ = c.Close() // given up, whatever it says
+		_ = c.Close() // abandoned; a close error does not matter
 		return
 	}
 	s.rpc.ServeConn(c)
