--- a/storeclient/client.go
+++ b/storeclient/client.go
@@ -1,11 +1,12 @@
-// Package storeclient calls the product's own form of the key-value service over
-// HTTP: that of package coord/store, which the stand-in speaks and deployments with
-// homes use. The operators' platform has another form; its client is in package
-// platform.
+// Package storeclient is an HTTP client of the key-value service in the product's
+// own API, whose types are in package coord/store. The stand-in implements this API,
+// and deployments with homes use it. The operators' platform has another API; its
+// client is in package platform.
 //
-// A Client bounds its own rate, and after a few failures in a row it answers
-// ErrUnavailable at once for a while, so that a service that is down costs its
-// callers nothing. Each error is one of those of package store.
+// A Client limits its own call rate. After 3 consecutive failures a circuit breaker
+// opens: for 2 s each call returns ErrUnavailable without contacting the service, so
+// that callers do not wait for a service that is down. An error of the service or of
+// the connection wraps one of the errors of package store.
 //
 // # Usage
 //
@@ -32,17 +33,17 @@
 )
 
 const (
-	defaultTimeout  = 2 * time.Second
-	defaultRate     = 20              // calls a second
-	tripAfter       = 3               // failures in a row, after which the service is left alone
-	cooldown        = 2 * time.Second // for which it is
-	idleConnections = 2
+	defaultTimeout   = 2 * time.Second
+	defaultRate      = 20              // calls per second
+	failureThreshold = 3               // consecutive failures that open the circuit breaker
+	cooldown         = 2 * time.Second // how long the circuit breaker stays open
+	maxIdleConns     = 2               // kept open to the service
 )
 
 // Options configures a Client. Zero fields take the defaults.
 type Options struct {
-	Timeout time.Duration // of one call other than a watch; default 2 s
-	Rate    int           // calls a second that this client may make; default 20
+	Timeout time.Duration // of one call, default 2 s; a watch adds its own wait to it
+	Rate    int           // calls per second that this client may make; default 20
 }
 
 // Client calls the service. It is safe for concurrent use.
@@ -51,30 +52,32 @@
 	opts Options
 	http *http.Client
 
-	mu       sync.Mutex
-	tokens   float64
-	updated  time.Time
-	failures int
-	until    time.Time // calls are refused before this time
+	mu                  sync.Mutex
+	tokens              float64
+	refilledAt          time.Time
+	consecutiveFailures int
+	openUntil           time.Time // the circuit breaker is open until this time
 }
 
-// New returns a client of the service at base, such as
+// New returns a client of the service at the base URL, for example
 // "http://127.0.0.1:7400".
 func New(base string, opts Options) *Client {
 	opts.Timeout = cmp.Or(opts.Timeout, defaultTimeout)
 	opts.Rate = cmp.Or(opts.Rate, defaultRate)
-	connections := &http.Transport{MaxIdleConnsPerHost: idleConnections}
-	return &Client{base: base, opts: opts, http: &http.Client{Transport: connections}, tokens: float64(opts.Rate)}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns}
+	return &Client{base: base, opts: opts, http: &http.Client{Transport: transport}, tokens: float64(opts.Rate)}
 }
 
-// Get reads a key.
+// Get returns the entry of a key, or ErrNotFound if the key has no value.
 func (c *Client) Get(ctx context.Context, key string) (store.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
 	return c.call(ctx, http.MethodGet, "/v1/kv/"+url.PathEscape(key), nil)
 }
 
-// CompareAndSwap writes a key if it still has the revision that w names.
+// CompareAndSwap writes a key if its revision is still w.Revision, and returns the
+// new entry. Otherwise it returns ErrConflict. After ErrUnknown, the write may or may
+// not have taken effect. A value of more than store.MaxValue bytes is not sent.
 func (c *Client) CompareAndSwap(ctx context.Context, w store.Write) (store.Entry, error) {
 	if len(w.Value) > store.MaxValue {
 		return store.Entry{}, fmt.Errorf("store: value of %d bytes exceeds %d", len(w.Value), store.MaxValue)
@@ -88,8 +91,8 @@
 	return c.call(ctx, http.MethodPut, "/v1/kv/"+url.PathEscape(w.Key), body)
 }
 
-// Watch waits until the key has a revision above after, for at most wait, and
-// returns the entry, or ErrNotFound when nothing changed.
+// Watch waits for at most wait until the revision of the key is greater than after. It
+// returns the entry, or ErrNotFound if there was no such change.
 func (c *Client) Watch(ctx context.Context, key string, after uint64, wait time.Duration) (store.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.opts.Timeout)
 	defer cancel()
@@ -97,33 +100,37 @@
 	return c.call(ctx, http.MethodGet, "/v1/watch/"+url.PathEscape(key)+"?"+q.Encode(), nil)
 }
 
+// call sends one request, subject to the rate limit and the circuit breaker, and
+// records its result for the circuit breaker.
 func (c *Client) call(ctx context.Context, method, path string, body []byte) (store.Entry, error) {
-	if err := c.admit(time.Now()); err != nil {
+	if err := c.allow(time.Now()); err != nil {
 		return store.Entry{}, err
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
 		return store.Entry{}, fmt.Errorf("store: %w", err)
 	}
-	// Without GetBody the transport never sends a write twice on its own.
+	// Without GetBody the transport cannot resend the body, so it never retries a write.
 	req.GetBody = nil
 	resp, err := c.http.Do(req)
 	if err != nil {
-		c.failed(time.Now())
-		return store.Entry{}, lostAnswer(method, err)
+		c.recordFailure(time.Now())
+		return store.Entry{}, transportError(method, err)
 	}
-	defer func() { _ = resp.Body.Close() }() // read to its end, or given up
-	entry, err := decode(method, resp)
+	defer func() { _ = resp.Body.Close() }() // a close error does not matter: the response was read or is abandoned
+	entry, err := decodeResponse(method, resp)
 	if errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrUnknown) {
-		c.failed(time.Now())
+		c.recordFailure(time.Now())
 		return entry, err
 	}
-	c.succeeded()
+	c.recordSuccess()
 	return entry, err
 }
 
-// lostAnswer tells a write that never left from one whose answer was lost.
-func lostAnswer(method string, err error) error {
+// transportError wraps the error of a call without a usable response: in ErrUnknown if
+// the call was a write that may have taken effect, and in ErrUnavailable if it was a
+// read or no connection was made.
+func transportError(method string, err error) error {
 	var op *net.OpError
 	if method == http.MethodGet || errors.As(err, &op) && op.Op == "dial" {
 		return fmt.Errorf("%w: %w", store.ErrUnavailable, err)
@@ -131,7 +138,8 @@
 	return fmt.Errorf("%w: %w", store.ErrUnknown, err)
 }
 
-func decode(method string, resp *http.Response) (store.Entry, error) {
+// decodeResponse returns the entry in a response, or the error for its status.
+func decodeResponse(method string, resp *http.Response) (store.Entry, error) {
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound, http.StatusNotModified:
@@ -143,45 +151,49 @@
 	case http.StatusServiceUnavailable:
 		return store.Entry{}, store.ErrUnavailable
 	default:
-		return store.Entry{}, lostAnswer(method, fmt.Errorf("status %s", resp.Status))
+		return store.Entry{}, transportError(method, fmt.Errorf("status %s", resp.Status))
 	}
 	var entry store.Entry
 	if err := json.NewDecoder(io.LimitReader(resp.Body, 2*store.MaxValue)).Decode(&entry); err != nil {
-		return store.Entry{}, lostAnswer(method, err)
+		return store.Entry{}, transportError(method, err)
 	}
 	return entry, nil
 }
 
-// admit takes a token of the client's own rate and respects the cooldown.
-func (c *Client) admit(now time.Time) error {
+// allow takes a token from the client's rate limiter, a token bucket. It returns
+// ErrUnavailable while the circuit breaker is open and ErrRateLimited if no token is left.
+func (c *Client) allow(now time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Before(c.until) {
-		return fmt.Errorf("%w: left alone after %d failures", store.ErrUnavailable, c.failures)
+	if now.Before(c.openUntil) {
+		return fmt.Errorf("%w: circuit breaker open after %d consecutive failures", store.ErrUnavailable, c.consecutiveFailures)
 	}
 	rate := float64(c.opts.Rate)
-	if !c.updated.IsZero() {
-		c.tokens = min(rate, c.tokens+now.Sub(c.updated).Seconds()*rate)
+	if !c.refilledAt.IsZero() {
+		c.tokens = min(rate, c.tokens+now.Sub(c.refilledAt).Seconds()*rate)
 	}
-	c.updated = now
+	c.refilledAt = now
 	if c.tokens < 1 {
-		return fmt.Errorf("%w: client limit of %d a second", store.ErrRateLimited, c.opts.Rate)
+		return fmt.Errorf("%w: client limit of %d calls per second", store.ErrRateLimited, c.opts.Rate)
 	}
 	c.tokens--
 	return nil
 }
 
-func (c *Client) failed(now time.Time) {
+// recordFailure counts a failed call and opens the circuit breaker from the
+// failureThreshold-th consecutive failure on.
+func (c *Client) recordFailure(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.failures++
-	if c.failures >= tripAfter {
-		c.until = now.Add(cooldown)
+	c.consecutiveFailures++
+	if c.consecutiveFailures >= failureThreshold {
+		c.openUntil = now.Add(cooldown)
 	}
 }
 
-func (c *Client) succeeded() {
+// recordSuccess resets the count of consecutive failures.
+func (c *Client) recordSuccess() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.failures = 0
+	c.consecutiveFailures = 0
 }
