--- a/vm/vm.go
+++ b/vm/vm.go
@@ -1,9 +1,10 @@
-// Package vm is the platform's list of live and leaving VMs.
+// Package vm parses the platform's list of live and leaving VMs.
 //
-// The list lags behind reality: it adds machines and marks them as leaving,
-// but what an endpoint says of itself goes before it.
+// The list can be out of date. It adds VMs and marks them as leaving, but what an
+// endpoint reports about itself takes precedence.
 //
-// It owns no state and relies on the form in which the platform publishes the list.
+// The package keeps no state. It depends on the JSON format in which the platform
+// publishes the list.
 //
 // # Usage
 //
@@ -16,46 +17,47 @@
 	"fmt"
 )
 
-// Role of a VM.
+// Role is what a VM is used for.
 type Role string
 
-// The roles.
+// Roles of VMs.
 const (
 	Endpoint Role = "endpoint"
 	Balancer Role = "balancer"
 )
 
-// State of a VM as the platform sees it.
+// State is the state of a VM as reported by the platform.
 type State string
 
-// The states.
+// States of VMs.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 )
 
-// VM is one machine. Its ID is never used again for another machine.
+// VM is one machine of the list. Its ID is never reused for another machine.
 type VM struct {
 	ID      string `json:"id"`
 	Role    Role   `json:"role"`
 	Tenant  string `json:"tenant,omitempty"`
 	Service string `json:"service,omitempty"`
-	Addr    string `json:"addr"` // where an endpoint serves, or a balancer's link listens
+	Addr    string `json:"addr"` // of the endpoint's server, or of the balancer's listener for calls from peers
 	Zone    string `json:"zone"`
 	State   State  `json:"state"`
 }
 
-// List is one revision of the list.
+// List is one revision of the platform's list of VMs.
 type List struct {
 	Revision uint64 `json:"revision"`
 	VMs      []VM   `json:"vms"`
 }
 
-// Parse decodes and checks a list.
+// Parse decodes a list. It returns an error if the list has no revision, or if a VM
+// has no ID, no address, or the ID of another VM in the list.
 func Parse(raw []byte) (List, error) {
 	var l List
 	if err := json.Unmarshal(raw, &l); err != nil {
-		return List{}, fmt.Errorf("vm: %w", err)
+		return List{}, fmt.Errorf("vm: decode list: %w", err)
 	}
 	if l.Revision == 0 {
 		return List{}, fmt.Errorf("vm: list has no revision")
@@ -63,7 +65,7 @@
 	seen := map[string]bool{}
 	for _, m := range l.VMs {
 		if m.ID == "" || m.Addr == "" || seen[m.ID] {
-			return List{}, fmt.Errorf("vm: entry %q has no id, no address, or stands twice", m.ID)
+			return List{}, fmt.Errorf("vm: entry %q has no id or no address, or its id is a duplicate", m.ID)
 		}
 		seen[m.ID] = true
 	}
