--- a/storeclient/client.go
+++ b/storeclient/client.go
@@ -115,7 +115,7 @@
 	resp, err := c.http.Do(req)
 	if err != nil {
 		c.recordFailure(time.Now())
-		return store.Entry{}, transportError(method, err)
+		return store.Entry{}, callError(method, err)
 	}
 	defer func() { _ = resp.Body.Close() }() // a close error does not matter: the response was read or is abandoned
 	entry, err := decodeResponse(method, resp)
@@ -127,10 +127,10 @@
 	return entry, err
 }
 
-// transportError wraps the error of a call without a usable response: in ErrUnknown if
+// callError wraps the error of a call without a usable response: in ErrUnknown if
 // the call was a write that may have taken effect, and in ErrUnavailable if it was a
 // read or no connection was made.
-func transportError(method string, err error) error {
+func callError(method string, err error) error {
 	var op *net.OpError
 	if method == http.MethodGet || errors.As(err, &op) && op.Op == "dial" {
 		return fmt.Errorf("%w: %w", store.ErrUnavailable, err)
@@ -151,11 +151,11 @@
 	case http.StatusServiceUnavailable:
 		return store.Entry{}, store.ErrUnavailable
 	default:
-		return store.Entry{}, transportError(method, fmt.Errorf("status %s", resp.Status))
+		return store.Entry{}, callError(method, fmt.Errorf("status %s", resp.Status))
 	}
 	var entry store.Entry
 	if err := json.NewDecoder(io.LimitReader(resp.Body, 2*store.MaxValue)).Decode(&entry); err != nil {
-		return store.Entry{}, transportError(method, err)
+		return store.Entry{}, callError(method, err)
 	}
 	return entry, nil
 }
