--- a/bootstrap/bootstrap.go
+++ b/bootstrap/bootstrap.go
@@ -20,8 +20,9 @@
 // balancer then follows the store's changes and so learns what the copy lacks.
 //
 // Fetcher searches for the first copy, and Giver sends this balancer's copy to others and remembers
-// the recipients. They use a State, which holds what is known, and call a Store and Peers. The rules
-// in rules.go depend on their arguments alone and read no clock.
+// the recipients. They use a State, which holds what is known, and call a Store and Peers. The
+// functions in rules.go decide whom to ask, when to read the store and which requests to redirect;
+// they depend on their arguments alone and read no clock.
 //
 // # Usage
 //
@@ -49,7 +50,8 @@
 
 // State is what this balancer knows of the content of the store.
 type State interface {
-	// Known returns a channel that is closed once a complete copy has been applied.
+	// Known returns a channel that is closed once a complete copy, from another balancer or the
+	// store, has been applied.
 	Known() <-chan struct{}
 	// Records returns all records and the revision up to which all changes are known.
 	Records() ([]directory.Record, uint64)
@@ -84,9 +86,9 @@
 
 // Config is the configuration of a Fetcher.
 type Config struct {
-	Self  Peer
+	Self  Peer     // this balancer
 	Seeds []string // addresses of balancers to ask if no relay is known; may include this balancer's own
-	Cores float64  // processor share; balancers with a larger one read the store earlier
+	Cores float64  // share of the processor, in cores; balancers with a larger share read the store earlier
 	State State
 	Store Store
 	Peers Peers
@@ -99,7 +101,7 @@
 // Options are the timing options of a Fetcher. Zero fields take the defaults.
 type Options struct {
 	// LookEvery is the interval between reads of the relay registrations while no copy has
-	// arrived; default 400 ms, by which time a fleet that starts has its copies.
+	// arrived; default 400 ms. In a fleet whose balancers start together all have a copy by then.
 	LookEvery time.Duration
 	// AskNextAfter is how long to wait for an answer before the next balancer is asked as well;
 	// default 60 ms, three times what a copy takes from a relay that has one.
@@ -112,11 +114,13 @@
 	// default 500 ms.
 	AskAgainAfter time.Duration
 	// ReadSpread is the period over which balancers that find no relay spread their first reads
-	// of the store; default 1 s. See ReadAfter.
+	// of the store; default 1 s. It also scales the longer delays while relays are
+	// known; see ReadAfter.
 	ReadSpread time.Duration
-	// ReadAfterPart is how long a balancer that serves with a part waits for a complete copy
-	// before it reads the store; default 2 s. Until then it is also the timeout of each request,
-	// and the interval between reads of the registrations.
+	// ReadAfterPart is how long a balancer that has applied a part waits for a complete copy
+	// before it reads the store, in addition to a random part of ReadSpread; default 2 s. Once a
+	// part has been applied, it is also the timeout of each request and the interval between reads
+	// of the relay registrations, and half of it replaces AskNextAfter and WaitAtPeer.
 	ReadAfterPart time.Duration
 	// RetryPause is the mean pause after a failed call to the store; default 500 ms.
 	RetryPause time.Duration
@@ -170,7 +174,7 @@
 	}
 	r := Result{From: s.source, After: time.Since(began), Asked: s.asked}
 	if ctx.Err() == nil {
-		f.cfg.Log.Info("first copy in force", "from", r.From, "after", r.After.Round(time.Millisecond), "asked", r.Asked)
+		f.cfg.Log.Info("first copy applied", "from", r.From, "after", r.After.Round(time.Millisecond), "asked", r.Asked)
 	}
 	return r
 }
@@ -178,11 +182,11 @@
 // newSearch returns a search that starts at now.
 func (f *Fetcher) newSearch(now time.Time) *search {
 	return &search{
-		Fetcher:         f,
-		candidates:      NewCandidates(f.cfg.Self, f.cfg.Seeds, rand.Uint64(), f.opts.AskAgainAfter),
-		random:          rand.Float64(),
-		registrationsAt: now,
-		askAt:           now.Add(f.opts.AskNextAfter), // ask the seeds if the relays are still unknown by then
-		results:         make(chan callResult),
+		Fetcher:             f,
+		candidates:          NewCandidates(f.cfg.Self, f.cfg.Seeds, rand.Uint64(), f.opts.AskAgainAfter),
+		random:              rand.Float64(),
+		readRegistrationsAt: now,
+		askAt:               now.Add(f.opts.AskNextAfter), // ask the seeds if the relays are still unknown by then
+		results:             make(chan callResult),
 	}
 }
--- a/bootstrap/bootstrap_test.go
+++ b/bootstrap/bootstrap_test.go
@@ -33,12 +33,12 @@
 	fleet         *fleet
 	self          bootstrap.Peer
 	giver         *bootstrap.Giver
-	known         chan struct{}
-	partly        chan struct{}
-	relays        []bootstrap.Peer
-	at            uint64
-	completeAfter time.Duration // time from the start until a complete copy was applied
-	servableAfter time.Duration // time from the start until a part or a complete copy was applied
+	known         chan struct{}    // closed once a complete copy was applied
+	partly        chan struct{}    // closed once a part or a complete copy was applied
+	relays        []bootstrap.Peer // as read from the store; nil before
+	at            uint64           // revision of the complete copy; 0 before
+	completeAfter time.Duration    // time from the start until a complete copy was applied
+	servableAfter time.Duration    // time from the start until a part or a complete copy was applied
 	startedAt     time.Time
 }
 
@@ -154,10 +154,10 @@
 	return reply, err
 }
 
-// start returns a context for the balancers of a test, and a function that cancels it and waits until
-// the calls in progress have returned: virtual time no longer advances once the test's own goroutine
-// has ended.
-func start(t *testing.T) (context.Context, func()) {
+// newTestContext returns a context for the balancers of a test, and a function that cancels it and
+// waits until the calls in progress have returned: virtual time no longer advances once the test's
+// own goroutine has ended.
+func newTestContext(t *testing.T) (context.Context, func()) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	return ctx, func() {
@@ -174,24 +174,24 @@
 	return list
 }
 
-// slowest waits until all members have a complete copy, checks its revision, and returns the longest
-// time that a member took.
-func slowest(t *testing.T, all []*member) time.Duration {
+// longestCopyTime waits until all members have a complete copy, checks its revision, and returns the
+// longest time that a member took.
+func longestCopyTime(t *testing.T, all []*member) time.Duration {
 	t.Helper()
-	var most time.Duration
+	var longest time.Duration
 	for _, m := range all {
 		<-m.known
 		assert.Equal(t, m.at, uint64(7))
-		most = max(most, m.completeAfter)
+		longest = max(longest, m.completeAfter)
 	}
-	return most
+	return longest
 }
 
 // TestOnlyRelaysReadStore tests that in a fleet that starts together only the registered relays read the
 // store, and that all balancers have a copy soon after them.
 func TestOnlyRelaysReadStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := start(t)
+		ctx, stop := newTestContext(t)
 		defer stop()
 		f := newFleet()
 		var all []*member
@@ -200,7 +200,7 @@
 		for _, p := range append(a, b...) {
 			all = append(all, f.start(ctx, p, 0.16))
 		}
-		assert.Assert(t, slowest(t, all) < 150*time.Millisecond, "%v", slowest(t, all))
+		assert.Assert(t, longestCopyTime(t, all) < 150*time.Millisecond, "%v", longestCopyTime(t, all))
 		assert.Equal(t, f.reads, 2)
 	})
 }
@@ -209,7 +209,7 @@
 // before the relays have read the whole store, and that all get a complete copy in the end.
 func TestServesWithPartFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := start(t)
+		ctx, stop := newTestContext(t)
 		defer stop()
 		f := newFleet()
 		f.readTime, f.partTime, f.copyTime = 800*time.Millisecond, 60*time.Millisecond, 140*time.Millisecond
@@ -219,14 +219,14 @@
 		for _, p := range append(a, b...) {
 			all = append(all, f.start(ctx, p, 0.16))
 		}
-		whole := slowest(t, all)
+		completeAfter := longestCopyTime(t, all)
 		var servableAfter time.Duration
 		for _, m := range all {
 			servableAfter = max(servableAfter, m.servableAfter)
 		}
-		t.Logf("served after %v, complete after %v", servableAfter, whole)
+		t.Logf("served after %v, complete after %v", servableAfter, completeAfter)
 		assert.Assert(t, servableAfter < 250*time.Millisecond, "%v", servableAfter)
-		assert.Assert(t, whole < 3*time.Second, "%v", whole)
+		assert.Assert(t, completeAfter < 3*time.Second, "%v", completeAfter)
 		assert.Equal(t, f.reads, 2)
 	})
 }
@@ -235,7 +235,7 @@
 // zone does not answer, and that balancers read the store themselves if no relay answers.
 func TestUnresponsiveRelaysDoNotDelayStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := start(t)
+		ctx, stop := newTestContext(t)
 		defer stop()
 		f := newFleet()
 		f.relays = []bootstrap.Peer{{Addr: "silent", Zone: "a"}, {Addr: "gone", Zone: "b"}, {Addr: "c0", Zone: "c"}}
@@ -244,17 +244,17 @@
 		for _, p := range append(zonePeers("a", 30), zonePeers("c", 1)...) {
 			all = append(all, f.start(ctx, p, 0.16))
 		}
-		assert.Assert(t, slowest(t, all) < 500*time.Millisecond, "%v", slowest(t, all))
+		assert.Assert(t, longestCopyTime(t, all) < 500*time.Millisecond, "%v", longestCopyTime(t, all))
 		assert.Equal(t, f.reads, 1)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := start(t)
+		ctx, stop := newTestContext(t)
 		defer stop()
 		f := newFleet()
 		f.relays = []bootstrap.Peer{{Addr: "silent", Zone: "a"}, {Addr: "silent2", Zone: "b"}}
 		f.dead["silent"], f.dead["silent2"] = true, true
 		all := []*member{f.start(ctx, bootstrap.Peer{Addr: "x", Zone: "a"}, 0.8), f.start(ctx, bootstrap.Peer{Addr: "y", Zone: "b"}, 0.8)}
-		assert.Assert(t, slowest(t, all) < 1600*time.Millisecond, "%v", slowest(t, all))
+		assert.Assert(t, longestCopyTime(t, all) < 1600*time.Millisecond, "%v", longestCopyTime(t, all))
 	})
 }
 
@@ -262,14 +262,14 @@
 // themselves, at times spread over a second.
 func TestStartWithoutRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := start(t)
+		ctx, stop := newTestContext(t)
 		defer stop()
 		f := newFleet()
 		var all []*member
 		for _, p := range zonePeers("a", 20) {
 			all = append(all, f.start(ctx, p, 0.2))
 		}
-		assert.Assert(t, slowest(t, all) < 1100*time.Millisecond, "%v", slowest(t, all))
+		assert.Assert(t, longestCopyTime(t, all) < 1100*time.Millisecond, "%v", longestCopyTime(t, all))
 	})
 }
 
@@ -277,7 +277,7 @@
 // so that few others read the store.
 func TestStartWithSeedsOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := start(t)
+		ctx, stop := newTestContext(t)
 		defer stop()
 		f := newFleet()
 		f.seeds = []string{"a0", "a1", "gone"}
@@ -285,7 +285,7 @@
 		for _, p := range zonePeers("a", 100) {
 			all = append(all, f.start(ctx, p, 0.16))
 		}
-		assert.Assert(t, slowest(t, all) < 300*time.Millisecond, "%v", slowest(t, all))
+		assert.Assert(t, longestCopyTime(t, all) < 300*time.Millisecond, "%v", longestCopyTime(t, all))
 		assert.Assert(t, f.reads < 30, "%d reads", f.reads) // the seeds, and balancers whose random delay ended before they had a copy
 	})
 }
@@ -294,7 +294,7 @@
 // to the store fail.
 func TestStartFromSeedWhileStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := start(t)
+		ctx, stop := newTestContext(t)
 		defer stop()
 		f := newFleet()
 		f.seeds = []string{"gone", "a0"}
@@ -304,7 +304,7 @@
 		f.down = true
 		f.mu.Unlock()
 		late := f.start(ctx, bootstrap.Peer{Addr: "b0", Zone: "b"}, 0.2)
-		assert.Assert(t, slowest(t, []*member{late}) < 300*time.Millisecond, "%v", late.completeAfter)
+		assert.Assert(t, longestCopyTime(t, []*member{late}) < 300*time.Millisecond, "%v", late.completeAfter)
 	})
 }
 
@@ -312,7 +312,7 @@
 // and that all have a copy soon after the store has recovered.
 func TestFleetStartsOnceStoreRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := start(t)
+		ctx, stop := newTestContext(t)
 		defer stop()
 		f := newFleet()
 		f.down = true
@@ -327,7 +327,7 @@
 		assert.Equal(t, f.reads, 0)
 		f.down, f.relays = false, list[:1]
 		f.mu.Unlock()
-		assert.Assert(t, slowest(t, all) < 11200*time.Millisecond, "%v", slowest(t, all))
+		assert.Assert(t, longestCopyTime(t, all) < 11200*time.Millisecond, "%v", longestCopyTime(t, all)) // the store is down for the first 10 s
 	})
 }
 
--- a/bootstrap/copy.go
+++ b/bootstrap/copy.go
@@ -13,11 +13,11 @@
 // maxUnpacked is the maximum unpacked size of one copy, in bytes.
 const maxUnpacked = 64 << 20
 
-// Copy is the content of the store at a revision, or a part of it, as compressed gob for other
-// balancers. It is immutable.
+// Copy is the content of the store at a revision, or a part of it, encoded for other balancers. It
+// is immutable.
 type Copy struct {
 	At     uint64 // revision up to which all changes are known; 0 for a part
-	Packed []byte
+	Packed []byte // the records, encoded as gob and compressed with DEFLATE
 }
 
 // Pack encodes records as a Copy of revision at.
--- a/bootstrap/fanout_test.go
+++ b/bootstrap/fanout_test.go
@@ -9,7 +9,7 @@
 // TestFanOut tests that the copies sent take up to a tenth of a second of link time, and that their
 // number is between 2 and 64, or 8 if the link rate or the size is unknown.
 func TestFanOut(t *testing.T) {
-	const mbit = 1e6 / 8
+	const mbit = 1e6 / 8 // bytes per second of a link of 1 Mbit/s
 	for _, c := range []struct {
 		size int
 		rate float64
--- a/bootstrap/giver.go
+++ b/bootstrap/giver.go
@@ -10,18 +10,18 @@
 
 // CopyArgs requests a copy from another balancer. Package gob sends the names of the fields.
 type CopyArgs struct {
-	Addr string        // address at which other balancers may ask the requester in turn
+	Addr string        // address of the requester, to which other balancers may be redirected
 	Wait time.Duration // how long the request may wait for the peer's own first copy
 	Part bool          // a part is enough
 }
 
 // CopyReply answers a CopyArgs with a copy, with the addresses of balancers to ask instead, or with
-// neither if the balancer has no copy yet.
+// neither if the balancer that answers has no copy yet.
 type CopyReply struct {
 	At      uint64   // revision up to which all changes are known; 0 for a part
 	Packed  []byte   // see Copy
 	Instead []string // addresses of balancers to ask instead
-	Part    bool     // Packed is a part
+	Part    bool     // Packed is a part, or the balancers in Instead were sent one
 }
 
 const (
@@ -44,7 +44,7 @@
 	partial      cachedCopy
 }
 
-// cachedCopy is a packed copy and the balancers that it was sent to.
+// cachedCopy is a packed copy, and the balancers that were recently sent it or an earlier one.
 type cachedCopy struct {
 	recipients Recipients
 	copy       Copy      // most recently packed or received; zero for none
@@ -77,9 +77,9 @@
 	}
 }
 
-// Answer answers a request for a complete copy or a part. If there is none
-// yet, it waits for args.Wait, but at most for maxWait, and then returns an empty reply. It returns an
-// error if ctx ends first or packing fails.
+// Answer answers a request for a complete copy or a part. If this balancer does not have what is
+// requested, Answer waits for it for args.Wait, but at most for maxWait, and then returns an empty
+// reply. It returns an error if ctx ends first or packing fails.
 func (g *Giver) Answer(ctx context.Context, args CopyArgs) (CopyReply, error) {
 	received, known := g.received, g.state.Known()
 	if args.Part {
@@ -98,8 +98,8 @@
 	return g.answer(args, time.Now())
 }
 
-// answer returns a copy or a part, or redirects the requester to earlier recipients. A request for
-// a part gets a complete copy if that is about as small.
+// answer returns a complete copy or a part, or redirects the requester to earlier recipients. A
+// request for a part gets a complete copy if that is about as small.
 func (g *Giver) answer(args CopyArgs, now time.Time) (reply CopyReply, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/bootstrap/rules.go
+++ b/bootstrap/rules.go
@@ -8,8 +8,8 @@
 // The rules by which first copies spread, as functions of their arguments alone.
 
 const (
-	// linkTimeBudget is how much time of its link a balancer spends on sending copies within
-	// recipientTTL; later requests are redirected. Faster links therefore send more copies.
+	// linkTimeBudget is how long the copies that a balancer sends within recipientTTL may occupy its
+	// link; further requests are redirected. Faster links therefore send more copies.
 	linkTimeBudget = 100 * time.Millisecond
 	// defaultFanOut is the number of balancers that a balancer with an unknown link rate sends its copy
 	// to. minFanOut and maxFanOut bound the number for known rates; with a fan-out of one, the copies
@@ -37,7 +37,7 @@
 // the zero value is empty.
 type Recipients struct {
 	entries   []recipient // oldest first
-	redirects int         // number of requests redirected so far
+	redirects int         // number of requests redirected so far; selects the recipients to name in the next redirect
 }
 
 // recipient is a balancer that was sent a copy.
@@ -77,9 +77,9 @@
 // settings. It is an immutable value.
 type Candidates struct {
 	self       Peer
-	rotation   uint64        // first index among the relays of other zones, modulo their number; spreads the load
-	retryAfter time.Duration // time after which a balancer may be asked again
-	next       []Peer
+	rotation   uint64               // random offset at which the seeds and the relays of other zones begin; spreads the load
+	retryAfter time.Duration        // time after which a balancer may be asked again
+	queue      []Peer               // added and not yet asked
 	seeds      []Peer               // asked, repeatedly, when no other candidate is left
 	lastAsked  map[string]time.Time // by address
 }
@@ -108,19 +108,19 @@
 // WithRelays returns the candidates with the registered relays added behind those that are already
 // queued.
 func (c Candidates) WithRelays(relays []Peer) Candidates {
-	others := slices.DeleteFunc(slices.Clone(relays), func(p Peer) bool { return p.Zone == c.self.Zone })
-	own := slices.DeleteFunc(slices.Clone(relays), func(p Peer) bool { return p.Zone != c.self.Zone })
-	c.next = c.distinct(slices.Concat(c.next, own, rotated(others, c.rotation)))
+	otherZones := slices.DeleteFunc(slices.Clone(relays), func(p Peer) bool { return p.Zone == c.self.Zone })
+	ownZone := slices.DeleteFunc(slices.Clone(relays), func(p Peer) bool { return p.Zone != c.self.Zone })
+	c.queue = c.distinct(slices.Concat(c.queue, ownZone, rotated(otherZones, c.rotation)))
 	return c
 }
 
 // WithRedirect returns the candidates with addrs first, to which another balancer redirected this one.
 func (c Candidates) WithRedirect(addrs []string) Candidates {
-	var first []Peer
+	var redirected []Peer
 	for _, addr := range addrs {
-		first = append(first, Peer{Addr: addr})
+		redirected = append(redirected, Peer{Addr: addr})
 	}
-	c.next = c.distinct(slices.Concat(first, c.next))
+	c.queue = c.distinct(slices.Concat(redirected, c.queue))
 	return c
 }
 
@@ -138,7 +138,7 @@
 // Next returns the balancer to ask at now, and the candidates after that; false means that there is
 // none. It skips balancers that were asked less than retryAfter ago.
 func (c Candidates) Next(now time.Time) (Peer, Candidates, bool) {
-	for _, p := range slices.Concat(c.next, c.seeds) {
+	for _, p := range slices.Concat(c.queue, c.seeds) {
 		if at, ok := c.lastAsked[p.Addr]; ok && now.Sub(at) < c.retryAfter {
 			continue
 		}
@@ -149,7 +149,7 @@
 			}
 		}
 		c.lastAsked = lastAsked
-		c.next = slices.DeleteFunc(slices.Clone(c.next), func(q Peer) bool { return q.Addr == p.Addr })
+		c.queue = slices.DeleteFunc(slices.Clone(c.queue), func(q Peer) bool { return q.Addr == p.Addr })
 		return p, c, true
 	}
 	return Peer{}, c, false
@@ -173,7 +173,8 @@
 
 // ReadAfter returns how long after its start a balancer with a processor share of cores reads the
 // store itself if it has no copy by then. The balancers that others ask first read it at once: a
-// registered relay, or a seed if no relay is known. random is in [0, 1).
+// registered relay, or a seed if no relay is known. The delay of the others grows with random, which
+// is in [0, 1), and is at least half of ReadSpread while relays are known.
 func (o Options) ReadAfter(isRelay, isSeed, relaysKnown bool, random, cores float64) time.Duration {
 	if isRelay || isSeed && !relaysKnown {
 		return 0
--- a/bootstrap/rules_test.go
+++ b/bootstrap/rules_test.go
@@ -17,41 +17,41 @@
 func TestCandidates(t *testing.T) {
 	self := bootstrap.Peer{Addr: "self", Zone: "a"}
 	relays := []bootstrap.Peer{{Addr: "b", Zone: "b"}, {Addr: "c", Zone: "c"}, {Addr: "a", Zone: "a"}, self}
-	askUpTo := func(o bootstrap.Candidates, n int, now time.Time) (got []string, next bootstrap.Candidates) {
+	askUpTo := func(c bootstrap.Candidates, n int, now time.Time) (got []string, next bootstrap.Candidates) {
 		for range n {
-			peer, rest, ok := o.Next(now)
+			peer, rest, ok := c.Next(now)
 			if !ok {
 				break
 			}
-			got, o = append(got, peer.Addr), rest
+			got, c = append(got, peer.Addr), rest
 		}
-		return got, o
+		return got, c
 	}
-	o := bootstrap.NewCandidates(self, nil, 0, time.Second).WithRelays(relays)
-	got, _ := askUpTo(o, 9, startTime)
+	c := bootstrap.NewCandidates(self, nil, 0, time.Second).WithRelays(relays)
+	got, _ := askUpTo(c, 9, startTime)
 	assert.DeepEqual(t, got, []string{"a", "b", "c"})
 	got, _ = askUpTo(bootstrap.NewCandidates(self, nil, 1, time.Second).WithRelays(relays), 9, startTime)
 	assert.DeepEqual(t, got, []string{"a", "c", "b"})
-	got, o = askUpTo(o, 1, startTime)
+	got, c = askUpTo(c, 1, startTime)
 	assert.DeepEqual(t, got, []string{"a"})
-	got, o = askUpTo(o.WithRedirect([]string{"x", "self", "y"}), 9, startTime)
+	got, c = askUpTo(c.WithRedirect([]string{"x", "self", "y"}), 9, startTime)
 	assert.DeepEqual(t, got, []string{"x", "y", "b", "c"})
-	o = o.WithRelays(relays)
-	got, _ = askUpTo(o, 9, startTime.Add(time.Second-1))
+	c = c.WithRelays(relays)
+	got, _ = askUpTo(c, 9, startTime.Add(time.Second-1))
 	assert.Equal(t, len(got), 0, "%v", got)
-	got, _ = askUpTo(o, 9, startTime.Add(time.Second))
+	got, _ = askUpTo(c, 9, startTime.Add(time.Second))
 	assert.DeepEqual(t, got, []string{"a", "b", "c"})
 }
 
 // TestSeeds tests that the seeds are asked when no other candidate is left, and again after the retry
 // interval.
 func TestSeeds(t *testing.T) {
-	o := bootstrap.NewCandidates(bootstrap.Peer{Addr: "self", Zone: "a"}, []string{"s1", "self", "s2"}, 1, time.Second)
-	o = o.WithRelays([]bootstrap.Peer{{Addr: "a", Zone: "a"}, {Addr: "s1", Zone: "b"}})
+	c := bootstrap.NewCandidates(bootstrap.Peer{Addr: "self", Zone: "a"}, []string{"s1", "self", "s2"}, 1, time.Second)
+	c = c.WithRelays([]bootstrap.Peer{{Addr: "a", Zone: "a"}, {Addr: "s1", Zone: "b"}})
 	var got []string
 	for now := startTime; len(got) < 6; now = now.Add(300 * time.Millisecond) {
-		peer, rest, ok := o.Next(now)
-		if o = rest; ok {
+		peer, rest, ok := c.Next(now)
+		if c = rest; ok {
 			got = append(got, peer.Addr)
 		}
 	}
@@ -108,8 +108,8 @@
 			depth[self] = depth[peer] + 1
 			deepest = max(deepest, depth[self])
 		}
-		most := 1 + int(math.Ceil(math.Log(float64(size))/math.Log(8)))
-		assert.Assert(t, deepest <= most, "%d balancers: %d hops, want at most %d", size, deepest, most)
+		maxDepth := 1 + int(math.Ceil(math.Log(float64(size))/math.Log(8)))
+		assert.Assert(t, deepest <= maxDepth, "%d balancers: %d hops, want at most %d", size, deepest, maxDepth)
 	}
 }
 
--- a/bootstrap/search.go
+++ b/bootstrap/search.go
@@ -18,17 +18,17 @@
 	*Fetcher
 	candidates           Candidates
 	random               float64   // in [0, 1); spreads the store reads of balancers that start together
-	registrationsAt      time.Time // next read of the registrations
+	readRegistrationsAt  time.Time // next read of the registrations
 	readingRegistrations bool
 	registrationsRead    bool      // the registrations have been read at least once
-	storeReadAt          time.Time // next read of the store
+	readStoreAt          time.Time // next read of the store
 	readingStore         bool
-	askAt                time.Time // next request to a peer
-	inFlight             int       // requests without an answer
-	asked                int       // requests so far
-	havePart             bool      // a part has been applied, and a complete copy is still missing
-	source               string    // see Result.From
-	results              chan callResult
+	askAt                time.Time       // next request to a peer
+	inFlight             int             // requests without an answer
+	asked                int             // requests so far
+	havePart             bool            // a part has been applied, and a complete copy is still missing
+	source               string          // see Result.From
+	results              chan callResult // of finished calls, for the goroutine of Fetcher.Run
 }
 
 // callResult is the result of a call to the store or to a peer. apply updates the search with it.
@@ -48,18 +48,18 @@
 	}
 )
 
-// maxInFlight bounds the concurrent requests to peers until a part has been applied.
-const maxInFlight = 4
+// maxInFlightBeforePart bounds the concurrent requests to peers until a part has been applied.
+const maxInFlightBeforePart = 4
 
 // startDueCalls starts the calls that are due at now.
 func (s *search) startDueCalls(ctx context.Context, now time.Time) {
-	if !s.readingRegistrations && !now.Before(s.registrationsAt) {
+	if !s.readingRegistrations && !now.Before(s.readRegistrationsAt) {
 		s.readingRegistrations = true
-		go func() { s.send(ctx, registrationsResult{s.cfg.Store.ReadRegistrations(ctx)}) }()
+		go func() { s.sendResult(ctx, registrationsResult{s.cfg.Store.ReadRegistrations(ctx)}) }()
 	}
-	if s.registrationsRead && !s.readingStore && !now.Before(s.storeReadAt) {
+	if s.registrationsRead && !s.readingStore && !now.Before(s.readStoreAt) {
 		s.readingStore = true
-		go func() { s.send(ctx, storeResult{s.cfg.Store.Read(ctx)}) }()
+		go func() { s.sendResult(ctx, storeResult{s.cfg.Store.Read(ctx)}) }()
 	}
 	if s.inFlight < s.maxInFlight() && !now.Before(s.askAt) {
 		s.askNext(ctx, now)
@@ -82,23 +82,23 @@
 		ctx, cancel := context.WithTimeout(ctx, timing.timeout)
 		defer cancel()
 		reply, err := s.cfg.Peers.Copy(ctx, peer.Addr, args)
-		s.send(ctx, copyResult{peer: peer, reply: reply, err: err})
+		s.sendResult(ctx, copyResult{peer: peer, reply: reply, err: err})
 	}()
 }
 
-// timing holds the delay until the next peer is asked as well, how long the peer may hold the
+// requestTiming holds the delay until the next peer is asked as well, how long the peer may hold the
 // request, and the timeout of the request.
-type timing struct{ nextAfter, wait, timeout time.Duration }
+type requestTiming struct{ nextAfter, wait, timeout time.Duration }
 
-// timing returns the timing of the next request. Once a part has been applied, peers are asked one
-// after the other, the relay in this zone first. With the short delays of the first phase, relays of
-// other zones were asked while the relay in this zone was still reading the store, and each of them
-// sent a copy.
-func (s *search) timing() timing {
+// timing returns the timing of the next request. Once a part has been applied, the delays are
+// longer, so that the relay in this zone has time to answer before another peer is asked. With the
+// short delays, relays of other zones would be asked while the relay in this zone is still reading
+// the store, and each of them would send a copy.
+func (s *search) timing() requestTiming {
 	if s.havePart {
-		return timing{nextAfter: s.opts.ReadAfterPart / 2, wait: s.opts.ReadAfterPart / 2, timeout: s.opts.ReadAfterPart}
+		return requestTiming{nextAfter: s.opts.ReadAfterPart / 2, wait: s.opts.ReadAfterPart / 2, timeout: s.opts.ReadAfterPart}
 	}
-	return timing{nextAfter: s.opts.AskNextAfter, wait: s.opts.WaitAtPeer, timeout: s.opts.AskTimeout}
+	return requestTiming{nextAfter: s.opts.AskNextAfter, wait: s.opts.WaitAtPeer, timeout: s.opts.AskTimeout}
 }
 
 // maxInFlight returns the maximum number of concurrent requests to peers, which is lower once a part
@@ -107,11 +107,11 @@
 	if s.havePart {
 		return 2
 	}
-	return maxInFlight
+	return maxInFlightBeforePart
 }
 
-// send passes a result to the goroutine of Fetcher.Run, unless the search is over.
-func (s *search) send(ctx context.Context, r callResult) {
+// sendResult passes a result to the goroutine of Fetcher.Run, unless the search is over.
+func (s *search) sendResult(ctx context.Context, r callResult) {
 	select {
 	case s.results <- r:
 	case <-ctx.Done():
@@ -131,40 +131,41 @@
 	}
 }
 
-// untilNextCall returns the time until the next call is due, at least 1 ms.
+// untilNextCall returns the time until the next call is due, at least 1 ms. A request to a peer counts
+// as due at askAt even if maxInFlight does not allow one.
 func (s *search) untilNextCall(now time.Time) time.Duration {
 	next := s.askAt
-	if !s.readingRegistrations && s.registrationsAt.Before(next) {
-		next = s.registrationsAt
+	if !s.readingRegistrations && s.readRegistrationsAt.Before(next) {
+		next = s.readRegistrationsAt
 	}
-	if s.registrationsRead && !s.readingStore && s.storeReadAt.Before(next) {
-		next = s.storeReadAt
+	if s.registrationsRead && !s.readingStore && s.readStoreAt.Before(next) {
+		next = s.readStoreAt
 	}
 	return max(next.Sub(now), time.Millisecond)
 }
 
-// retryPause returns a random pause after a failed call to the store, with a mean of
+// randomRetryPause returns a random pause after a failed call to the store, with a mean of
 // Options.RetryPause.
-func (s *search) retryPause() time.Duration {
+func (s *search) randomRetryPause() time.Duration {
 	return s.opts.RetryPause/2 + rand.N(s.opts.RetryPause)
 }
 
 func (r registrationsResult) apply(s *search, now time.Time) {
 	s.readingRegistrations = false
 	if r.err != nil {
-		s.registrationsAt = now.Add(s.retryPause())
+		s.readRegistrationsAt = now.Add(s.randomRetryPause())
 		s.askAt = now
-		s.cfg.Log.Warn("relays not read", "error", r.err)
+		s.cfg.Log.Warn("could not read relay registrations at start", "error", r.err)
 		return
 	}
-	s.registrationsAt = now.Add(s.registrationsInterval())
+	s.readRegistrationsAt = now.Add(s.registrationsInterval())
 	relays := s.cfg.State.Relays()
 	first := !s.registrationsRead
 	s.registrationsRead = true
 	s.candidates = s.candidates.WithRelays(relays)
 	if first {
 		isSeed := slices.Contains(s.cfg.Seeds, s.cfg.Self.Addr)
-		s.storeReadAt = now.Add(s.opts.ReadAfter(isRelay(relays, s.cfg.Self), isSeed, len(relays) > 0, s.random, s.cfg.Cores))
+		s.readStoreAt = now.Add(s.opts.ReadAfter(isRelay(relays, s.cfg.Self), isSeed, len(relays) > 0, s.random, s.cfg.Cores))
 		s.askAt = now
 	}
 }
@@ -186,7 +187,7 @@
 func (r storeResult) apply(s *search, now time.Time) {
 	s.readingStore = false
 	if r.err != nil {
-		s.storeReadAt = now.Add(s.retryPause())
+		s.readStoreAt = now.Add(s.randomRetryPause())
 		s.cfg.Log.Warn("could not read the store", "error", r.err)
 		return
 	}
@@ -198,7 +199,7 @@
 	err := r.err
 	switch {
 	case err == nil && len(r.reply.Instead) > 0:
-		if !r.reply.Part || !s.havePart { // the peers in the reply have what is still missing
+		if !r.reply.Part || !s.havePart { // once a part has been applied, only peers with a complete copy are of use
 			s.candidates = s.candidates.WithRedirect(r.reply.Instead)
 		}
 	case err == nil && r.reply.Part:
@@ -234,10 +235,10 @@
 		return err
 	}
 	s.cfg.State.ApplyPart(records)
-	s.cfg.Log.Info("part of a first copy in force", "records", len(records))
+	s.cfg.Log.Info("part of the first copy applied", "records", len(records))
 	s.havePart = true
-	s.registrationsAt = latest(s.registrationsAt, now.Add(s.registrationsInterval()))
-	s.storeReadAt = latest(s.storeReadAt, now.Add(s.opts.ReadAfterPart+time.Duration(s.random*float64(s.opts.ReadSpread))))
+	s.readRegistrationsAt = latest(s.readRegistrationsAt, now.Add(s.registrationsInterval()))
+	s.readStoreAt = latest(s.readStoreAt, now.Add(s.opts.ReadAfterPart+time.Duration(s.random*float64(s.opts.ReadSpread))))
 	s.candidates = NewCandidates(s.cfg.Self, s.cfg.Seeds, rand.Uint64(), s.opts.AskAgainAfter).WithRelays(s.cfg.State.Relays())
 	return nil
 }
