--- a/link/client.go
+++ b/link/client.go
@@ -14,32 +14,33 @@
 	"github.com/lotuswing/lotuswing/internal/dial"
 )
 
-// dialTimeout bounds the time to connect to a peer. Each call has its own deadline as well.
+// dialTimeout limits the time to connect to a peer, including the TLS handshake. The
+// context of a call may end earlier.
 const dialTimeout = 500 * time.Millisecond
 
-// ErrSilent means that the context of a call ended before the peer replied. The
-// peer may still execute the call.
+// ErrSilent means that the context of a call ended after the call was sent to the peer and
+// before the reply arrived. The peer may still execute the call.
 var ErrSilent = errors.New("link: no reply from peer")
 
 // Client calls peers over one connection to each. It is safe for concurrent use.
 type Client struct {
 	tls *tls.Config // nil for plain TCP
 
-	mu      sync.Mutex
-	clients map[string]*rpc.Client // by the peer's address
+	mu         sync.Mutex
+	rpcClients map[string]*rpc.Client // by the peer's address
 }
 
 // NewClient returns a client without connections; Call opens them. A nil config
 // means plain TCP.
 func NewClient(config *tls.Config) *Client {
-	return &Client{tls: config, clients: map[string]*rpc.Client{}}
+	return &Client{tls: config, rpcClients: map[string]*rpc.Client{}}
 }
 
 // Call calls a method of the peer at addr, connecting to it first if necessary, and
 // waits for the reply until ctx ends. It writes to reply only when it returns nil: a reply
 // that arrives after Call has returned an error is discarded.
 func (c *Client) Call(ctx context.Context, addr, method string, args, reply any) error {
-	rpcClient, err := c.rpcClient(ctx, addr)
+	rpcClient, err := c.getOrConnect(ctx, addr)
 	if err != nil {
 		return err
 	}
@@ -61,15 +62,15 @@
 	return nil
 }
 
-// Forget closes the connection to the peer at addr, if there is one. Pending
-// calls on it fail at once.
+// Forget closes the connection to the peer at addr, if there is one, for example because
+// the peer is no longer a member of the fleet. Pending calls on it fail at once.
 func (c *Client) Forget(addr string) {
 	c.mu.Lock()
-	rpcClient := c.clients[addr]
-	delete(c.clients, addr)
+	rpcClient := c.rpcClients[addr]
+	delete(c.rpcClients, addr)
 	c.mu.Unlock()
 	if rpcClient != nil {
-		_ = rpcClient.Close() // abandoned; a close error does not matter
+		_ = rpcClient.Close() // the connection is no longer used; a close error does not matter
 	}
 }
 
@@ -77,16 +78,17 @@
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for addr, rpcClient := range c.clients {
-		_ = rpcClient.Close() // abandoned; a close error does not matter
-		delete(c.clients, addr)
+	for addr, rpcClient := range c.rpcClients {
+		_ = rpcClient.Close() // the connection is no longer used; a close error does not matter
+		delete(c.rpcClients, addr)
 	}
 }
 
-// rpcClient returns the RPC client of the peer at addr, connecting to it if there is none.
-func (c *Client) rpcClient(ctx context.Context, addr string) (*rpc.Client, error) {
+// getOrConnect returns the RPC client of the peer at addr, connecting to the peer
+// if there is none yet.
+func (c *Client) getOrConnect(ctx context.Context, addr string) (*rpc.Client, error) {
 	c.mu.Lock()
-	rpcClient := c.clients[addr]
+	rpcClient := c.rpcClients[addr]
 	c.mu.Unlock()
 	if rpcClient != nil {
 		return rpcClient, nil
@@ -95,17 +97,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("link: dial %s: %w", addr, err)
 	}
-	created := rpc.NewClient(conn)
+	newClient := rpc.NewClient(conn)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if rpcClient = c.clients[addr]; rpcClient != nil { // a concurrent call connected first
-		_ = created.Close() // never used
+	if rpcClient = c.rpcClients[addr]; rpcClient != nil { // a concurrent call connected first
+		_ = newClient.Close() // its connection was never used
 		return rpcClient, nil
 	}
-	c.clients[addr] = created
-	return created, nil
+	c.rpcClients[addr] = newClient
+	return newClient, nil
 }
 
+// dial connects to addr, over TLS if the client has a TLS configuration.
 func (c *Client) dial(ctx context.Context, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -116,12 +119,13 @@
 	return dial.Dialer(dialTimeout).DialContext(ctx, "tcp", addr)
 }
 
-// drop closes a failed connection, so that the next call to addr connects again.
+// drop closes a failed connection, so that the next call to addr connects again. If a
+// newer connection to addr exists, it stays open.
 func (c *Client) drop(addr string, rpcClient *rpc.Client) {
 	c.mu.Lock()
-	if c.clients[addr] == rpcClient {
-		delete(c.clients, addr)
+	if c.rpcClients[addr] == rpcClient {
+		delete(c.rpcClients, addr)
 	}
 	c.mu.Unlock()
-	_ = rpcClient.Close() // abandoned; a close error does not matter
+	_ = rpcClient.Close() // the connection is no longer used; a close error does not matter
 }
--- a/link/late_reply_test.go
+++ b/link/late_reply_test.go
@@ -14,15 +14,15 @@
 // blockingReceiver replies to Reach once release is closed, and to Fetch at once.
 type blockingReceiver struct{ release chan struct{} }
 
-// Reach waits for release, then sets a field that the test checks. net/rpc requires its
-// signature.
+// Reach waits until release is closed, then sets a field of the reply that the test checks.
+// net/rpc requires methods with this signature.
 func (r *blockingReceiver) Reach(_ link.ReachArgs, reply *link.AcquireReply) error {
 	<-r.release
 	reply.RetryAfter = time.Hour
 	return nil
 }
 
-// Fetch shares the connection with Reach; the test calls it after release is closed.
+// Fetch is called over the same connection as Reach, after release is closed.
 func (r *blockingReceiver) Fetch(_ link.FetchArgs, reply *link.FetchReply) error {
 	reply.Found = true
 	return nil
--- a/link/link.go
+++ b/link/link.go
@@ -3,6 +3,8 @@
 // A Client keeps one connection to each peer. Each call needs its own deadline,
 // because the connections to a paused peer stay open but carry no replies.
 //
+// The home of a service is the balancer that grants the contracts for its requests.
+//
 // The argument and reply types below define the wire format: package gob sends the
 // names of their fields, nested ones included, and ignores fields that the receiver
 // does not know. The tests of package compat fail if these names change; code that
@@ -49,12 +51,12 @@
 type AcquireArgs struct {
 	Service   string // tenant/service
 	ID        string
-	Holder    string
-	Zone      string
+	Holder    string // ID of the calling balancer
+	Zone      string // of the calling balancer
 	Class     placement.Class
 	Patience  time.Duration // how long the request may wait
 	Remaining time.Duration // time left until the request's deadline
-	Avoid     []string
+	Avoid     []string      // VMs that were tried already; chosen only if no other is available
 }
 
 // AcquireReply is the home's decision. If Kind is Queued, the caller gets the final
@@ -66,8 +68,8 @@
 	RetryAfter time.Duration
 }
 
-// AwaitArgs asks for the decision about a queued request, and for the home to wait
-// for it for at most Wait.
+// AwaitArgs asks for the decision about a queued request. The home waits at most Wait
+// for the decision before it replies.
 type AwaitArgs struct {
 	Service string
 	ID      string
@@ -99,9 +101,9 @@
 	Held    []contract.Held
 }
 
-// Digest is the state that balancers exchange on each heartbeat. The number of
-// Members is bounded by the member table's digest, except in the reply to a new
-// member, which lists all of them.
+// Digest is the state that balancers exchange on each heartbeat. Members holds a bounded
+// selection of the fleet (member.Table.Digest), except in the reply to a new member, which
+// lists all members.
 type Digest struct {
 	From     member.Member
 	Members  []member.Member
@@ -134,8 +136,8 @@
 	Value document.Value
 }
 
-// UnconfirmedArgs asks a home for the idle endpoints of a service that have shown
-// no sign of life for at least Silent.
+// UnconfirmedArgs asks a home for the endpoints of a service that have no requests in flight
+// and whose last report that they stay in service is at least Silent old.
 type UnconfirmedArgs struct {
 	Service string
 	Silent  time.Duration
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -73,7 +73,8 @@
 	return nil
 }
 
-func serve(t *testing.T, config *tls.Config) (string, *echo) {
+// startServer serves an echo receiver until the test ends, and returns its address.
+func startServer(t *testing.T, config *tls.Config) (string, *echo) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	e := &echo{}
@@ -83,6 +84,7 @@
 	return l.Addr().String(), e
 }
 
+// fetch calls Fetch at addr and checks the reply if the call succeeds.
 func fetch(t *testing.T, c *link.Client, addr string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -94,7 +96,7 @@
 	return err
 }
 
-func config(t *testing.T, files link.Files) *tls.Config {
+func loadTLSConfig(t *testing.T, files link.Files) *tls.Config {
 	c, err := link.TLSConfig(files)
 	assert.NilError(t, err)
 	return c
@@ -104,18 +106,18 @@
 // certificate reaches a method.
 func TestServerRejectsPeersWithoutValidCertificate(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
-	soon, past := time.Now().Add(time.Hour), time.Now().Add(-time.Hour)
-	addr, e := serve(t, config(t, ours.issue(t, t.TempDir(), "server", soon)))
+	validUntil, expired := time.Now().Add(time.Hour), time.Now().Add(-time.Hour)
+	addr, e := startServer(t, loadTLSConfig(t, ours.issue(t, t.TempDir(), "server", validUntil)))
 
-	assert.NilError(t, fetch(t, link.NewClient(config(t, ours.issue(t, t.TempDir(), "peer", soon))), addr))
+	assert.NilError(t, fetch(t, link.NewClient(loadTLSConfig(t, ours.issue(t, t.TempDir(), "peer", validUntil))), addr))
 	assert.Equal(t, e.called, 1)
-	strangers := map[string]*tls.Config{
+	rejected := map[string]*tls.Config{
 		"plain":             nil,
 		"no certificate":    {InsecureSkipVerify: true},
-		"another authority": config(t, theirs.issue(t, t.TempDir(), "peer", soon)),
-		"expired":           config(t, ours.issue(t, t.TempDir(), "peer", past)),
+		"another authority": loadTLSConfig(t, theirs.issue(t, t.TempDir(), "peer", validUntil)),
+		"expired":           loadTLSConfig(t, ours.issue(t, t.TempDir(), "peer", expired)),
 	}
-	for name, c := range strangers {
+	for name, c := range rejected {
 		assert.Assert(t, fetch(t, link.NewClient(c), addr) != nil, name)
 	}
 	assert.Equal(t, e.called, 1)
@@ -127,8 +129,8 @@
 	a := newAuthority(t)
 	dir := t.TempDir()
 	files := a.issue(t, dir, "first", time.Now().Add(time.Hour))
-	addr, _ := serve(t, config(t, files))
-	peer := config(t, a.issue(t, t.TempDir(), "peer", time.Now().Add(time.Hour)))
+	addr, _ := startServer(t, loadTLSConfig(t, files))
+	peer := loadTLSConfig(t, a.issue(t, t.TempDir(), "peer", time.Now().Add(time.Hour)))
 	old := link.NewClient(peer)
 	assert.NilError(t, fetch(t, old, addr))
 	a.issue(t, dir, "second", time.Now().Add(time.Hour))
--- a/link/server.go
+++ b/link/server.go
@@ -40,11 +40,12 @@
 	defer s.mu.Unlock()
 	s.closed = true
 	for c := range s.conns {
-		_ = c.Close() // abandoned; a close error does not matter
+		_ = c.Close() // the connection is no longer used; a close error does not matter
 	}
 	return s.listener.Close()
 }
 
+// acceptLoop accepts connections and serves each in a goroutine until the listener is closed.
 func (s *Server) acceptLoop() {
 	for {
 		c, err := s.listener.Accept()
@@ -52,7 +53,7 @@
 			return
 		}
 		if err != nil {
-			continue // concerns one connection, for example when file descriptors run out for a moment
+			continue // one connection failed, for example because file descriptors ran out; accept the next
 		}
 		if s.track(c) {
 			go s.serveConn(c)
@@ -66,7 +67,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		_ = c.Close() // abandoned; a close error does not matter
+		_ = c.Close() // the connection is no longer used; a close error does not matter
 		return false
 	}
 	s.conns[c] = struct{}{}
@@ -82,7 +83,7 @@
 	}()
 	// The handshake rejects a peer without a valid certificate before any call is read.
 	if t, ok := c.(*tls.Conn); ok && t.Handshake() != nil {
-		_ = c.Close() // abandoned; a close error does not matter
+		_ = c.Close() // the connection is no longer used; a close error does not matter
 		return
 	}
 	s.rpc.ServeConn(c)
--- a/link/tls.go
+++ b/link/tls.go
@@ -50,7 +50,7 @@
 	return r.cert, nil
 }
 
-// Secure returns the TLS configuration for the settings. If insecure is set, it
+// Secure returns the TLS configuration for the link_tls settings. If insecure is set, it
 // logs a warning and returns nil, which means plain TCP.
 func Secure(insecure bool, files Files, log hclog.Logger) (*tls.Config, error) {
 	if insecure {
