--- a/storeclient/client.go
+++ b/storeclient/client.go
@@ -1,7 +1,7 @@
-// Package storeclient is an HTTP client of the key-value service in the product's
-// own API, whose types are in package coord/store. The stand-in implements this API,
-// and deployments with homes use it. The operators' platform has another API; its
-// client is in package platform.
+// Package storeclient is an HTTP client of a key-value service that has the product's
+// own API, with the types of package coord/store. Deployments with homes use this API,
+// and package standin implements it for tests. The operators' platform has another API;
+// its client is in package platform.
 //
 // A Client limits its own call rate. After 3 consecutive failures a circuit breaker
 // opens: for 2 s each call returns ErrUnavailable without contacting the service, so
@@ -53,8 +53,8 @@
 	http *http.Client
 
 	mu                  sync.Mutex
-	tokens              float64
-	refilledAt          time.Time
+	tokens              float64   // in the token bucket of the rate limiter
+	refilledAt          time.Time // when tokens was last updated
 	consecutiveFailures int
 	openUntil           time.Time // the circuit breaker is open until this time
 }
@@ -68,7 +68,7 @@
 	return &Client{base: base, opts: opts, http: &http.Client{Transport: transport}, tokens: float64(opts.Rate)}
 }
 
-// Get returns the entry of a key, or ErrNotFound if the key has no value.
+// Get returns the entry of a key, or store.ErrNotFound if the key has no value.
 func (c *Client) Get(ctx context.Context, key string) (store.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
@@ -76,8 +76,8 @@
 }
 
 // CompareAndSwap writes a key if its revision is still w.Revision, and returns the
-// new entry. Otherwise it returns ErrConflict. After ErrUnknown, the write may or may
-// not have taken effect. A value of more than store.MaxValue bytes is not sent.
+// new entry. Otherwise it returns store.ErrConflict. After store.ErrUnknown, the write may
+// or may not have taken effect. A value of more than store.MaxValue bytes is not sent.
 func (c *Client) CompareAndSwap(ctx context.Context, w store.Write) (store.Entry, error) {
 	if len(w.Value) > store.MaxValue {
 		return store.Entry{}, fmt.Errorf("store: value of %d bytes exceeds %d", len(w.Value), store.MaxValue)
@@ -92,7 +92,7 @@
 }
 
 // Watch waits for at most wait until the revision of the key is greater than after. It
-// returns the entry, or ErrNotFound if there was no such change.
+// returns the entry, or store.ErrNotFound if there was no such change.
 func (c *Client) Watch(ctx context.Context, key string, after uint64, wait time.Duration) (store.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.opts.Timeout)
 	defer cancel()
@@ -115,7 +115,7 @@
 	resp, err := c.http.Do(req)
 	if err != nil {
 		c.recordFailure(time.Now())
-		return store.Entry{}, callError(method, err)
+		return store.Entry{}, unavailableOrUnknown(method, err)
 	}
 	defer func() { _ = resp.Body.Close() }() // a close error does not matter: the response was read or is abandoned
 	entry, err := decodeResponse(method, resp)
@@ -127,10 +127,10 @@
 	return entry, err
 }
 
-// callError wraps the error of a call without a usable response: in ErrUnknown if
-// the call was a write that may have taken effect, and in ErrUnavailable if it was a
-// read or no connection was made.
-func callError(method string, err error) error {
+// unavailableOrUnknown wraps the error of a call without a usable response: in
+// store.ErrUnknown if the call was a write that may have taken effect, and in
+// store.ErrUnavailable if it was a read or no connection was made.
+func unavailableOrUnknown(method string, err error) error {
 	var op *net.OpError
 	if method == http.MethodGet || errors.As(err, &op) && op.Op == "dial" {
 		return fmt.Errorf("%w: %w", store.ErrUnavailable, err)
@@ -151,17 +151,19 @@
 	case http.StatusServiceUnavailable:
 		return store.Entry{}, store.ErrUnavailable
 	default:
-		return store.Entry{}, callError(method, fmt.Errorf("status %s", resp.Status))
+		return store.Entry{}, unavailableOrUnknown(method, fmt.Errorf("status %s", resp.Status))
 	}
 	var entry store.Entry
+	// The limit leaves room for the other fields and for base64, which makes the value a third longer.
 	if err := json.NewDecoder(io.LimitReader(resp.Body, 2*store.MaxValue)).Decode(&entry); err != nil {
-		return store.Entry{}, callError(method, err)
+		return store.Entry{}, unavailableOrUnknown(method, err)
 	}
 	return entry, nil
 }
 
 // allow takes a token from the client's rate limiter, a token bucket. It returns
-// ErrUnavailable while the circuit breaker is open and ErrRateLimited if no token is left.
+// store.ErrUnavailable while the circuit breaker is open and store.ErrRateLimited if no
+// token is left.
 func (c *Client) allow(now time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
