--- a/vm/vm.go
+++ b/vm/vm.go
@@ -1,7 +1,7 @@
 // Package vm parses the platform's list of live and leaving VMs.
 //
-// The list can be out of date. It adds VMs and marks them as leaving, but what an
-// endpoint reports about itself takes precedence.
+// The list can be out of date. Balancers learn from it which VMs exist and which are
+// leaving, but what an endpoint reports about itself takes precedence.
 //
 // The package keeps no state. It depends on the JSON format in which the platform
 // publishes the list.
