--- a/internal/bootclock/bootclock.go
+++ b/internal/bootclock/bootclock.go
@@ -1,13 +1,13 @@
-// Package bootclock tells time that goes on while the VM is suspended and does not jump when
-// somebody sets the clock.
+// Package bootclock reads a clock that keeps running while the VM is suspended and does not
+// jump when the time of day is set.
 //
-// Go's steady clock, on which deadlines, timers and ages rest, stands still while a VM is
-// suspended; the time of day counts on, but operators set it. The kernel's CLOCK_BOOTTIME
-// does neither. Whoever compares its own past with what happened elsewhere meanwhile (how
-// long a connection has rested, how old a report is, whether a lease is over) asks here
-// whether the VM was suspended since.
+// Go's monotonic clock, on which deadlines, timers and ages are based, stops while a VM is
+// suspended; the wall clock advances, but operators set it. The kernel's CLOCK_BOOTTIME
+// neither stops nor jumps. Code that compares a local time with events elsewhere (how long
+// a connection has been idle, how old a report is, whether a lease has expired) uses this
+// package to learn whether the VM has been suspended in between.
 //
-// The package owns nothing. It relies on Linux.
+// The package owns no resources. It requires Linux.
 //
 // # Usage
 //
@@ -23,26 +23,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// began ties the clock to the time of day at the start of the process.
+// startTime and startBoot are the wall clock and CLOCK_BOOTTIME at the start of the process.
 var (
-	began     = time.Now().Round(0)
-	beganBoot = read(unix.CLOCK_BOOTTIME)
+	startTime = time.Now().Round(0)
+	startBoot = readClock(unix.CLOCK_BOOTTIME)
 )
 
-// Now returns the present time by this clock. Only times of this clock and of this process
-// may be compared with it.
-func Now() time.Time { return began.Add(read(unix.CLOCK_BOOTTIME) - beganBoot) }
+// Now returns the current time of this clock. It may be compared only with times that Now
+// returned in the same process.
+func Now() time.Time { return startTime.Add(readClock(unix.CLOCK_BOOTTIME) - startBoot) }
 
-// Suspended returns for how long the VM was suspended since it booted: by how much the
-// steady clock has fallen behind. It reads that one last, so that a process that loses its
-// processor in between sees less, never a suspension that was none.
-func Suspended() time.Duration { return read(unix.CLOCK_BOOTTIME) - read(unix.CLOCK_MONOTONIC) }
+// Suspended returns for how long the VM has been suspended since it booted: the difference
+// between CLOCK_BOOTTIME and the monotonic clock. It reads the monotonic clock last, so that
+// a process that is preempted between the two reads gets a value that is too small, never
+// a suspension that did not happen.
+func Suspended() time.Duration {
+	return readClock(unix.CLOCK_BOOTTIME) - readClock(unix.CLOCK_MONOTONIC)
+}
 
-// read reads one of the kernel's clocks.
-func read(clock int32) time.Duration {
+// readClock returns the value of the kernel clock with the given ID.
+func readClock(clock int32) time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(clock, &t); err != nil {
-		panic(fmt.Sprintf("bootclock: clock %d: %v", clock, err)) // every Linux since 2.6.39 has both
+		panic(fmt.Sprintf("bootclock: clock %d: %v", clock, err)) // Linux has had both clocks since 2.6.39
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/bootclock/bootclock_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestNow: the clock does not go back, and no suspension is seen where none was.
+// TestNow checks that the clock never goes back and that no suspension is reported
+// when there was none.
 func TestNow(t *testing.T) {
 	suspended := bootclock.Suspended()
 	last := bootclock.Now()
