--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -1,12 +1,12 @@
-// Package dial opens TCP connections that notice when nothing comes from their other end
-// any more, not even an acknowledgement.
+// Package dial opens TCP connections that fail when their peer stops acknowledging data.
 //
-// An open connection may go silent for good while new ones work. A request written to it
-// would wait for its whole time; with a bound on unacknowledged data the connection fails
-// after Silence, and a request that may be repeated goes elsewhere. A peer that is paused,
-// or slow to respond, is not silent: its system acknowledges what arrives.
+// An open connection may stop working for good while new ones succeed. A request written to
+// it would wait until its deadline; with a limit on the time that data stays unacknowledged,
+// the connection fails after UnackedTimeout, and a request that may be repeated is sent
+// elsewhere. A peer process that is paused or slow to respond does not trigger the timeout:
+// its kernel acknowledges the data that arrives.
 //
-// The package owns nothing. It relies on the TCP_USER_TIMEOUT of Linux.
+// The package owns no resources. It relies on the socket option TCP_USER_TIMEOUT of Linux.
 //
 // # Usage
 //
@@ -23,27 +23,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// Silence is how long written data may stay unacknowledged before the connection counts as gone:
-// several retransmissions on a lossy link of some milliseconds.
-const Silence = 1500 * time.Millisecond
+// UnackedTimeout is how long written data may stay unacknowledged before the connection fails.
+// It leaves time for several retransmissions on a lossy link with a delay of some milliseconds.
+const UnackedTimeout = 1500 * time.Millisecond
 
-// Dialer returns a dialer whose dials take timeout at most and whose connections fail
-// when they are silent.
+// Dialer returns a dialer whose dials take at most timeout and whose connections fail
+// when written data stays unacknowledged for UnackedTimeout.
 func Dialer(timeout time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: timeout, Control: boundSilence}
+	return &net.Dialer{Timeout: timeout, Control: setUserTimeout}
 }
 
-// boundSilence sets the bound on a socket.
-func boundSilence(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setUserTimeout sets TCP_USER_TIMEOUT of a socket to UnackedTimeout.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(Silence.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UnackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return fmt.Errorf("dial: %w", err)
 	}
-	if failed != nil {
-		return fmt.Errorf("dial: bound of silence: %w", failed)
+	if sockErr != nil {
+		return fmt.Errorf("dial: set TCP_USER_TIMEOUT: %w", sockErr)
 	}
 	return nil
 }
--- a/internal/dial/dial_test.go
+++ b/internal/dial/dial_test.go
@@ -10,8 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestConnectionsAreBound: each connection fails when data stays unacknowledged.
-func TestConnectionsAreBound(t *testing.T) {
+// TestDialerSetsUserTimeout checks that TCP_USER_TIMEOUT is set on a dialed connection, so
+// that the connection fails when data stays unacknowledged.
+func TestDialerSetsUserTimeout(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -20,10 +21,10 @@
 	t.Cleanup(func() { _ = c.Close() })
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	assert.NilError(t, err)
-	var bound int
+	var timeout int
 	assert.NilError(t, raw.Control(func(fd uintptr) {
-		bound, err = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
+		timeout, err = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 	}))
 	assert.NilError(t, err)
-	assert.Equal(t, bound, int(dial.Silence.Milliseconds()))
+	assert.Equal(t, timeout, int(dial.UnackedTimeout.Milliseconds()))
 }
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -1,21 +1,23 @@
-// Package suspend notices that the VM was suspended, before anything is done with what the
-// process believes.
+// Package suspend detects that the VM was suspended, before the process acts on state that
+// became outdated meanwhile.
 //
-// While a VM is suspended the steady clock stands still, and with it every timer, deadline
-// and age in the process: afterwards a report is as fresh as before, a connection has
-// rested for no time, a caller has as long left. A Detector compares with the clock that
-// went on. Whoever is about to rest on an age or a deadline calls Check first: the first one
-// after a suspension runs the hooks, and everybody else waits until they have run.
+// While a VM is suspended the monotonic clock stops, and with it every timer, deadline and
+// age in the process: after a suspension a report seems as recent as before, a connection
+// seems not to have been idle, and a caller's remaining time seems unchanged. A Detector
+// compares the monotonic clock with one that kept running. Code that is about to use an age
+// or a deadline calls Check first: the first call after a suspension runs the hooks, and
+// concurrent calls wait until the hooks have run.
 //
-// The package owns what it has noticed. It relies on package bootclock.
+// A Detector owns the record of the suspensions that it detected. It is meant for the
+// clock of package bootclock.
 //
 // # Usage
 //
 //	d := suspend.New(bootclock.Suspended)
-//	d.OnResume(func(slept time.Duration) { client.CloseIdle() })
+//	d.OnResume(func(suspended time.Duration) { client.CloseIdle() })
 //	before := d.Check()
 //	...
-//	if slept := d.Check() - before; slept > 0 { ... }
+//	if suspended := d.Check() - before; suspended > 0 { ... }
 package suspend
 
 import (
@@ -24,61 +26,64 @@
 	"time"
 )
 
-// least is the shortest suspension that counts. The two clocks are read one after the other, so
-// that a process that loses its processor in between sees a difference.
-const least = 20 * time.Millisecond
+// minSuspension is the threshold that a suspension must exceed to count. The two clocks are read
+// one after the other, so that a process that is preempted in between sees a difference.
+const minSuspension = 20 * time.Millisecond
 
-// Detector notices suspensions. It is safe for concurrent use; a nil one notices none.
+// Detector detects suspensions of the VM. It is safe for concurrent use. Check of a nil Detector
+// returns 0.
 type Detector struct {
-	read  func() time.Duration
-	seen  atomic.Int64 // ns of suspension that the hooks have been told of
-	total atomic.Int64 // ns since New
+	readSuspended func() time.Duration
+	handled       atomic.Int64 // ns, value of readSuspended up to which the hooks have run
+	total         atomic.Int64 // ns of suspension since New
 
 	mu    sync.Mutex
 	hooks []func(time.Duration)
 }
 
-// New returns a detector. read tells for how long the VM has been suspended so far.
-func New(read func() time.Duration) *Detector {
-	d := &Detector{read: read}
-	d.seen.Store(int64(read()))
+// New returns a detector. readSuspended returns for how long the VM has been suspended so far.
+func New(readSuspended func() time.Duration) *Detector {
+	d := &Detector{readSuspended: readSuspended}
+	d.handled.Store(int64(readSuspended()))
 	return d
 }
 
-// OnResume adds a hook, which is told for how long the VM was suspended. It must not wait
-// for anything, and not call Check.
-func (d *Detector) OnResume(hook func(slept time.Duration)) {
+// OnResume adds a hook, which is called with the duration of the suspension. The hook must not
+// block and must not call Check.
+func (d *Detector) OnResume(hook func(suspended time.Duration)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.hooks = append(d.hooks, hook)
 }
 
-// Check runs the hooks if the VM was suspended since they were last run, and returns for how
-// long it was suspended altogether since New.
+// Check runs the hooks if the VM was suspended since they last ran, and returns for how long
+// the VM has been suspended in total since New.
 func (d *Detector) Check() time.Duration {
 	if d == nil {
 		return 0
 	}
-	if d.slept() > least {
-		d.resume()
+	if d.unhandled() > minSuspension {
+		d.runHooks()
 	}
 	return time.Duration(d.total.Load())
 }
 
-// slept returns for how long the VM was suspended since the hooks were last run.
-func (d *Detector) slept() time.Duration { return d.read() - time.Duration(d.seen.Load()) }
+// unhandled returns for how long the VM was suspended since the hooks last ran.
+func (d *Detector) unhandled() time.Duration {
+	return d.readSuspended() - time.Duration(d.handled.Load())
+}
 
-// resume runs the hooks, once for each suspension.
-func (d *Detector) resume() {
+// runHooks runs the hooks, once for each suspension.
+func (d *Detector) runHooks() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	slept := d.slept()
-	if slept <= least {
-		return // somebody else has run them
+	unhandled := d.unhandled()
+	if unhandled <= minSuspension {
+		return // a concurrent call has run the hooks
 	}
 	for _, hook := range d.hooks {
-		hook(slept)
+		hook(unhandled)
 	}
-	d.total.Add(int64(slept))
-	d.seen.Add(int64(slept))
+	d.total.Add(int64(unhandled))
+	d.handled.Add(int64(unhandled))
 }
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -10,7 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCheck: the hooks run once for each suspension, before anybody who checks goes on.
+// TestCheck checks that the hooks run once for each suspension, and that no concurrent
+// call of Check returns before they have run.
 func TestCheck(t *testing.T) {
 	var slept, hooked atomic.Int64
 	slept.Store(int64(time.Hour)) // before the start of the process
@@ -21,7 +22,7 @@
 	})
 	assert.Equal(t, d.Check(), time.Duration(0))
 	slept.Add(int64(time.Millisecond))
-	assert.Equal(t, d.Check(), time.Duration(0), "what may be a difference of two readings")
+	assert.Equal(t, d.Check(), time.Duration(0), "a difference that preemption between two clock reads can cause")
 	for round := range 3 {
 		slept.Add(int64(10 * time.Second))
 		var all sync.WaitGroup
@@ -29,7 +30,7 @@
 			all.Go(func() {
 				total := d.Check()
 				if total < time.Duration(round+1)*10*time.Second || hooked.Load() < int64(total) {
-					t.Errorf("round %d: %v seen, hooks told of %v", round, total, time.Duration(hooked.Load()))
+					t.Errorf("round %d: Check returned %v, hooks were called with a total of %v", round, total, time.Duration(hooked.Load()))
 				}
 			})
 		}
