--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,5 +1,5 @@
-// Package fixedseed gives generated tests the same seed at each run, so that they have
-// the same verdict. It is for tests alone.
+// Package fixedseed gives property-based tests the same seed on every run, so that their
+// results are reproducible. Only tests use it.
 //
 // # Usage
 //
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-// seed is that of all generated tests.
+// seed is the value of the flag rapid.seed for all property-based tests.
 const seed = "20261202"
 
-// Run runs a package's tests with the seed and ends the process. The package's tests must
-// link rapid, which declares the flag.
+// Run runs a package's tests with the fixed seed and exits the process. The test binary must
+// import rapid, which declares the flag rapid.seed; Run panics otherwise.
 func Run(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", seed); err != nil {
