--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,5 +1,5 @@
-// Package pause waits for a time or for the end of a context, whichever comes
-// first, and is the clock of code that is given one.
+// Package pause waits for a duration or until a context is done, whichever comes
+// first. Its Clock is the system clock for code that takes a clock as a parameter.
 //
 // # Usage
 //
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends. A d of 0 or less does not wait.
+// For waits for d or until ctx is done. It returns at once if d is 0 or less.
 func For(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -20,8 +20,7 @@
 	Until(ctx, nil, d)
 }
 
-// Until waits until something comes on a channel, or it is closed, at most as long as d
-// or until ctx ends.
+// Until waits until c delivers a value or is closed, d has passed, or ctx is done.
 func Until(ctx context.Context, c <-chan struct{}, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -32,16 +31,16 @@
 	}
 }
 
-// Clock is the machine's clock.
+// Clock is the system clock.
 type Clock struct{}
 
-// Now returns the present time.
+// Now returns the current time.
 func (Clock) Now() time.Time { return time.Now() }
 
-// Pause waits for d, or until ctx ends.
+// Pause waits for d or until ctx is done.
 func (Clock) Pause(ctx context.Context, d time.Duration) { For(ctx, d) }
 
-// Over reports whether a channel on which nothing is sent is closed.
+// Over reports whether c is closed. Nothing may be sent on c, because Over would receive it.
 func Over(c <-chan struct{}) bool {
 	select {
 	case <-c:
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -9,8 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestEndedContextEndsThePause, however long it was to be.
-func TestEndedContextEndsThePause(t *testing.T) {
+// TestForReturnsWhenContextEnds checks that For returns at once if its context is done,
+// however long the duration, or if the duration is negative.
+func TestForReturnsWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	pause.For(ctx, 24*time.Hour)
