--- a/internal/rawendpoint/faulty.go
+++ b/internal/rawendpoint/faulty.go
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// Fault says at which point of the exchange an endpoint misbehaves.
+// Fault is how, and at which point of the exchange, a Faulty endpoint misbehaves.
 type Fault string
 
 // The faults, in the order of the exchange.
@@ -35,47 +35,48 @@
 	CutChunked, AnswerNotRun, Bare503, AnswerTwice, AnswerForeign, SilentAfterRead,
 }
 
-// KeyHeader names a request to a Faulty endpoint.
+// KeyHeader is the header that identifies a request to a Faulty endpoint.
 const KeyHeader = "X-Request-Key"
 
-// Faulty counts the requests that it read whole, which is when a request runs.
+// Faulty is an endpoint that misbehaves in a chosen way and counts the requests that ran. A request
+// runs once it has been read completely, unless the fault is AnswerNotRun.
 type Faulty struct {
 	*server
 
 	mu      sync.Mutex
-	runs    map[string]int         // by the key header
-	headers map[string]http.Header // of the last run, by the same
+	runs    map[string]int         // number of runs, by the value of KeyHeader
+	headers map[string]http.Header // request header of the last run, by the value of KeyHeader
 	fault   Fault
 }
 
-// NewFaulty returns an endpoint without a fault.
+// NewFaulty starts an endpoint without a fault.
 func NewFaulty() (e *Faulty, err error) {
 	e = &Faulty{runs: map[string]int{}, headers: map[string]http.Header{}, fault: None}
-	e.server, err = start(e.serve)
+	e.server, err = listen(e.serve)
 	return e, err
 }
 
-// Set chooses the fault of what comes next.
+// Set sets the fault of the requests that follow.
 func (e *Faulty) Set(f Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault = f
 }
 
-func (e *Faulty) current() Fault {
+func (e *Faulty) currentFault() Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.fault
 }
 
-// Ran returns how often a request ran.
+// Ran returns how often the request with the given key ran.
 func (e *Faulty) Ran(key string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[key]
 }
 
-// Header returns the header with which a request ran last.
+// Header returns the header of the last run of the request with the given key.
 func (e *Faulty) Header(key string) http.Header {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -85,14 +86,14 @@
 func (e *Faulty) serve(c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
-		if e.current() == CloseAtAccept {
+		if e.currentFault() == CloseAtAccept {
 			return
 		}
 		first, err := r.Peek(1)
 		if err != nil || len(first) == 0 {
 			return
 		}
-		if e.current() == CloseMidHeader {
+		if e.currentFault() == CloseMidHeader {
 			_, _ = r.ReadString('\n') // a part of the header
 			return
 		}
@@ -109,12 +110,12 @@
 	}
 }
 
-// answer runs the request, unless the fault says otherwise, and reports whether the
-// connection goes on.
+// answer counts a run of the request, unless the fault is AnswerNotRun, and responds as the
+// fault says. It reports whether the connection stays open.
 func (e *Faulty) answer(c net.Conn, req *http.Request) bool {
-	f := e.current()
+	f := e.currentFault()
 	if f == AnswerNotRun {
-		return write(c, "HTTP/1.1 503 Busy\r\nLotuswing-Verdict: not-run\r\nContent-Length: 0\r\n\r\n")
+		return writeText(c, "HTTP/1.1 503 Busy\r\nLotuswing-Verdict: not-run\r\nContent-Length: 0\r\n\r\n")
 	}
 	key := req.Header.Get(KeyHeader)
 	e.mu.Lock()
@@ -122,33 +123,34 @@
 	e.headers[key] = req.Header
 	e.mu.Unlock()
 	body := "answer to " + key
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nLotuswing-Request-Id: %s\r\nContent-Length: %d\r\n\r\n%s",
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nLotuswing-Request-Id: %s\r\nContent-Length: %d\r\n\r\n%s",
 		req.Header.Get("Lotuswing-Request-Id"), len(body), body)
 	switch f {
 	case Bare503:
-		return write(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+		return writeText(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 	case AnswerTwice:
-		return write(c, whole+whole)
+		return writeText(c, response+response)
 	case AnswerForeign:
-		return write(c, "HTTP/1.1 200 OK\r\nLotuswing-Request-Id: another\r\nContent-Length: 5\r\n\r\nother")
+		return writeText(c, "HTTP/1.1 200 OK\r\nLotuswing-Request-Id: another\r\nContent-Length: 5\r\n\r\nother")
 	case CloseAfterRead, ResetAfterRead, CloseMidAnswer, CutBody, CutChunked, SilentAfterRead:
-		breakOff(c, f, whole)
+		sendPartial(c, f, response)
 		return false
 	}
-	return write(c, whole)
+	return writeText(c, response)
 }
 
-// breakOff does what a fault does that ends the connection.
-func breakOff(c net.Conn, f Fault, whole string) {
+// sendPartial sends what c gets under a fault that ends the connection: a part of the response,
+// or nothing. The caller closes c.
+func sendPartial(c net.Conn, f Fault, response string) {
 	switch f {
 	case ResetAfterRead:
-		reset(c)
+		resetOnClose(c)
 	case CloseMidAnswer:
-		write(c, whole[:12])
+		writeText(c, response[:12])
 	case CutBody:
-		write(c, whole[:len(whole)-3])
+		writeText(c, response[:len(response)-3])
 	case CutChunked:
-		write(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nanswer\r\n")
+		writeText(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nanswer\r\n")
 	case SilentAfterRead:
 		_, _ = io.Copy(io.Discard, c) // until the other side closes
 	}
--- a/internal/rawendpoint/rawendpoint.go
+++ b/internal/rawendpoint/rawendpoint.go
@@ -1,12 +1,12 @@
-// Package rawendpoint has endpoints that speak HTTP/1.1 by hand, for tests of what a
-// balancer makes of responses that no HTTP server would send. A Scripted one serves
-// given texts in turn, a Faulty one fails at a chosen point of the exchange and
-// counts what ran.
+// Package rawendpoint provides test endpoints that write HTTP/1.1 as raw text, to test how
+// a balancer handles responses that no HTTP server would send. A Scripted endpoint sends
+// given texts in turn; a Faulty endpoint fails at a chosen point of the exchange and
+// counts the requests that ran.
 //
 // # Usage
 //
 //	e, err := rawendpoint.NewScripted("X-Id", rawendpoint.Answer("HTTP/1.1 200 OK\r\nX-Id: {id}\r\n\r\n"), rawendpoint.Reset())
-//	e.Requests() // what it has read
+//	e.Requests() // the requests read so far
 //
 //	e, err := rawendpoint.NewFaulty()
 //	e.Set(rawendpoint.CloseAfterRead)
@@ -20,14 +20,15 @@
 	"sync/atomic"
 )
 
-// server accepts connections on a port of its own.
+// server accepts connections on a free port of the loopback interface.
 type server struct {
 	listener net.Listener
-	accepted atomic.Int64 // connections
+	accepted atomic.Int64 // number of connections
 }
 
-// start serves each connection in a goroutine of its own.
-func start(serve func(net.Conn)) (*server, error) {
+// listen opens a listener and calls serve for each connection in a goroutine of its own.
+// The connection is closed when serve returns.
+func listen(serve func(net.Conn)) (*server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("rawendpoint: %w", err)
@@ -37,11 +38,11 @@
 		for {
 			c, err := l.Accept()
 			if err != nil {
-				return // closed
+				return // the listener is closed
 			}
 			s.accepted.Add(1)
 			go func() {
-				defer func() { _ = c.Close() }() // whatever it says
+				defer func() { _ = c.Close() }() // the error does not matter
 				serve(c)
 			}()
 		}
@@ -49,17 +50,17 @@
 	return s, nil
 }
 
-// Addr returns the address.
+// Addr returns the address of the listener as host:port.
 func (s *server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends the listener.
-func (s *server) Close() { _ = s.listener.Close() } // whatever it says
+// Close closes the listener. Open connections stay open.
+func (s *server) Close() { _ = s.listener.Close() } // the error does not matter
 
-// reset makes the end of a connection a reset.
-func reset(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0) } // loopback TCP always takes it
+// resetOnClose makes closing c send a TCP reset.
+func resetOnClose(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0) } // cannot fail for TCP on the loopback interface
 
-// write writes a text and reports whether the connection goes on.
-func write(c net.Conn, text string) bool {
+// writeText writes text to c and reports whether that succeeded.
+func writeText(c net.Conn, text string) bool {
 	_, err := io.WriteString(c, text)
 	return err == nil
 }
--- a/internal/rawendpoint/scripted.go
+++ b/internal/rawendpoint/scripted.go
@@ -9,48 +9,48 @@
 	"sync"
 )
 
-// Step is what the endpoint does with one request.
+// Step is what a Scripted endpoint does with one request.
 type Step struct {
-	text  string
-	reset bool // the connection is reset afterwards
-	close bool // the connection is closed afterwards
+	text         string
+	resetOnClose bool // the connection is reset afterwards
+	close        bool // the connection is closed afterwards
 }
 
-// Answer answers with a text, in which {id} stands for the request's identity.
+// Answer returns a step that sends text, with each {id} replaced by the request ID.
 func Answer(text string) Step { return Step{text: text} }
 
-// Cut answers with a text and closes the connection.
+// Cut returns a step that sends text as Answer does and then closes the connection.
 func Cut(text string) Step { return Step{text: text, close: true} }
 
-// Reset resets the connection without an answer.
-func Reset() Step { return Step{reset: true} }
+// Reset returns a step that resets the connection without a response.
+func Reset() Step { return Step{resetOnClose: true} }
 
-// Scripted serves steps in turn, the last one again and again.
+// Scripted is an endpoint that handles each request by the next step, and repeats the last one.
 type Scripted struct {
 	*server
-	idHeader string // names a request
+	idHeader string // header that holds the request ID
 
 	mu       sync.Mutex
 	steps    []Step
 	requests []*http.Request
 }
 
-// NewScripted returns an endpoint that serves the steps. idHeader is the header
-// that names a request.
+// NewScripted starts an endpoint that runs the steps, of which there must be at least one.
+// idHeader is the header that holds the request ID.
 func NewScripted(idHeader string, steps ...Step) (e *Scripted, err error) {
 	e = &Scripted{idHeader: idHeader, steps: steps}
-	e.server, err = start(e.serve)
+	e.server, err = listen(e.serve)
 	return e, err
 }
 
-// Requests returns the requests that were read, without their bodies.
+// Requests returns the requests read so far. Their bodies have been consumed.
 func (e *Scripted) Requests() []*http.Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]*http.Request(nil), e.requests...)
 }
 
-// Connections returns how many connections were opened.
+// Connections returns how many connections were accepted.
 func (e *Scripted) Connections() int { return int(e.accepted.Load()) }
 
 func (e *Scripted) serve(c net.Conn) {
@@ -63,19 +63,19 @@
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
-		step := e.next(req)
-		if step.reset {
-			reset(c)
+		step := e.nextStep(req)
+		if step.resetOnClose {
+			resetOnClose(c)
 			return
 		}
 		text := strings.ReplaceAll(step.text, "{id}", req.Header.Get(e.idHeader))
-		if !write(c, text) || step.close {
+		if !writeText(c, text) || step.close {
 			return
 		}
 	}
 }
 
-func (e *Scripted) next(req *http.Request) Step {
+func (e *Scripted) nextStep(req *http.Request) Step {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.requests = append(e.requests, req)
