--- a/internal/jsonc/jsonc.go
+++ b/internal/jsonc/jsonc.go
@@ -1,11 +1,12 @@
-// Package jsonc decodes JSON with comments into structs strictly and reports
-// every fault with its place.
+// Package jsonc strictly decodes JSON with comments into structs and reports
+// every fault with its position.
 //
-// Unknown fields, repeated keys, wrong types and unusable durations are
-// faults. All faults of a file are reported in one run.
+// Unknown fields, repeated keys, wrong types and invalid durations are
+// faults. All faults of a file are reported in one run, except that a syntax
+// error ends the decoding.
 //
-// It owns no state and relies on hujson for the syntax. It exists because a fault must be
-// told with file, line, column and field.
+// The package has no global state and uses hujson to parse the syntax. It exists because
+// a fault must be reported with file, line, column and field.
 //
 // # Usage
 //
@@ -26,7 +27,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// Fault is one thing wrong with a file.
+// Fault is an error in a file, with its position.
 type Fault struct {
 	File      string
 	Line, Col int // from 1; the column counts bytes
@@ -43,27 +44,28 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s", f.File, f.Line, f.Col, field, f.Message)
 }
 
-// Decoder holds the faults found and the places of the fields.
+// Decoder holds the faults found so far and the positions of the fields.
 type Decoder struct {
-	file   string
-	raw    []byte
-	places map[string]int // byte offset of a field
-	faults []Fault
+	file    string
+	raw     []byte
+	offsets map[string]int // byte offset of each field, by its path
+	faults  []Fault
 }
 
-// Decode fills target, a pointer to a struct, from raw.
+// Decode fills target, a pointer to a struct, from raw. The faults are returned by Err; file is
+// the name that they give.
 func Decode(file string, raw []byte, target any) *Decoder {
-	d := &Decoder{file: file, raw: raw, places: map[string]int{}}
+	d := &Decoder{file: file, raw: raw, offsets: map[string]int{}}
 	v, err := hujson.Parse(raw)
 	if err != nil {
-		d.syntax(err)
+		d.addSyntaxError(err)
 		return d
 	}
-	d.value(v, "", reflect.ValueOf(target).Elem())
+	d.decodeValue(v, "", reflect.ValueOf(target).Elem())
 	return d
 }
 
-// Err returns all faults joined, in the order of the file, or nil.
+// Err returns all faults joined, sorted by their position in the file, or nil if there are none.
 func (d *Decoder) Err() error {
 	slices.SortStableFunc(d.faults, func(a, b Fault) int {
 		if a.Line != b.Line {
@@ -81,28 +83,30 @@
 // Faults returns the faults found so far.
 func (d *Decoder) Faults() []Fault { return d.faults }
 
-// Check records a fault of a field unless ok. A field that is absent is placed
-// at its nearest enclosing object.
+// Check records a fault of a field unless ok. If the field is absent, the fault has
+// the position of the nearest enclosing object.
 func (d *Decoder) Check(ok bool, field, format string, args ...any) {
 	if !ok {
-		d.fault(d.offset(field), field, fmt.Sprintf(format, args...))
+		d.addFault(d.offsetOf(field), field, fmt.Sprintf(format, args...))
 	}
 }
 
-func (d *Decoder) offset(field string) int {
+// offsetOf returns the byte offset of a field or, if it is absent, of its nearest enclosing object.
+func (d *Decoder) offsetOf(field string) int {
 	for {
-		if at, ok := d.places[field]; ok {
+		if at, ok := d.offsets[field]; ok {
 			return at
 		}
 		cut := strings.LastIndexByte(field, '.')
 		if cut < 0 {
-			return d.places[""]
+			return d.offsets[""]
 		}
 		field = field[:cut]
 	}
 }
 
-func (d *Decoder) fault(offset int, field, message string) {
+// addFault records a fault at a byte offset, unless the same fault has been recorded.
+func (d *Decoder) addFault(offset int, field, message string) {
 	before := d.raw[:min(offset, len(d.raw))]
 	line := 1 + strings.Count(string(before), "\n")
 	col := len(before) - strings.LastIndexByte(string(before), '\n')
@@ -112,8 +116,8 @@
 	}
 }
 
-// syntax records a parse error, whose place hujson gives in its text.
-func (d *Decoder) syntax(err error) {
+// addSyntaxError records a parse error. hujson gives the position only in the error's text.
+func (d *Decoder) addSyntaxError(err error) {
 	f := Fault{File: d.file, Line: 1, Col: 1, Message: err.Error()}
 	text := strings.TrimPrefix(err.Error(), "hujson: ")
 	if n, _ := fmt.Sscanf(text, "line %d, column %d:", &f.Line, &f.Col); n == 2 {
@@ -124,7 +128,7 @@
 	d.faults = append(d.faults, f)
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
@@ -133,35 +137,38 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-func (d *Decoder) value(v hujson.Value, path string, target reflect.Value) {
-	d.places[path] = v.StartOffset
+// decodeValue decodes v, the field at path, into target.
+func (d *Decoder) decodeValue(v hujson.Value, path string, target reflect.Value) {
+	d.offsets[path] = v.StartOffset
 	if target.Type() == durationType {
-		d.duration(v, path, target)
+		d.decodeDuration(v, path, target)
 		return
 	}
 	switch target.Kind() {
 	case reflect.Struct:
-		d.structure(v, path, target)
+		d.decodeStruct(v, path, target)
 	case reflect.Map:
-		d.mapping(v, path, target)
+		d.decodeMap(v, path, target)
 	case reflect.Slice:
-		d.list(v, path, target)
+		d.decodeSlice(v, path, target)
 	default:
-		d.literal(v, path, target)
+		d.decodeLiteral(v, path, target)
 	}
 }
 
-func (d *Decoder) object(v hujson.Value, path string, each func(name string, m hujson.ObjectMember)) {
+// eachMember calls each for the members of object v. It records a fault if v is no object, and
+// for each repeated key.
+func (d *Decoder) eachMember(v hujson.Value, path string, each func(name string, m hujson.ObjectMember)) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
-		d.fault(v.StartOffset, path, fmt.Sprintf("is %s; an object belongs here", kindOf(v)))
+		d.addFault(v.StartOffset, path, fmt.Sprintf("is %s; an object belongs here", describeValue(v)))
 		return
 	}
 	seen := map[string]bool{}
 	for _, m := range obj.Members {
 		name := m.Name.Value.(hujson.Literal).String()
 		if seen[name] {
-			d.fault(m.Name.StartOffset, join(path, name), "is repeated; keep one")
+			d.addFault(m.Name.StartOffset, joinPath(path, name), "is repeated; keep one")
 			continue
 		}
 		seen[name] = true
@@ -169,67 +176,67 @@
 	}
 }
 
-func (d *Decoder) structure(v hujson.Value, path string, target reflect.Value) {
-	fields := fieldsOf(target)
-	d.object(v, path, func(name string, m hujson.ObjectMember) {
+func (d *Decoder) decodeStruct(v hujson.Value, path string, target reflect.Value) {
+	fields := fieldsByJSONName(target)
+	d.eachMember(v, path, func(name string, m hujson.ObjectMember) {
 		field, ok := fields[name]
 		if !ok {
-			d.fault(m.Name.StartOffset, join(path, name), "is unknown; fields here are "+names(fields))
+			d.addFault(m.Name.StartOffset, joinPath(path, name), "is unknown; fields here are "+fieldNames(fields))
 			return
 		}
-		d.value(m.Value, join(path, name), field)
+		d.decodeValue(m.Value, joinPath(path, name), field)
 	})
 }
 
-func (d *Decoder) mapping(v hujson.Value, path string, target reflect.Value) {
+func (d *Decoder) decodeMap(v hujson.Value, path string, target reflect.Value) {
 	out := reflect.MakeMap(target.Type())
-	d.object(v, path, func(name string, m hujson.ObjectMember) {
+	d.eachMember(v, path, func(name string, m hujson.ObjectMember) {
 		elem := reflect.New(target.Type().Elem()).Elem()
-		d.value(m.Value, join(path, name), elem)
+		d.decodeValue(m.Value, joinPath(path, name), elem)
 		out.SetMapIndex(reflect.ValueOf(name), elem)
 	})
 	target.Set(out)
 }
 
-func (d *Decoder) list(v hujson.Value, path string, target reflect.Value) {
+func (d *Decoder) decodeSlice(v hujson.Value, path string, target reflect.Value) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok {
-		d.fault(v.StartOffset, path, fmt.Sprintf("is %s; a list belongs here", kindOf(v)))
+		d.addFault(v.StartOffset, path, fmt.Sprintf("is %s; a list belongs here", describeValue(v)))
 		return
 	}
 	out := reflect.MakeSlice(target.Type(), len(arr.Elements), len(arr.Elements))
 	for i, e := range arr.Elements {
-		d.value(e, fmt.Sprintf("%s[%d]", path, i), out.Index(i))
+		d.decodeValue(e, fmt.Sprintf("%s[%d]", path, i), out.Index(i))
 	}
 	target.Set(out)
 }
 
-func (d *Decoder) duration(v hujson.Value, path string, target reflect.Value) {
+func (d *Decoder) decodeDuration(v hujson.Value, path string, target reflect.Value) {
 	lit, ok := v.Value.(hujson.Literal)
 	if !ok || lit.Kind() != '"' {
-		d.fault(v.StartOffset, path, fmt.Sprintf("is %s; a duration such as \"250ms\" belongs here", kindOf(v)))
+		d.addFault(v.StartOffset, path, fmt.Sprintf("is %s; a duration such as \"250ms\" belongs here", describeValue(v)))
 		return
 	}
 	parsed, err := time.ParseDuration(lit.String())
 	if err != nil {
-		d.fault(v.StartOffset, path, fmt.Sprintf("is %q; a duration such as \"250ms\" belongs here", lit.String()))
+		d.addFault(v.StartOffset, path, fmt.Sprintf("is %q; a duration such as \"250ms\" belongs here", lit.String()))
 		return
 	}
 	target.SetInt(int64(parsed))
 }
 
-func (d *Decoder) literal(v hujson.Value, path string, target reflect.Value) {
+func (d *Decoder) decodeLiteral(v hujson.Value, path string, target reflect.Value) {
 	lit, ok := v.Value.(hujson.Literal)
 	if ok {
 		if err := json.Unmarshal(lit, target.Addr().Interface()); err == nil && lit.Kind() != 'n' {
 			return
 		}
 	}
-	d.fault(v.StartOffset, path, fmt.Sprintf("is %s; %s belongs here", kindOf(v), wanted(target.Kind())))
+	d.addFault(v.StartOffset, path, fmt.Sprintf("is %s; %s belongs here", describeValue(v), expectedKind(target.Kind())))
 }
 
-// wanted names a kind of literal as an operator would.
-func wanted(k reflect.Kind) string {
+// expectedKind describes the literal that a field of kind k takes, in words for operators.
+func expectedKind(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
 		return "a text"
@@ -241,7 +248,8 @@
 	return "a whole number"
 }
 
-func kindOf(v hujson.Value) string {
+// describeValue describes v for a message to operators.
+func describeValue(v hujson.Value) string {
 	switch v.Value.Kind() {
 	case '{':
 		return "an object"
@@ -253,7 +261,8 @@
 	return string(v.Value.(hujson.Literal))
 }
 
-func fieldsOf(target reflect.Value) map[string]reflect.Value {
+// fieldsByJSONName returns the fields of struct target by the names in their json tags.
+func fieldsByJSONName(target reflect.Value) map[string]reflect.Value {
 	out := map[string]reflect.Value{}
 	for i := range target.NumField() {
 		name, _, _ := strings.Cut(target.Type().Field(i).Tag.Get("json"), ",")
@@ -264,7 +273,8 @@
 	return out
 }
 
-func names(fields map[string]reflect.Value) string {
+// fieldNames returns the sorted names of the fields, separated by commas.
+func fieldNames(fields map[string]reflect.Value) string {
 	list := make([]string, 0, len(fields))
 	for name := range fields {
 		list = append(list, name)
