--- a/internal/jsonc/jsonc.go
+++ b/internal/jsonc/jsonc.go
@@ -52,8 +52,8 @@
 	faults  []Fault
 }
 
-// Decode fills target, a pointer to a struct, from raw. The faults are returned by Err; file is
-// the name that they give.
+// Decode fills target, a pointer to a struct, from raw. Err returns the faults; file is the
+// file name in them.
 func Decode(file string, raw []byte, target any) *Decoder {
 	d := &Decoder{file: file, raw: raw, offsets: map[string]int{}}
 	v, err := hujson.Parse(raw)
@@ -156,8 +156,8 @@
 	}
 }
 
-// eachMember calls each for the members of object v. It records a fault if v is no object, and
-// for each repeated key.
+// eachMember calls each for the members of object v, except those that repeat a key. It records
+// a fault for each of these, and if v is not an object.
 func (d *Decoder) eachMember(v hujson.Value, path string, each func(name string, m hujson.ObjectMember)) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
--- a/internal/rawendpoint/faulty.go
+++ b/internal/rawendpoint/faulty.go
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// Fault is how, and at which point of the exchange, a Faulty endpoint misbehaves.
+// Fault says how a Faulty endpoint misbehaves, and at which point of the exchange.
 type Fault string
 
 // The faults, in the order of the exchange.
@@ -39,7 +39,7 @@
 const KeyHeader = "X-Request-Key"
 
 // Faulty is an endpoint that misbehaves in a chosen way and counts the requests that ran. A request
-// runs once it has been read completely, unless the fault is AnswerNotRun.
+// counts as run as soon as it has been read completely, unless the fault is AnswerNotRun.
 type Faulty struct {
 	*server
 
@@ -94,7 +94,7 @@
 			return
 		}
 		if e.currentFault() == CloseMidHeader {
-			_, _ = r.ReadString('\n') // a part of the header
+			_, _ = r.ReadString('\n') // the request line only
 			return
 		}
 		req, err := http.ReadRequest(r)
@@ -133,15 +133,15 @@
 	case AnswerForeign:
 		return writeText(c, "HTTP/1.1 200 OK\r\nLotuswing-Request-Id: another\r\nContent-Length: 5\r\n\r\nother")
 	case CloseAfterRead, ResetAfterRead, CloseMidAnswer, CutBody, CutChunked, SilentAfterRead:
-		sendPartial(c, f, response)
+		applyClosingFault(c, f, response)
 		return false
 	}
 	return writeText(c, response)
 }
 
-// sendPartial sends what c gets under a fault that ends the connection: a part of the response,
-// or nothing. The caller closes c.
-func sendPartial(c net.Conn, f Fault, response string) {
+// applyClosingFault carries out a fault that ends the connection: it sends a part of the
+// response or nothing, makes c reset, or waits for the peer to close. The caller closes c.
+func applyClosingFault(c net.Conn, f Fault, response string) {
 	switch f {
 	case ResetAfterRead:
 		resetOnClose(c)
--- a/internal/rawendpoint/rawendpoint.go
+++ b/internal/rawendpoint/rawendpoint.go
@@ -23,7 +23,7 @@
 // server accepts connections on a free port of the loopback interface.
 type server struct {
 	listener net.Listener
-	accepted atomic.Int64 // number of connections
+	accepted atomic.Int64 // number of connections accepted so far
 }
 
 // listen opens a listener and calls serve for each connection in a goroutine of its own.
--- a/internal/rawendpoint/scripted.go
+++ b/internal/rawendpoint/scripted.go
@@ -12,7 +12,7 @@
 // Step is what a Scripted endpoint does with one request.
 type Step struct {
 	text         string
-	resetOnClose bool // the connection is reset afterwards
+	resetOnClose bool // the connection is reset, and no text is sent
 	close        bool // the connection is closed afterwards
 }
 
@@ -75,6 +75,7 @@
 	}
 }
 
+// nextStep records req and returns the step for it.
 func (e *Scripted) nextStep(req *http.Request) Step {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -5,11 +5,11 @@
 // age in the process: after a suspension a report seems as recent as before, a connection
 // seems not to have been idle, and a caller's remaining time seems unchanged. A Detector
 // compares the monotonic clock with one that kept running. Code that is about to use an age
-// or a deadline calls Check first: the first call after a suspension runs the hooks, and
-// concurrent calls wait until the hooks have run.
+// or a deadline calls Check first: the first call after a suspension longer than minSuspension
+// runs the hooks, and concurrent calls wait until the hooks have run.
 //
-// A Detector owns the record of the suspensions that it detected. It is meant for the
-// clock of package bootclock.
+// A Detector keeps the total duration of the suspensions that it detected. It is meant to be
+// used with the clock of package bootclock.
 //
 // # Usage
 //
@@ -26,8 +26,8 @@
 	"time"
 )
 
-// minSuspension is the threshold that a suspension must exceed to count. The two clocks are read
-// one after the other, so that a process that is preempted in between sees a difference.
+// minSuspension is the time of suspension up to which Check does not run the hooks. The two
+// clocks are read one after the other, so they also differ if the process is preempted in between.
 const minSuspension = 20 * time.Millisecond
 
 // Detector detects suspensions of the VM. It is safe for concurrent use. Check of a nil Detector
@@ -56,8 +56,8 @@
 	d.hooks = append(d.hooks, hook)
 }
 
-// Check runs the hooks if the VM was suspended since they last ran, and returns for how long
-// the VM has been suspended in total since New.
+// Check runs the hooks if the VM was suspended for longer than minSuspension since they last
+// ran, and returns the total time of suspension since New for which the hooks have run.
 func (d *Detector) Check() time.Duration {
 	if d == nil {
 		return 0
@@ -73,7 +73,7 @@
 	return d.readSuspended() - time.Duration(d.handled.Load())
 }
 
-// runHooks runs the hooks, once for each suspension.
+// runHooks runs each hook once, unless a concurrent call has already run them for this suspension.
 func (d *Detector) runHooks() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
