--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -80,8 +80,8 @@
 		Kind:         x.route.Team + "/" + kind.Name,
 		Accepted:     x.accepted,
 		Target:       kind.Target,
-		Alone:        x.pass.Trial,
-		CrashedUnder: x.pass.Ended,
+		Alone:        x.admission.Trial,
+		CrashedUnder: x.admission.Crashed,
 		Priority:     x.priority(b.teams()),
 		Regions:      x.allowedRegions(b.teams()),
 	})
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -66,17 +66,17 @@
 
 // Quarantine restricts requests suspected of crashing endpoints, across all balancers.
 type Quarantine interface {
-	// Quiet reports whether no request is suspected.
-	Quiet() bool
+	// Empty reports whether no request is suspected.
+	Empty() bool
 	// Admit decides whether and how a request may be sent now. It may wait.
-	Admit(ctx context.Context, r quarantine.Request) (quarantine.Pass, *quarantine.Refusal)
-	// Broke records an attempt whose connection broke. The channel is closed once it is known
+	Admit(ctx context.Context, r quarantine.Request) (quarantine.Admission, *quarantine.Refusal)
+	// CheckEndpoint records an attempt whose connection broke. The channel is closed once it is known
 	// whether the endpoint crashed.
-	Broke(a quarantine.Attempt) <-chan struct{}
-	// Ran records that an endpoint ran a request to completion.
-	Ran(r quarantine.Request)
-	// Over records that a request admitted on trial has ended.
-	Over(r quarantine.Request)
+	CheckEndpoint(a quarantine.Attempt) <-chan struct{}
+	// Completed records that an endpoint ran a request to completion.
+	Completed(r quarantine.Request)
+	// EndTrial records that a request admitted on trial has ended.
+	EndTrial(r quarantine.Request)
 }
 
 // Access provides the teams of the active configuration and their keys.
--- a/balancer/exchange.go
+++ b/balancer/exchange.go
@@ -41,7 +41,7 @@
 	mayHaveRun         bool      // an attempt may have run, whatever later attempts show
 	ran                bool      // a response of an endpoint was forwarded
 	searchStart        time.Time // when the search for an endpoint started
-	pass               quarantine.Pass
+	admission          quarantine.Admission
 	quarantineNotified bool               // a result was reported to the quarantine since it last admitted the request
 	quarantineReq      quarantine.Request // built on first use by quarantineRequest
 	suspendedFor       time.Duration      // total suspension of the VM as of the last applySuspension
@@ -100,7 +100,7 @@
 		Repeatable:  x.route.Kind.Repeatable,
 		MaxAttempts: x.route.Kind.MaxAttempts,
 		MayHaveRun:  x.mayHaveRun,
-		OnTrial:     x.pass.Trial,
+		OnTrial:     x.admission.Trial,
 		Deadline:    x.deadline,
 	}
 }
--- a/balancer/quarantine.go
+++ b/balancer/quarantine.go
@@ -25,31 +25,31 @@
 
 // checkQuarantine asks the quarantine, if any request is suspected, whether this one may be sent.
 func (b *Balancer) checkQuarantine(ctx context.Context, x *exchange) error {
-	if b.cfg.Quarantine == nil || b.cfg.Quarantine.Quiet() || x.pass.Trial {
+	if b.cfg.Quarantine == nil || b.cfg.Quarantine.Empty() || x.admission.Trial {
 		return nil
 	}
-	pass, refused := b.cfg.Quarantine.Admit(ctx, x.quarantineRequest())
+	admission, refused := b.cfg.Quarantine.Admit(ctx, x.quarantineRequest())
 	if refused != nil {
 		return refusal{reason: reason.Quarantined, message: refused.Evidence, retryAfter: refused.RetryAfter}
 	}
-	x.pass, x.quarantineNotified = pass, false
+	x.admission, x.quarantineNotified = admission, false
 	return nil
 }
 
 // endTrial ends a trial whose result was not reported to the quarantine. A reported one ends by
 // itself: a completed run at once, a broken attempt when it is known whether the endpoint crashed.
 func (b *Balancer) endTrial(x *exchange) {
-	if x.pass.Trial && !x.quarantineNotified {
-		b.cfg.Quarantine.Over(x.quarantineRequest())
+	if x.admission.Trial && !x.quarantineNotified {
+		b.cfg.Quarantine.EndTrial(x.quarantineRequest())
 	}
-	x.pass = quarantine.Pass{}
+	x.admission = quarantine.Admission{}
 }
 
 // quarantineRequest returns the request in the form that the quarantine uses.
 func (x *exchange) quarantineRequest() quarantine.Request {
-	if x.quarantineReq.Prints.Exact == "" {
+	if x.quarantineReq.Fingerprints.Exact == "" {
 		x.quarantineReq = quarantine.Request{
-			ID: x.id, Prints: x.fingerprints(), Service: x.route.Kind.Service, Kind: x.route.Kind.Name, Patience: trialPatience(x.route.Kind.Target), Target: x.route.Kind.Target,
+			ID: x.id, Fingerprints: x.fingerprints(), Service: x.route.Kind.Service, Kind: x.route.Kind.Name, Patience: trialPatience(x.route.Kind.Target), Target: x.route.Kind.Target,
 		}
 	}
 	return x.quarantineReq
@@ -57,12 +57,12 @@
 
 // fingerprints returns the fingerprints that identify equal requests. A body that is too long to
 // be kept, or has no known length, is represented by its Content-Length only.
-func (x *exchange) fingerprints() crash.Prints {
-	s := crash.Subject{Team: x.team, Method: x.r.Method, Host: x.r.Host, Path: x.r.URL.EscapedPath(), Query: x.r.URL.RawQuery, Length: x.r.ContentLength}
+func (x *exchange) fingerprints() crash.Fingerprints {
+	s := crash.Request{Team: x.team, Method: x.r.Method, Host: x.r.Host, Path: x.r.URL.EscapedPath(), Query: x.r.URL.RawQuery, Length: x.r.ContentLength}
 	if x.bodyRead {
 		s.Body, _ = x.body.Whole()
 	}
-	return s.Prints()
+	return s.Fingerprints()
 }
 
 // trialPatience returns how long a request waits while another balancer runs the same request on
@@ -82,13 +82,13 @@
 	case b.cfg.Quarantine == nil, a.suspended && a.result.Broken:
 	case a.result.Broken && !x.callerLeft():
 		x.quarantineNotified = true
-		checked := b.cfg.Quarantine.Broke(x.brokenAttempt(a))
-		if x.pass.Suspected {
+		checked := b.cfg.Quarantine.CheckEndpoint(x.brokenAttempt(a))
+		if x.admission.Suspected {
 			pause.Until(ctx, checked, crashCheckWait)
 		}
-	case a.result.Reason == "" && a.result.Buffered && !b.cfg.Quarantine.Quiet():
+	case a.result.Reason == "" && a.result.Buffered && !b.cfg.Quarantine.Empty():
 		x.quarantineNotified = true
-		b.cfg.Quarantine.Ran(x.quarantineRequest())
+		b.cfg.Quarantine.Completed(x.quarantineRequest())
 	}
 }
 
@@ -97,12 +97,12 @@
 func (b *Balancer) reportForwardedToQuarantine(x *exchange, a *attempt, err error) {
 	switch {
 	case b.cfg.Quarantine == nil || a.result.Buffered:
-	case err == nil && !b.cfg.Quarantine.Quiet():
+	case err == nil && !b.cfg.Quarantine.Empty():
 		x.quarantineNotified = true
-		b.cfg.Quarantine.Ran(x.quarantineRequest())
+		b.cfg.Quarantine.Completed(x.quarantineRequest())
 	case errors.Is(err, errTruncated) && !x.callerLeft():
 		x.quarantineNotified = true
-		b.cfg.Quarantine.Broke(x.brokenAttempt(a))
+		b.cfg.Quarantine.CheckEndpoint(x.brokenAttempt(a))
 	}
 }
 
@@ -110,7 +110,7 @@
 func (x *exchange) brokenAttempt(a *attempt) quarantine.Attempt {
 	e := a.grant.Endpoint
 	return quarantine.Attempt{
-		Request: x.quarantineRequest(), Endpoint: e.VM, Start: a.grant.Choice.Start, Addr: e.Addr, Trial: x.pass.Trial, Alone: ranAlone(a.grant.Choice),
+		Request: x.quarantineRequest(), Endpoint: e.VM, Start: a.grant.Choice.Start, Addr: e.Addr, Trial: x.admission.Trial, Alone: ranAlone(a.grant.Choice),
 	}
 }
 
--- a/balancer/quarantine_test.go
+++ b/balancer/quarantine_test.go
@@ -14,30 +14,30 @@
 	"gotest.tools/v3/assert"
 )
 
-// fakeQuarantine returns preset passes and records the calls.
+// fakeQuarantine returns preset admissions and records the calls.
 type fakeQuarantine struct {
-	mu     sync.Mutex
-	passes []quarantine.Pass // returned in order; a refusal after the last one
-	broken []quarantine.Attempt
-	ran    []quarantine.Request
-	asked  []quarantine.Request
+	mu         sync.Mutex
+	admissions []quarantine.Admission // returned in order; a refusal after the last one
+	broken     []quarantine.Attempt
+	ran        []quarantine.Request
+	asked      []quarantine.Request
 }
 
-func (*fakeQuarantine) Quiet() bool { return false }
+func (*fakeQuarantine) Empty() bool { return false }
 
-func (f *fakeQuarantine) Admit(_ context.Context, r quarantine.Request) (quarantine.Pass, *quarantine.Refusal) {
+func (f *fakeQuarantine) Admit(_ context.Context, r quarantine.Request) (quarantine.Admission, *quarantine.Refusal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.asked = append(f.asked, r)
-	if len(f.passes) == 0 {
-		return quarantine.Pass{}, &quarantine.Refusal{RetryAfter: 7 * time.Second, Evidence: "e0 ended"}
+	if len(f.admissions) == 0 {
+		return quarantine.Admission{}, &quarantine.Refusal{RetryAfter: 7 * time.Second, Evidence: "e0 ended"}
 	}
-	pass := f.passes[0]
-	f.passes = f.passes[1:]
-	return pass, nil
+	admission := f.admissions[0]
+	f.admissions = f.admissions[1:]
+	return admission, nil
 }
 
-func (f *fakeQuarantine) Broke(a quarantine.Attempt) <-chan struct{} {
+func (f *fakeQuarantine) CheckEndpoint(a quarantine.Attempt) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.broken = append(f.broken, a)
@@ -46,25 +46,25 @@
 	return checked
 }
 
-func (f *fakeQuarantine) Ran(r quarantine.Request) {
+func (f *fakeQuarantine) Completed(r quarantine.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ran = append(f.ran, r)
 }
 
-func (*fakeQuarantine) Over(quarantine.Request) {}
+func (*fakeQuarantine) EndTrial(quarantine.Request) {}
 
-// counts returns the numbers of calls of Admit, Broke and Ran.
+// counts returns the numbers of calls of Admit, CheckEndpoint and Completed.
 func (f *fakeQuarantine) counts() [3]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return [3]int{len(f.asked), len(f.broken), len(f.ran)}
 }
 
-// newQuarantineHarness returns a harness with a quarantine that returns passes.
-func newQuarantineHarness(t *testing.T, passes ...quarantine.Pass) (*harness, *fakeQuarantine) {
+// newQuarantineHarness returns a harness with a quarantine that returns the given admissions.
+func newQuarantineHarness(t *testing.T, admissions ...quarantine.Admission) (*harness, *fakeQuarantine) {
 	t.Helper()
-	q := &fakeQuarantine{passes: passes}
+	q := &fakeQuarantine{admissions: admissions}
 	return newHarnessWith(t, 2, func(c *balancer.Config) { c.Quarantine = q }), q
 }
 
@@ -80,7 +80,7 @@
 	assert.Equal(t, b.ran("k"), 0)
 	assert.Equal(t, q.counts(), [3]int{1, 0, 0})
 
-	b, q = newQuarantineHarness(t, quarantine.Pass{})
+	b, q = newQuarantineHarness(t, quarantine.Admission{})
 	b.endpoints[0].Set(rawendpoint.CloseAfterRead)
 	got = b.call(t, "GET", "/read", "k", "", http.Header{})
 	assert.Equal(t, got.status, http.StatusBadGateway)
@@ -91,7 +91,7 @@
 // TestRequestOnTrial: a request on trial is sent once, whatever its route allows, and its result
 // is reported to the quarantine.
 func TestRequestOnTrial(t *testing.T) {
-	b, q := newQuarantineHarness(t, quarantine.Pass{Trial: true, Suspected: true})
+	b, q := newQuarantineHarness(t, quarantine.Admission{Trial: true, Suspected: true})
 	b.endpoints[0].Set(rawendpoint.CloseAfterRead)
 	got := b.call(t, "GET", "/read", "k", "", http.Header{})
 	assert.Equal(t, got.status, http.StatusBadGateway)
@@ -100,7 +100,7 @@
 	assert.Assert(t, q.broken[0].Trial)
 	assert.Equal(t, q.broken[0].Endpoint, "e0")
 
-	b, q = newQuarantineHarness(t, quarantine.Pass{Trial: true, Suspected: true})
+	b, q = newQuarantineHarness(t, quarantine.Admission{Trial: true, Suspected: true})
 	got = b.call(t, "GET", "/read", "k", "", http.Header{})
 	assert.Equal(t, got.status, http.StatusOK)
 	for q.counts() != [3]int{1, 0, 1} { // reported after the caller has the response
@@ -112,16 +112,16 @@
 // a request, the wide one on the same except the query. Neither depends on headers such as
 // Traceparent and X-Forwarded-For.
 func TestQuarantineFingerprints(t *testing.T) {
-	prints := func(method, path, body string, header http.Header) crash.Prints {
-		b, q := newQuarantineHarness(t, quarantine.Pass{})
+	prints := func(method, path, body string, header http.Header) crash.Fingerprints {
+		b, q := newQuarantineHarness(t, quarantine.Admission{})
 		b.call(t, method, path, "k", body, header)
-		return q.asked[0].Prints
+		return q.asked[0].Fingerprints
 	}
 	original := prints("POST", "/once?a=1", "body", http.Header{"Traceparent": {"1"}})
 	assert.Equal(t, prints("POST", "/once?a=1", "body", http.Header{"Traceparent": {"2"}, "X-Forwarded-For": {"10.0.0.1"}}), original)
-	assert.Equal(t, prints("POST", "/once?a=2", "body", http.Header{}).Wide, original.Wide)
+	assert.Equal(t, prints("POST", "/once?a=2", "body", http.Header{}).AnyQuery, original.AnyQuery)
 	assert.Assert(t, prints("POST", "/once?a=2", "body", http.Header{}).Exact != original.Exact)
-	assert.Assert(t, prints("POST", "/once?a=1", "another", http.Header{}).Wide != original.Wide)
-	assert.Assert(t, prints("PUT", "/once?a=1", "body", http.Header{}).Wide != original.Wide)
-	assert.Assert(t, prints("POST", "/read?a=1", "body", http.Header{}).Wide != original.Wide)
+	assert.Assert(t, prints("POST", "/once?a=1", "another", http.Header{}).AnyQuery != original.AnyQuery)
+	assert.Assert(t, prints("PUT", "/once?a=1", "body", http.Header{}).AnyQuery != original.AnyQuery)
+	assert.Assert(t, prints("POST", "/read?a=1", "body", http.Header{}).AnyQuery != original.AnyQuery)
 }
--- a/balancer/suspension_test.go
+++ b/balancer/suspension_test.go
@@ -58,7 +58,7 @@
 // quarantine is asked again.
 func TestSuspensionEndsTrial(t *testing.T) {
 	var s fakeSuspensionClock
-	q := &fakeQuarantine{passes: []quarantine.Pass{{Trial: true}}}
+	q := &fakeQuarantine{admissions: []quarantine.Admission{{Trial: true}}}
 	b := newHarnessWith(t, 1, func(c *balancer.Config) { c.Quarantine, c.Suspensions = q, suspend.New(s.read) })
 	b.chooser.onAcquire = func(int) { s.suspended.Add(int64(5 * time.Second)) }
 	got := b.call(t, "GET", "/once", "k", "", http.Header{"Lotuswing-Timeout": {"60s"}})
--- a/coord/crash/crash_test.go
+++ b/coord/crash/crash_test.go
@@ -141,24 +141,24 @@
 
 // TestFingerprint checks which parts of a request change its fingerprints.
 func TestFingerprint(t *testing.T) {
-	subject := crash.Subject{Method: "GET", Host: "a.example", Path: "/x/1", Query: "y=2", Body: []byte("b"), Length: 1}
-	assert.DeepEqual(t, subject.Prints(), crash.Prints{Exact: "95b7935cb5b3f1edf74be7f95aced2af", Wide: "5de82ba8843171748415a32a7e40139e"}) // must stay the same in all versions
-	assert.Assert(t, subject.Prints().Exact.Valid() && subject.Prints().Wide.Valid())
-	for name, change := range map[string]func(*crash.Subject){
-		"method":         func(s *crash.Subject) { s.Method = "POST" },
-		"host":           func(s *crash.Subject) { s.Host = "b.example" },
-		"path":           func(s *crash.Subject) { s.Path = "/x/2" },
-		"query":          func(s *crash.Subject) { s.Query = "y=3" },
-		"body":           func(s *crash.Subject) { s.Body = []byte("c") },
-		"length":         func(s *crash.Subject) { s.Length = -1 },
-		"field boundary": func(s *crash.Subject) { s.Host, s.Path = "a.example/", "x/1" },
+	request := crash.Request{Method: "GET", Host: "a.example", Path: "/x/1", Query: "y=2", Body: []byte("b"), Length: 1}
+	assert.DeepEqual(t, request.Fingerprints(), crash.Fingerprints{Exact: "95b7935cb5b3f1edf74be7f95aced2af", AnyQuery: "5de82ba8843171748415a32a7e40139e"}) // must stay the same in all versions
+	assert.Assert(t, request.Fingerprints().Exact.Valid() && request.Fingerprints().AnyQuery.Valid())
+	for name, change := range map[string]func(*crash.Request){
+		"method":         func(s *crash.Request) { s.Method = "POST" },
+		"host":           func(s *crash.Request) { s.Host = "b.example" },
+		"path":           func(s *crash.Request) { s.Path = "/x/2" },
+		"query":          func(s *crash.Request) { s.Query = "y=3" },
+		"body":           func(s *crash.Request) { s.Body = []byte("c") },
+		"length":         func(s *crash.Request) { s.Length = -1 },
+		"field boundary": func(s *crash.Request) { s.Host, s.Path = "a.example/", "x/1" },
 	} {
-		other := subject
+		other := request
 		change(&other)
-		assert.Assert(t, other.Prints().Exact != subject.Prints().Exact, name)
-		assert.Equal(t, other.Prints().Wide == subject.Prints().Wide, name == "query", name)
+		assert.Assert(t, other.Fingerprints().Exact != request.Fingerprints().Exact, name)
+		assert.Equal(t, other.Fingerprints().AnyQuery == request.Fingerprints().AnyQuery, name == "query", name)
 	}
-	for _, text := range []string{"", "xyz", strings.ToUpper(string(subject.Prints().Exact)), string(subject.Prints().Exact) + "00"} {
+	for _, text := range []string{"", "xyz", strings.ToUpper(string(request.Fingerprints().Exact)), string(request.Fingerprints().Exact) + "00"} {
 		assert.Assert(t, !crash.Fingerprint(text).Valid(), text)
 	}
 }
--- a/coord/crash/fingerprint.go
+++ b/coord/crash/fingerprint.go
@@ -17,11 +17,11 @@
 // infeasible to construct a second request with the fingerprint of another one.
 const fingerprintBytes = 16
 
-// Subject holds the parts of a request that identify it: what is requested, and with which body.
+// Request holds the parts of a request that identify it: what is requested, and with which body.
 // Headers other than Host (request ID, deadline, trace) are left out, as they change from one
 // attempt to the next. So is the address of the caller: a caller has several, and a request that
 // crashes endpoints does so whoever sends it.
-type Subject struct {
+type Request struct {
 	Team   string // team of the caller, so that crashes under one team's request do not affect another team's; empty where callers have no teams
 	Method string
 	Host   string
@@ -31,30 +31,30 @@
 	Length int64  // length of the body in bytes, as announced; -1 if unknown
 }
 
-// Prints are the fingerprints of a request.
-type Prints struct {
-	Exact Fingerprint // of the request itself
-	Wide  Fingerprint // the same for all requests that differ only in their query
+// Fingerprints are the fingerprints of a request.
+type Fingerprints struct {
+	Exact    Fingerprint // of the request itself
+	AnyQuery Fingerprint // the same for all requests that differ only in their query
 }
 
-// Prints returns the fingerprints of the subject. A body that is not read before the request is
+// Fingerprints returns the fingerprints of the request. A body that is not read before the request is
 // sent is represented only by its announced length.
-func (s Subject) Prints() Prints {
-	return Prints{
-		Exact: fingerprint(s.withTeam("exact", s.Method, s.Host, s.Path, s.Query, s.length(), string(s.Body))...),
-		Wide:  fingerprint(s.withTeam("wide", s.Method, s.Host, s.Path, s.length(), string(s.Body))...),
+func (s Request) Fingerprints() Fingerprints {
+	return Fingerprints{
+		Exact:    fingerprint(s.withTeam("exact", s.Method, s.Host, s.Path, s.Query, s.length(), string(s.Body))...),
+		AnyQuery: fingerprint(s.withTeam("wide", s.Method, s.Host, s.Path, s.length(), string(s.Body))...),
 	}
 }
 
 // withTeam returns fields with the team appended, if there is one.
-func (s Subject) withTeam(fields ...string) []string {
+func (s Request) withTeam(fields ...string) []string {
 	if s.Team == "" {
 		return fields
 	}
 	return append(fields, s.Team)
 }
 
-func (s Subject) length() string { return strconv.FormatInt(s.Length, 10) }
+func (s Request) length() string { return strconv.FormatInt(s.Length, 10) }
 
 // fingerprint returns the fingerprint of a sequence of fields.
 func fingerprint(fields ...string) Fingerprint {
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -31,12 +31,12 @@
 }
 
 // call sends the request to a balancer, which makes up to a.attempts attempts.
-func (a *attack) call(k *quarantine.Keeper) { a.callWithRequest(k, a.request) }
+func (a *attack) call(k *quarantine.Tracker) { a.callWithRequest(k, a.request) }
 
 // callWithRequest is call with another request.
-func (a *attack) callWithRequest(k *quarantine.Keeper, q quarantine.Request) {
+func (a *attack) callWithRequest(k *quarantine.Tracker, q quarantine.Request) {
 	for range a.attempts {
-		pass, refused := k.Admit(a.harness.ctx, q)
+		admission, refused := k.Admit(a.harness.ctx, q)
 		if refused != nil {
 			return
 		}
@@ -45,11 +45,11 @@
 		endpoint := fmt.Sprintf("e%d", number)
 		a.harness.stopEndpoint(endpoint)
 		a.recordCrash()
-		probed := k.Broke(quarantine.Attempt{Request: q, Endpoint: endpoint, Start: 1, Addr: endpoint, Trial: pass.Trial, Alone: number%2 == 0})
-		if pass.Trial {
+		probed := k.CheckEndpoint(quarantine.Attempt{Request: q, Endpoint: endpoint, Start: 1, Addr: endpoint, Trial: admission.Trial, Alone: number%2 == 0})
+		if admission.Trial {
 			return
 		}
-		if pass.Suspected {
+		if admission.Suspected {
 			<-probed
 		}
 	}
@@ -95,28 +95,28 @@
 		for name, sendRequests := range map[string]func(a *attack, rng *rand.Rand){
 			"one after the other": func(a *attack, rng *rand.Rand) {
 				for range 60 {
-					a.call(a.harness.keepers[rng.IntN(size)])
+					a.call(a.harness.trackers[rng.IntN(size)])
 					time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 				}
 			},
 			"after seconds": func(a *attack, rng *rand.Rand) {
 				for range 20 {
-					a.call(a.harness.keepers[rng.IntN(size)])
+					a.call(a.harness.trackers[rng.IntN(size)])
 					time.Sleep(5 * time.Second)
 				}
 			},
 			"each time with another query": func(a *attack, rng *rand.Rand) {
 				for i := range 40 {
 					q := a.request
-					q.Prints = crash.Subject{Path: "a", Query: fmt.Sprint("page=", i/3)}.Prints()
-					a.callWithRequest(a.harness.keepers[rng.IntN(size)], q)
+					q.Fingerprints = crash.Request{Path: "a", Query: fmt.Sprint("page=", i/3)}.Fingerprints()
+					a.callWithRequest(a.harness.trackers[rng.IntN(size)], q)
 					time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
 				}
 			},
 			"many at once": func(a *attack, rng *rand.Rand) {
 				for range 10 {
 					for range 12 {
-						go a.call(a.harness.keepers[rng.IntN(size)])
+						go a.call(a.harness.trackers[rng.IntN(size)])
 					}
 					time.Sleep(4 * time.Second)
 				}
@@ -150,21 +150,21 @@
 		h := newHarness(t, 3)
 		with := func(query string) quarantine.Request {
 			q := request("a")
-			q.Prints = crash.Subject{Path: "a", Query: query}.Prints()
+			q.Fingerprints = crash.Request{Path: "a", Query: query}.Fingerprints()
 			return q
 		}
 		a := &attack{harness: h, attempts: 2, processing: 60 * time.Millisecond}
 		for range 4 {
-			a.callWithRequest(h.keepers[0], with("bad"))
+			a.callWithRequest(h.trackers[0], with("bad"))
 			time.Sleep(4 * time.Second)
 		}
-		_, refused := h.keepers[1].Admit(h.ctx, with("bad"))
+		_, refused := h.trackers[1].Admit(h.ctx, with("bad"))
 		assert.Assert(t, refused != nil)
-		pass, refused := h.keepers[1].Admit(h.ctx, with("sound"))
-		assert.Assert(t, refused == nil && !pass.Trial)
-		h.keepers[1].Ran(with("sound"))
+		admission, refused := h.trackers[1].Admit(h.ctx, with("sound"))
+		assert.Assert(t, refused == nil && !admission.Trial)
+		h.trackers[1].Completed(with("sound"))
 		time.Sleep(time.Second)
-		_, refused = h.keepers[2].Admit(h.ctx, with("bad"))
+		_, refused = h.trackers[2].Admit(h.ctx, with("bad"))
 		assert.Assert(t, refused != nil, "the completion of another query ended the refusal")
 	})
 }
@@ -177,12 +177,12 @@
 		h.isolated[4] = true
 		a := &attack{harness: h, request: request("a"), attempts: 2, processing: 60 * time.Millisecond}
 		for i := range 6 {
-			a.call(h.keepers[i%4])
+			a.call(h.trackers[i%4])
 		}
 		before, _ := a.countCrashes()
 		time.Sleep(2 * time.Second)
-		a.call(h.keepers[4])
-		a.call(h.startKeeper())
+		a.call(h.trackers[4])
+		a.call(h.startTracker())
 		after, _ := a.countCrashes()
 		assert.Equal(t, after, before)
 	})
--- a/quarantine/notes.go
+++ b/quarantine/notes.go
@@ -8,7 +8,7 @@
 	"github.com/lotuswing/lotuswing/relay"
 )
 
-// Topic is the topic of the notes that Keepers send to one another.
+// Topic is the topic of the notes that Trackers send to one another.
 const Topic = "quarantine"
 
 // Values of note.What.
@@ -20,7 +20,7 @@
 	noteRefusalOrdered = "ordered"  // an operator ordered that the request is refused
 )
 
-// note is a JSON message from one Keeper to all others.
+// note is a JSON message from one Tracker to all others.
 type note struct {
 	What     string            `json:"what"`
 	Exact    crash.Fingerprint `json:"exact"`          // fingerprint of the request; of an operator's note, the fingerprint that the operator named
@@ -36,7 +36,9 @@
 }
 
 // prints returns the fingerprints of the request.
-func (n note) prints() crash.Prints { return crash.Prints{Exact: n.Exact, Wide: n.AnyQuery} }
+func (n note) prints() crash.Fingerprints {
+	return crash.Fingerprints{Exact: n.Exact, AnyQuery: n.AnyQuery}
+}
 
 // crashData is the JSON form of a crash.Event, without the time. The receiver of a note derives the
 // time from the note's age; the reader of a Record takes the time at which it reads it.
@@ -61,21 +63,21 @@
 }
 
 // broadcast sends a note to all other balancers.
-func (k *Keeper) broadcast(n note) {
-	if k.cfg.Tell == nil {
+func (k *Tracker) broadcast(n note) {
+	if k.cfg.Publish == nil {
 		return
 	}
 	data, err := json.Marshal(n)
 	if err == nil {
-		err = k.cfg.Tell(Topic, data)
+		err = k.cfg.Publish(Topic, data)
 	}
 	if err != nil {
 		k.cfg.Log.Error("could not notify the other balancers", "fingerprint", string(n.Exact), "what", n.What, "error", err)
 	}
 }
 
-// Hear handles a note of another Keeper. Invalid notes are logged and ignored.
-func (k *Keeper) Hear(n relay.Note) {
+// HandleNote handles a note of another Tracker. Invalid notes are logged and ignored.
+func (k *Tracker) HandleNote(n relay.Note) {
 	if n.Topic != Topic {
 		return
 	}
--- a/quarantine/operate.go
+++ b/quarantine/operate.go
@@ -39,7 +39,7 @@
 // List returns the status of all requests during which endpoints have crashed since the last
 // completion, or whose refusal an operator ordered, the latest crash first. It leaves out any-query
 // histories that have no effect.
-func (k *Keeper) List() []Status {
+func (k *Tracker) List() []Status {
 	now := k.opts.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -72,7 +72,7 @@
 // Release ends the refusal of a request at all balancers. The request is sent on trial again, or
 // like any other if too few crashes are known. It returns ErrInvalid, ErrUnknown, ErrChanged
 // or an error of the store.
-func (k *Keeper) Release(ctx context.Context, f crash.Fingerprint) error {
+func (k *Tracker) Release(ctx context.Context, f crash.Fingerprint) error {
 	if !f.Valid() {
 		return ErrInvalid
 	}
@@ -85,9 +85,9 @@
 	return k.writeOperatorRecord(ctx, f, stateReleased)
 }
 
-// Order has a request refused at all balancers until it is released. It returns ErrInvalid,
+// OrderRefusal has a request refused at all balancers until it is released. It returns ErrInvalid,
 // ErrChanged or an error of the store.
-func (k *Keeper) Order(ctx context.Context, f crash.Fingerprint) error {
+func (k *Tracker) OrderRefusal(ctx context.Context, f crash.Fingerprint) error {
 	if !f.Valid() {
 		return ErrInvalid
 	}
@@ -105,7 +105,7 @@
 
 // writeOperatorRecord writes an operator's decision to the store, replacing the record there. A
 // release without a record to replace writes nothing.
-func (k *Keeper) writeOperatorRecord(ctx context.Context, f crash.Fingerprint, state string) error {
+func (k *Tracker) writeOperatorRecord(ctx context.Context, f crash.Fingerprint, state string) error {
 	ctx, cancel := context.WithTimeout(ctx, operatorWriteTimeout)
 	defer cancel()
 	for {
@@ -126,7 +126,7 @@
 
 // operatorRecord returns the record of an operator's decision, the revision of the record that it
 // replaces, and a channel that is closed when any history changes.
-func (k *Keeper) operatorRecord(f crash.Fingerprint, state string) (Record, uint64, <-chan struct{}) {
+func (k *Tracker) operatorRecord(f crash.Fingerprint, state string) (Record, uint64, <-chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	rec := Record{State: state, By: k.cfg.ID}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,7 +1,7 @@
 // Package quarantine keeps a request from crashing one endpoint after another, whichever balancers
 // receive it.
 //
-// A Keeper is the part of one balancer. The request path reports to it the attempts that broke
+// A Tracker is the part of one balancer. The request path reports to it the attempts that broke
 // without a response, and it finds out whether their endpoints have crashed (verify.go). It sends
 // its observations to all balancers as notes, which work without the store (notes.go). A suspected
 // request is sent on trial, by one balancer of the fleet at a time (admit.go). Refusals are
@@ -10,15 +10,15 @@
 //
 // The package holds the histories known to this process. It tolerates notes that are lost or late.
 // It depends on the store only for the guarantee that a single balancer at a time has a request on
-// trial. While no history is kept, the cost for each request is one atomic read (Keeper.Quiet).
+// trial. While no history is kept, the cost for each request is one atomic read (Tracker.Empty).
 //
 // # Usage
 //
 //	k := quarantine.New(quarantine.Config{ID: id, Log: log, Metrics: registry, Endpoints: directory, Prober: client})
 //	go k.Run(ctx)
-//	pass, refusal := k.Admit(ctx, request)
+//	admission, refusal := k.Admit(ctx, request)
 //	...
-//	k.Ran(request)
+//	k.Completed(request)
 package quarantine
 
 import (
@@ -57,7 +57,7 @@
 	Release(ctx context.Context, lease uint64) error
 }
 
-// Config configures a Keeper.
+// Config configures a Tracker.
 type Config struct {
 	ID        string // ID of this balancer
 	Log       hclog.Logger
@@ -65,18 +65,18 @@
 	Endpoints Endpoints
 	Prober    Prober
 	Registry  Registry
-	// Tell sends data to all other balancers; nil if they cannot be reached.
-	Tell func(topic string, data []byte) error
+	// Publish sends data to all other balancers; nil if they cannot be reached.
+	Publish func(topic string, data []byte) error
 	// Serving reports whether this balancer is the one that does the shared work of its zone; nil
 	// for always.
 	Serving func() bool
-	// Willing reports whether an endpoint may be probed, which it may not while it has asked this
+	// MayProbe reports whether an endpoint may be probed, which it may not while it has asked this
 	// balancer to send it no requests; nil for always.
-	Willing func(endpoint string) bool
-	Options Options
+	MayProbe func(endpoint string) bool
+	Options  Options
 }
 
-// Options are the timing options of a Keeper. Zero fields take the defaults.
+// Options are the timing options of a Tracker. Zero fields take the defaults.
 type Options struct {
 	// TrialFor is the least time for which a trial excludes others, unless it is reported to be
 	// over; default 1.5 s. The store grants no leases of less than 1 s.
@@ -106,9 +106,9 @@
 	return o
 }
 
-// Keeper tracks the requests during which endpoints have crashed and decides whether such requests
+// Tracker tracks the requests during which endpoints have crashed and decides whether such requests
 // may be sent. It is safe for concurrent use.
-type Keeper struct {
+type Tracker struct {
 	cfg        Config
 	opts       Options
 	entryCount atomic.Int64 // number of entries, readable without mu
@@ -124,7 +124,7 @@
 	runCtx        context.Context // the context of Run, for work in the background
 }
 
-// entry is a Keeper's state for one fingerprint. It is accessed with Keeper.mu held.
+// entry is a Tracker's state for one fingerprint. It is accessed with Tracker.mu held.
 type entry struct {
 	history         crash.History
 	service         string // service to which the request was sent
@@ -148,9 +148,9 @@
 	maxEntriesPerService = 1024
 )
 
-// New returns a Keeper without any history.
-func New(cfg Config) *Keeper {
-	return &Keeper{
+// New returns a Tracker without any history.
+func New(cfg Config) *Tracker {
+	return &Tracker{
 		cfg: cfg, opts: cfg.Options.withDefaults(), entries: map[crash.Fingerprint]*entry{}, changed: make(chan struct{}), runCtx: context.Background(),
 		crashes:    metrics.GetOrRegisterCounter("quarantine_ends", cfg.Metrics),
 		trials:     metrics.GetOrRegisterCounter("quarantine_trials", cfg.Metrics),
@@ -161,7 +161,7 @@
 
 // Run removes expired histories and writes missing refusals to the store until ctx ends. While
 // there is no entry, it waits for one.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Tracker) Run(ctx context.Context) {
 	k.mu.Lock()
 	k.runCtx = ctx
 	k.mu.Unlock()
@@ -174,8 +174,8 @@
 }
 
 // waitForEntry waits until there is an entry or ctx ends.
-func (k *Keeper) waitForEntry(ctx context.Context) {
-	for k.Quiet() && ctx.Err() == nil {
+func (k *Tracker) waitForEntry(ctx context.Context) {
+	for k.Empty() && ctx.Err() == nil {
 		k.mu.Lock()
 		changed, none := k.changed, len(k.entries) == 0
 		k.mu.Unlock()
@@ -189,12 +189,12 @@
 	}
 }
 
-// Quiet reports whether there is no history of any request.
-func (k *Keeper) Quiet() bool { return k.entryCount.Load() == 0 }
+// Empty reports whether there is no history of any request.
+func (k *Tracker) Empty() bool { return k.entryCount.Load() == 0 }
 
 // update applies a change to an entry, which it creates with the given history if there is none. It
 // logs a change of the action for the request.
-func (k *Keeper) update(f crash.Fingerprint, initial crash.History, now time.Time, apply func(*entry)) {
+func (k *Tracker) update(f crash.Fingerprint, initial crash.History, now time.Time, apply func(*entry)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.entries[f] == nil {
@@ -204,7 +204,7 @@
 }
 
 // updateExisting is update for an entry that exists already. It returns false if there is none.
-func (k *Keeper) updateExisting(f crash.Fingerprint, now time.Time, apply func(*entry)) bool {
+func (k *Tracker) updateExisting(f crash.Fingerprint, now time.Time, apply func(*entry)) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.entries[f] == nil {
@@ -215,14 +215,14 @@
 }
 
 // updateBoth is update for the exact and the any-query entry of a request.
-func (k *Keeper) updateBoth(p crash.Prints, now time.Time, apply func(*entry)) {
+func (k *Tracker) updateBoth(p crash.Fingerprints, now time.Time, apply func(*entry)) {
 	k.update(p.Exact, crash.History{}, now, apply)
-	k.update(p.Wide, crash.NewAnyQueryHistory(), now, apply)
+	k.update(p.AnyQuery, crash.NewAnyQueryHistory(), now, apply)
 }
 
 // updateLocked applies a change to an existing entry. It removes the entry if its history has
 // expired, and evicts entries if there are too many; k.mu is held.
-func (k *Keeper) updateLocked(f crash.Fingerprint, now time.Time, apply func(*entry)) {
+func (k *Tracker) updateLocked(f crash.Fingerprint, now time.Time, apply func(*entry)) {
 	ent := k.entries[f]
 	apply(ent)
 	if ent.history.Expired(now) {
@@ -235,7 +235,7 @@
 
 // trackAction keeps refusedSince up to date with the action for a request, and logs the action if
 // it has changed; k.mu is held.
-func (k *Keeper) trackAction(f crash.Fingerprint, ent *entry, now time.Time) {
+func (k *Tracker) trackAction(f crash.Fingerprint, ent *entry, now time.Time) {
 	d := ent.history.Decide(now)
 	if d.Action != crash.Refuse {
 		ent.refusedSince = time.Time{}
@@ -252,7 +252,7 @@
 
 // notifyChanged updates the number of entries and wakes the goroutines that wait for a change; k.mu
 // is held.
-func (k *Keeper) notifyChanged() {
+func (k *Tracker) notifyChanged() {
 	k.entryCount.Store(int64(len(k.entries)))
 	k.entryGauge.Update(int64(len(k.entries)))
 	close(k.changed)
@@ -261,7 +261,7 @@
 
 // evictExcess removes an entry of the service if it has more than maxEntriesPerService, and one of
 // any service if there are more than maxEntries in total; k.mu is held.
-func (k *Keeper) evictExcess(service string, now time.Time) {
+func (k *Tracker) evictExcess(service string, now time.Time) {
 	inService := 0
 	for _, ent := range k.entries {
 		if ent.service == service {
@@ -277,7 +277,7 @@
 }
 
 // evictOne removes the eligible entry that comes first by evictBefore; k.mu is held.
-func (k *Keeper) evictOne(eligible func(*entry) bool, now time.Time) {
+func (k *Tracker) evictOne(eligible func(*entry) bool, now time.Time) {
 	var victim crash.Fingerprint
 	for f, ent := range k.entries {
 		if eligible(ent) && (victim == "" || ent.evictBefore(k.entries[victim], now)) {
@@ -298,7 +298,7 @@
 }
 
 // removeExpired removes entries whose history has expired, and logs changes of actions with time.
-func (k *Keeper) removeExpired(now time.Time) {
+func (k *Tracker) removeExpired(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for f, ent := range k.entries {
@@ -311,7 +311,7 @@
 }
 
 // runContext returns the context for work in the background.
-func (k *Keeper) runContext() context.Context {
+func (k *Tracker) runContext() context.Context {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.runCtx
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -27,20 +27,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// harness is a fleet of Keepers with simulated endpoints, store and notes, in virtual time.
+// harness is a fleet of Trackers with simulated endpoints, store and notes, in virtual time.
 type harness struct {
 	ctx       context.Context
 	directory *directory.Directory
-	lookEvery time.Duration // Options.LookEvery of the Keepers; 0 for the default
+	lookEvery time.Duration // Options.LookEvery of the Trackers; 0 for the default
 
 	mu         sync.Mutex
-	keepers    []*quarantine.Keeper
+	trackers   []*quarantine.Tracker
 	down       map[string]bool   // addresses that refuse connections
 	instances  map[string]string // ID of the instance that answers, by address
 	records    map[string]storedValue
 	revision   uint64
 	storeDown  bool
-	isolated   map[int]bool // indexes of Keepers that neither send nor receive notes
+	isolated   map[int]bool // indexes of Trackers that neither send nor receive notes
 	storeCalls int
 	backingOff string // ID of an endpoint that has asked for no requests
 	probes     int
@@ -56,7 +56,7 @@
 
 var errStoreDown = errors.New("store is down")
 
-// newHarness starts n Keepers, which run until the test ends.
+// newHarness starts n Trackers, which run until the test ends.
 func newHarness(t *testing.T, n int) *harness {
 	t.Helper()
 	return newHarnessWithInterval(t, n, 0)
@@ -71,7 +71,7 @@
 		Config: &directory.Config{Version: 1, Services: map[string]tenant.Service{"s": {ProbePath: "/health"}}},
 	}, time.Now())
 	for range n {
-		h.startKeeper()
+		h.startTracker()
 	}
 	t.Cleanup(func() {
 		stop()
@@ -80,43 +80,43 @@
 	return h
 }
 
-// startKeeper starts another Keeper, which first reads the store's records.
-func (h *harness) startKeeper() *quarantine.Keeper {
+// startTracker starts another Tracker, which first reads the store's records.
+func (h *harness) startTracker() *quarantine.Tracker {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	number := len(h.keepers)
+	number := len(h.trackers)
 	k := quarantine.New(quarantine.Config{
 		ID: fmt.Sprintf("vm-%d", number), Log: hclog.NewNullLogger(), Metrics: metrics.NewRegistry(), Endpoints: h.directory, Prober: h, Registry: h,
-		Tell:    func(topic string, data []byte) error { return h.deliverNote(number, topic, data) },
-		Serving: func() bool { return number == 0 },
-		Willing: func(endpoint string) bool { return endpoint != h.backingOff },
-		Options: quarantine.Options{Now: time.Now, LookEvery: h.lookEvery},
+		Publish:  func(topic string, data []byte) error { return h.deliverNote(number, topic, data) },
+		Serving:  func() bool { return number == 0 },
+		MayProbe: func(endpoint string) bool { return endpoint != h.backingOff },
+		Options:  quarantine.Options{Now: time.Now, LookEvery: h.lookEvery},
 	})
-	h.keepers = append(h.keepers, k)
+	h.trackers = append(h.trackers, k)
 	go k.Run(h.ctx)
 	for name, stored := range h.records {
-		k.Observe(directory.Changes{Registrations: []directory.Record{{Key: name, Value: stored.value, Revision: stored.revision}}})
+		k.ApplyChanges(directory.Changes{Registrations: []directory.Record{{Key: name, Value: stored.value, Revision: stored.revision}}})
 	}
 	return k
 }
 
-// The first Keepers receive a note after minNoteDelay milliseconds. The others follow in
+// The first Trackers receive a note after minNoteDelay milliseconds. The others follow in
 // noteDelaySteps steps of one millisecond.
 const (
 	minNoteDelay   = 5
 	noteDelaySteps = 25
 )
 
-// deliverNote delivers a note to all other Keepers, one after the other. A single goroutine does
-// this: with one for each Keeper, 7,257 Keepers took 16 GB of memory under the race detector.
+// deliverNote delivers a note to all other Trackers, one after the other. A single goroutine does
+// this: with one for each Tracker, 7,257 Trackers took 16 GB of memory under the race detector.
 func (h *harness) deliverNote(from int, topic string, data []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.isolated[from] {
 		return nil
 	}
-	var receivers [noteDelaySteps][]*quarantine.Keeper
-	for to, k := range h.keepers {
+	var receivers [noteDelaySteps][]*quarantine.Tracker
+	for to, k := range h.trackers {
 		if to != from && !h.isolated[to] {
 			step := (to * 7) % noteDelaySteps
 			receivers[step] = append(receivers[step], k)
@@ -124,12 +124,12 @@
 	}
 	go func() {
 		pause.For(h.ctx, minNoteDelay*time.Millisecond)
-		for step, keepers := range receivers {
-			for _, k := range keepers {
+		for step, trackers := range receivers {
+			for _, k := range trackers {
 				if h.ctx.Err() != nil {
 					return
 				}
-				k.Hear(relay.Note{Origin: "vm", Topic: topic, Data: data, Age: time.Duration(minNoteDelay+step) * time.Millisecond})
+				k.HandleNote(relay.Note{Origin: "vm", Topic: topic, Data: data, Age: time.Duration(minNoteDelay+step) * time.Millisecond})
 			}
 			pause.For(h.ctx, time.Millisecond)
 		}
@@ -159,14 +159,14 @@
 		next.expires = time.Now().Add(ttl)
 	}
 	h.records[name] = next
-	keepers := slices.Clone(h.keepers)
+	trackers := slices.Clone(h.trackers)
 	go func() {
 		pause.For(h.ctx, time.Second)
-		for _, k := range keepers {
+		for _, k := range trackers {
 			if h.ctx.Err() != nil {
 				return
 			}
-			k.Observe(directory.Changes{Registrations: []directory.Record{{Key: name, Value: value, Revision: next.revision}}})
+			k.ApplyChanges(directory.Changes{Registrations: []directory.Record{{Key: name, Value: value, Revision: next.revision}}})
 		}
 	}()
 	return next.lease, nil
@@ -210,7 +210,7 @@
 // request returns a request with a fingerprint that depends on name.
 func request(name string) quarantine.Request {
 	return quarantine.Request{
-		ID: "r-" + name, Prints: crash.Subject{Path: name}.Prints(), Service: "s", Kind: "k", Patience: 100 * time.Millisecond,
+		ID: "r-" + name, Fingerprints: crash.Request{Path: name}.Fingerprints(), Service: "s", Kind: "k", Patience: 100 * time.Millisecond,
 	}
 }
 
@@ -235,32 +235,32 @@
 	return h.storeCalls
 }
 
-// crashEndpoint stops an endpoint, reports the broken attempt of the request to a Keeper, and waits
-// until all Keepers know.
-func (h *harness) crashEndpoint(k *quarantine.Keeper, q quarantine.Request, endpoint string, pass quarantine.Pass) {
+// crashEndpoint stops an endpoint, reports the broken attempt of the request to a Tracker, and waits
+// until all Trackers know.
+func (h *harness) crashEndpoint(k *quarantine.Tracker, q quarantine.Request, endpoint string, admission quarantine.Admission) {
 	h.stopEndpoint(endpoint)
-	<-k.Broke(quarantine.Attempt{Request: q, Endpoint: endpoint, Start: 1, Addr: endpoint, Trial: pass.Trial, Alone: true})
+	<-k.CheckEndpoint(quarantine.Attempt{Request: q, Endpoint: endpoint, Start: 1, Addr: endpoint, Trial: admission.Trial, Alone: true})
 	time.Sleep(50 * time.Millisecond)
 }
 
-// crashUntilRefused reports crashes during a request to a Keeper, the last two on trial, after
+// crashUntilRefused reports crashes during a request to a Tracker, the last two on trial, after
 // which the request is refused.
-func (h *harness) crashUntilRefused(t *testing.T, k *quarantine.Keeper, q quarantine.Request) {
+func (h *harness) crashUntilRefused(t *testing.T, k *quarantine.Tracker, q quarantine.Request) {
 	t.Helper()
 	for range 2 {
-		h.crashEndpoint(k, q, h.newEndpointID(), quarantine.Pass{})
+		h.crashEndpoint(k, q, h.newEndpointID(), quarantine.Admission{})
 	}
 	for range 2 {
 		h.crashOnTrial(t, k, q)
 	}
 }
 
-// crashOnTrial admits a request on trial at a Keeper and has it crash an endpoint.
-func (h *harness) crashOnTrial(t *testing.T, k *quarantine.Keeper, q quarantine.Request) {
+// crashOnTrial admits a request on trial at a Tracker and has it crash an endpoint.
+func (h *harness) crashOnTrial(t *testing.T, k *quarantine.Tracker, q quarantine.Request) {
 	t.Helper()
-	pass, refused := k.Admit(h.ctx, q)
-	assert.Assert(t, refused == nil && pass.Trial)
-	h.crashEndpoint(k, q, h.newEndpointID(), pass)
+	admission, refused := k.Admit(h.ctx, q)
+	assert.Assert(t, refused == nil && admission.Trial)
+	h.crashEndpoint(k, q, h.newEndpointID(), admission)
 }
 
 // newEndpointID returns the ID of an endpoint that was not used before.
@@ -270,12 +270,12 @@
 	return fmt.Sprintf("another-%d", len(h.down))
 }
 
-// actions returns the action of each Keeper for a request.
+// actions returns the action of each Tracker for a request.
 func (h *harness) actions(q quarantine.Request) (all []string) {
-	for _, k := range h.keepers {
+	for _, k := range h.trackers {
 		action := "send"
 		for _, st := range k.List() {
-			if st.Fingerprint == q.Prints.Exact {
+			if st.Fingerprint == q.Fingerprints.Exact {
 				action = st.Step
 			}
 		}
@@ -284,54 +284,54 @@
 	return all
 }
 
-// TestRequestCrashingOnTrialIsRefused: after two crashes a request is on trial at all Keepers.
+// TestRequestCrashingOnTrialIsRefused: after two crashes a request is on trial at all Trackers.
 // After two more on trial it is refused by all of them, and by one that starts later.
 func TestRequestCrashingOnTrialIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 3)
 		q := request("a")
-		h.crashEndpoint(h.keepers[0], q, "e0", quarantine.Pass{})
+		h.crashEndpoint(h.trackers[0], q, "e0", quarantine.Admission{})
 		assert.DeepEqual(t, h.actions(q), []string{"send", "send", "send"})
-		h.crashEndpoint(h.keepers[1], q, "e1", quarantine.Pass{})
+		h.crashEndpoint(h.trackers[1], q, "e1", quarantine.Admission{})
 		assert.DeepEqual(t, h.actions(q), []string{"try", "try", "try"})
-		h.crashOnTrial(t, h.keepers[2], q)
+		h.crashOnTrial(t, h.trackers[2], q)
 		assert.DeepEqual(t, h.actions(q), []string{"try", "try", "try"})
-		h.crashOnTrial(t, h.keepers[1], q)
+		h.crashOnTrial(t, h.trackers[1], q)
 		assert.DeepEqual(t, h.actions(q), []string{"refuse", "refuse", "refuse"})
-		_, refused := h.keepers[0].Admit(h.ctx, q)
+		_, refused := h.trackers[0].Admit(h.ctx, q)
 		assert.Assert(t, refused != nil)
 		assert.Assert(t, refused.RetryAfter > 9*time.Minute, "RetryAfter is shorter than the refusal")
 		assert.Assert(t, len(refused.Evidence) > 0)
 		time.Sleep(time.Second)
-		late := h.startKeeper()
+		late := h.startTracker()
 		_, refused = late.Admit(h.ctx, q)
 		assert.Assert(t, refused != nil, "the record in the store was not read")
 		other := request("b")
-		pass, refused := late.Admit(h.ctx, other)
+		admission, refused := late.Admit(h.ctx, other)
 		assert.Assert(t, refused == nil)
-		assert.DeepEqual(t, pass, quarantine.Pass{}) // another request is not affected
+		assert.DeepEqual(t, admission, quarantine.Admission{}) // another request is not affected
 	})
 }
 
-// TestOneTrialAtATime: while one Keeper has a request on trial, the others wait, and send it once
+// TestOneTrialAtATime: while one Tracker has a request on trial, the others wait, and send it once
 // it has completed.
 func TestOneTrialAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 30)
 		q := request("a")
-		h.crashEndpoint(h.keepers[0], q, "e0", quarantine.Pass{})
-		h.crashEndpoint(h.keepers[0], q, "e1", quarantine.Pass{})
+		h.crashEndpoint(h.trackers[0], q, "e0", quarantine.Admission{})
+		h.crashEndpoint(h.trackers[0], q, "e1", quarantine.Admission{})
 		var trials, refusals, served atomic.Int64
-		for _, k := range h.keepers {
+		for _, k := range h.trackers {
 			go func() {
-				pass, refused := k.Admit(h.ctx, q)
+				admission, refused := k.Admit(h.ctx, q)
 				switch {
 				case refused != nil:
 					refusals.Add(1)
-				case pass.Trial:
+				case admission.Trial:
 					trials.Add(1)
 					time.Sleep(40 * time.Millisecond) // an endpoint processes it
-					k.Ran(q)
+					k.Completed(q)
 				default:
 					served.Add(1)
 				}
@@ -341,7 +341,7 @@
 		assert.Equal(t, trials.Load(), int64(1))
 		assert.Equal(t, served.Load(), int64(29))
 		assert.Equal(t, refusals.Load(), int64(0))
-		assert.DeepEqual(t, h.keepers[7].List(), []quarantine.Status{})
+		assert.DeepEqual(t, h.trackers[7].List(), []quarantine.Status{})
 	})
 }
 
@@ -351,50 +351,50 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 1)
 		h.backingOff = "e0"
-		h.crashEndpoint(h.keepers[0], request("a"), "e0", quarantine.Pass{})
+		h.crashEndpoint(h.trackers[0], request("a"), "e0", quarantine.Admission{})
 		assert.Equal(t, h.probes, 0)
-		h.crashEndpoint(h.keepers[0], request("a"), "e1", quarantine.Pass{})
+		h.crashEndpoint(h.trackers[0], request("a"), "e1", quarantine.Admission{})
 		assert.Assert(t, h.probes > 0)
 		time.Sleep(10 * time.Second) // until the watch of e0 ends
 	})
 }
 
-// TestTrialListsCrashedIncarnations: a pass for a trial names the crashed incarnations, so that the
+// TestTrialListsCrashedIncarnations: an admission to a trial names the crashed incarnations, so that the
 // request is not sent to one that the store still lists.
 func TestTrialListsCrashedIncarnations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 2)
 		q := request("a")
-		h.crashEndpoint(h.keepers[0], q, "e0", quarantine.Pass{})
-		h.crashEndpoint(h.keepers[0], q, "e1", quarantine.Pass{})
-		pass, refused := h.keepers[1].Admit(h.ctx, q)
-		assert.Assert(t, refused == nil && pass.Trial)
-		assert.DeepEqual(t, pass.Ended, []placement.Incarnation{{VM: "e0", Start: 1}, {VM: "e1", Start: 1}})
+		h.crashEndpoint(h.trackers[0], q, "e0", quarantine.Admission{})
+		h.crashEndpoint(h.trackers[0], q, "e1", quarantine.Admission{})
+		admission, refused := h.trackers[1].Admit(h.ctx, q)
+		assert.Assert(t, refused == nil && admission.Trial)
+		assert.DeepEqual(t, admission.Crashed, []placement.Incarnation{{VM: "e0", Start: 1}, {VM: "e1", Start: 1}})
 	})
 }
 
-// TestTrialWithoutResultExpires: during a trial whose end nobody reports, requests at other Keepers
+// TestTrialWithoutResultExpires: during a trial whose end nobody reports, requests at other Trackers
 // are refused when their patience ends. Another trial is possible after a while.
 func TestTrialWithoutResultExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 2)
 		q := request("a")
-		h.crashEndpoint(h.keepers[0], q, "e0", quarantine.Pass{})
-		h.crashEndpoint(h.keepers[0], q, "e1", quarantine.Pass{})
-		pass, _ := h.keepers[0].Admit(h.ctx, q)
-		assert.Assert(t, pass.Trial)
+		h.crashEndpoint(h.trackers[0], q, "e0", quarantine.Admission{})
+		h.crashEndpoint(h.trackers[0], q, "e1", quarantine.Admission{})
+		admission, _ := h.trackers[0].Admit(h.ctx, q)
+		assert.Assert(t, admission.Trial)
 		began := time.Now()
-		_, refused := h.keepers[1].Admit(h.ctx, q)
+		_, refused := h.trackers[1].Admit(h.ctx, q)
 		assert.Assert(t, refused != nil)
 		assert.Assert(t, time.Since(began) <= q.Patience+250*time.Millisecond)
 		assert.Assert(t, refused.RetryAfter <= time.Second)
 		time.Sleep(4 * time.Second)
-		pass, _ = h.keepers[1].Admit(h.ctx, q)
-		assert.Assert(t, pass.Trial)
+		admission, _ = h.trackers[1].Admit(h.ctx, q)
+		assert.Assert(t, admission.Trial)
 	})
 }
 
-// TestStoreUnavailable: while the store is down, notes alone reach all Keepers, and each of them
+// TestStoreUnavailable: while the store is down, notes alone reach all Trackers, and each of them
 // has one trial at a time of its own. No request is refused because the store is down, and one that
 // crashes endpoints is refused.
 func TestStoreUnavailable(t *testing.T) {
@@ -402,15 +402,15 @@
 		h := newHarness(t, 3)
 		h.setStoreDown(true)
 		q := request("a")
-		h.crashEndpoint(h.keepers[0], q, "e0", quarantine.Pass{})
-		h.crashEndpoint(h.keepers[1], q, "e1", quarantine.Pass{})
-		pass, refused := h.keepers[2].Admit(h.ctx, q)
-		assert.Assert(t, refused == nil && pass.Trial)
-		_, refused = h.keepers[2].Admit(h.ctx, q)
+		h.crashEndpoint(h.trackers[0], q, "e0", quarantine.Admission{})
+		h.crashEndpoint(h.trackers[1], q, "e1", quarantine.Admission{})
+		admission, refused := h.trackers[2].Admit(h.ctx, q)
+		assert.Assert(t, refused == nil && admission.Trial)
+		_, refused = h.trackers[2].Admit(h.ctx, q)
 		assert.Assert(t, refused != nil, "one balancer has two trials at a time")
-		h.crashEndpoint(h.keepers[2], q, "e2", pass)
-		h.crashOnTrial(t, h.keepers[1], q)
-		for _, k := range h.keepers {
+		h.crashEndpoint(h.trackers[2], q, "e2", admission)
+		h.crashOnTrial(t, h.trackers[1], q)
+		for _, k := range h.trackers {
 			_, refused = k.Admit(h.ctx, q)
 			assert.Assert(t, refused != nil)
 		}
@@ -422,35 +422,35 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 2)
 		q := request("a")
-		h.crashEndpoint(h.keepers[0], q, "e0", quarantine.Pass{})
-		h.crashEndpoint(h.keepers[0], q, "e1", quarantine.Pass{})
-		pass, _ := h.keepers[0].Admit(h.ctx, q)
-		assert.Assert(t, pass.Trial)
+		h.crashEndpoint(h.trackers[0], q, "e0", quarantine.Admission{})
+		h.crashEndpoint(h.trackers[0], q, "e1", quarantine.Admission{})
+		admission, _ := h.trackers[0].Admit(h.ctx, q)
+		assert.Assert(t, admission.Trial)
 		go func() {
 			time.Sleep(40 * time.Millisecond) // no endpoint was available
-			h.keepers[0].Over(q)
+			h.trackers[0].EndTrial(q)
 		}()
-		pass, refused := h.keepers[1].Admit(h.ctx, q)
-		assert.Assert(t, refused == nil && pass.Trial)
-		h.keepers[0].Over(q) // a trial that has already ended
-		_, refused = h.keepers[0].Admit(h.ctx, q)
-		assert.Assert(t, refused != nil, "the trial of the other Keeper has ended")
+		admission, refused := h.trackers[1].Admit(h.ctx, q)
+		assert.Assert(t, refused == nil && admission.Trial)
+		h.trackers[0].EndTrial(q) // a trial that has already ended
+		_, refused = h.trackers[0].Admit(h.ctx, q)
+		assert.Assert(t, refused != nil, "the trial of the other Tracker has ended")
 	})
 }
 
 // TestRefusalIsRecordedWhenTheStoreReturns: a refusal is recorded once the store is available
-// again, whether or not the Keeper that observed the crashes does the shared work of its zone.
+// again, whether or not the Tracker that observed the crashes does the shared work of its zone.
 func TestRefusalIsRecordedWhenTheStoreReturns(t *testing.T) {
 	for _, observer := range []int{0, 1} {
 		synctest.Test(t, func(t *testing.T) {
 			h := newHarness(t, 2)
 			q := request("a")
-			h.crashEndpoint(h.keepers[0], q, "e0", quarantine.Pass{})
-			h.crashEndpoint(h.keepers[0], q, "e1", quarantine.Pass{})
-			h.crashOnTrial(t, h.keepers[observer], q)
-			pass, _ := h.keepers[observer].Admit(h.ctx, q)
+			h.crashEndpoint(h.trackers[0], q, "e0", quarantine.Admission{})
+			h.crashEndpoint(h.trackers[0], q, "e1", quarantine.Admission{})
+			h.crashOnTrial(t, h.trackers[observer], q)
+			admission, _ := h.trackers[observer].Admit(h.ctx, q)
 			h.setStoreDown(true)
-			h.crashEndpoint(h.keepers[observer], q, "e2", pass)
+			h.crashEndpoint(h.trackers[observer], q, "e2", admission)
 			time.Sleep(20 * time.Second)
 			h.setStoreDown(false)
 			time.Sleep(20 * time.Second)
@@ -467,7 +467,7 @@
 func storedRecord(h *harness, q quarantine.Request) (rec quarantine.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if stored, ok := h.records["quarantine/"+string(q.Prints.Exact)]; ok {
+	if stored, ok := h.records["quarantine/"+string(q.Fingerprints.Exact)]; ok {
 		if err := json.Unmarshal(stored.value, &rec); err != nil {
 			panic(err)
 		}
@@ -500,11 +500,11 @@
 					c.change(h)
 				}
 				q := request("a")
-				<-h.keepers[0].Broke(quarantine.Attempt{Request: q, Endpoint: "e0", Start: 1, Addr: "e0"})
+				<-h.trackers[0].CheckEndpoint(quarantine.Attempt{Request: q, Endpoint: "e0", Start: 1, Addr: "e0"})
 				time.Sleep(time.Second)
 				c.change(h)
 				time.Sleep(10 * time.Second)
-				assert.Equal(t, len(h.keepers[0].List()) == 1, c.crashed)
+				assert.Equal(t, len(h.trackers[0].List()) == 1, c.crashed)
 			})
 		})
 	}
@@ -517,25 +517,25 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 30)
 		q := request("popular")
-		for i, k := range h.keepers {
+		for i, k := range h.trackers {
 			endpoint := fmt.Sprintf("e%d", i)
 			h.stopEndpoint(endpoint)
-			k.Broke(quarantine.Attempt{Request: q, Endpoint: endpoint, Start: 1, Addr: endpoint})
+			k.CheckEndpoint(quarantine.Attempt{Request: q, Endpoint: endpoint, Start: 1, Addr: endpoint})
 		}
 		var refusals, trials atomic.Int64
 		for round := range 20 {
-			for _, k := range h.keepers {
+			for _, k := range h.trackers {
 				go func() {
-					pass, refused := k.Admit(h.ctx, q)
+					admission, refused := k.Admit(h.ctx, q)
 					if refused != nil {
 						refusals.Add(1)
 						return
 					}
-					if pass.Trial {
+					if admission.Trial {
 						trials.Add(1)
 					}
 					time.Sleep(20 * time.Millisecond) // an endpoint processes it
-					k.Ran(q)
+					k.Completed(q)
 				}()
 			}
 			time.Sleep(time.Duration(10+round) * time.Millisecond)
@@ -552,29 +552,29 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 3)
 		q := request("a")
-		h.crashUntilRefused(t, h.keepers[0], q)
+		h.crashUntilRefused(t, h.trackers[0], q)
 		time.Sleep(2 * time.Second)
-		assert.NilError(t, h.keepers[1].Release(h.ctx, q.Prints.Exact))
+		assert.NilError(t, h.trackers[1].Release(h.ctx, q.Fingerprints.Exact))
 		time.Sleep(2 * time.Second)
 		assert.DeepEqual(t, h.actions(q), []string{"try", "try", "try"})
 		time.Sleep(2 * time.Second)
-		h.crashOnTrial(t, h.keepers[2], q)
-		h.crashOnTrial(t, h.keepers[1], q)
+		h.crashOnTrial(t, h.trackers[2], q)
+		h.crashOnTrial(t, h.trackers[1], q)
 		assert.DeepEqual(t, h.actions(q), []string{"refuse", "refuse", "refuse"})
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, storedRecord(h, q).State, "refused")
 
 		ordered := request("b")
-		assert.NilError(t, h.keepers[1].Order(h.ctx, ordered.Prints.Exact))
+		assert.NilError(t, h.trackers[1].OrderRefusal(h.ctx, ordered.Fingerprints.Exact))
 		time.Sleep(2 * time.Hour)
 		assert.DeepEqual(t, h.actions(ordered), []string{"refuse", "refuse", "refuse"})
-		_, refused := h.startKeeper().Admit(h.ctx, ordered)
+		_, refused := h.startTracker().Admit(h.ctx, ordered)
 		assert.Assert(t, refused != nil)
-		assert.NilError(t, h.keepers[3].Release(h.ctx, ordered.Prints.Exact))
+		assert.NilError(t, h.trackers[3].Release(h.ctx, ordered.Fingerprints.Exact))
 		time.Sleep(2 * time.Second)
 		assert.DeepEqual(t, h.actions(ordered), []string{"send", "send", "send", "send"})
-		assert.ErrorIs(t, h.keepers[0].Release(h.ctx, request("c").Prints.Exact), quarantine.ErrUnknown)
-		assert.ErrorIs(t, h.keepers[0].Order(h.ctx, "abc"), quarantine.ErrInvalid)
+		assert.ErrorIs(t, h.trackers[0].Release(h.ctx, request("c").Fingerprints.Exact), quarantine.ErrUnknown)
+		assert.ErrorIs(t, h.trackers[0].OrderRefusal(h.ctx, "abc"), quarantine.ErrInvalid)
 	})
 }
 
@@ -584,16 +584,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 2)
 		q := request("a")
-		h.crashUntilRefused(t, h.keepers[0], q)
+		h.crashUntilRefused(t, h.trackers[0], q)
 		time.Sleep(crash.RefusalPeriod + time.Second)
 		assert.DeepEqual(t, h.actions(q), []string{"try", "try"})
-		pass, _ := h.keepers[1].Admit(h.ctx, q)
-		assert.Assert(t, pass.Trial)
-		h.keepers[1].Ran(q)
+		admission, _ := h.trackers[1].Admit(h.ctx, q)
+		assert.Assert(t, admission.Trial)
+		h.trackers[1].Completed(q)
 		time.Sleep(time.Second)
 		assert.DeepEqual(t, h.actions(q), []string{"send", "send"})
 		time.Sleep(crash.RefusalPeriod + time.Minute)
-		assert.Assert(t, h.keepers[0].Quiet() && h.keepers[1].Quiet())
+		assert.Assert(t, h.trackers[0].Empty() && h.trackers[1].Empty())
 	})
 }
 
@@ -602,17 +602,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 1)
 		q := request("a")
-		name := "quarantine/" + string(q.Prints.Exact)
+		name := "quarantine/" + string(q.Fingerprints.Exact)
 		for _, value := range []string{"", "null", "{}", "[]", "\xff", `{"state":"unheard-of"}`, `{"state":1}`, `{"state":"refused","ends":17}`} {
-			h.keepers[0].Observe(directory.Changes{Registrations: []directory.Record{{Key: name, Value: []byte(value), Revision: 5}}})
-			h.keepers[0].Hear(relay.Note{Topic: quarantine.Topic, Data: []byte(value)})
+			h.trackers[0].ApplyChanges(directory.Changes{Registrations: []directory.Record{{Key: name, Value: []byte(value), Revision: 5}}})
+			h.trackers[0].HandleNote(relay.Note{Topic: quarantine.Topic, Data: []byte(value)})
 		}
-		h.keepers[0].Observe(directory.Changes{Registrations: []directory.Record{
+		h.trackers[0].ApplyChanges(directory.Changes{Registrations: []directory.Record{
 			{Key: "quarantine/no-fingerprint", Value: []byte(`{"state":"ordered"}`), Revision: 6}, {Key: "relays/medina", Value: []byte("{}"), Revision: 7},
 		}})
-		_, refused := h.keepers[0].Admit(h.ctx, q)
+		_, refused := h.trackers[0].Admit(h.ctx, q)
 		assert.Assert(t, refused == nil)
-		assert.Assert(t, h.keepers[0].Quiet())
+		assert.Assert(t, h.trackers[0].Empty())
 	})
 }
 
@@ -622,16 +622,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 2)
 		q := request("a")
-		h.crashUntilRefused(t, h.keepers[0], q)
+		h.crashUntilRefused(t, h.trackers[0], q)
 		time.Sleep(10 * time.Second)
-		name := "quarantine/" + string(q.Prints.Exact)
+		name := "quarantine/" + string(q.Fingerprints.Exact)
 		h.mu.Lock()
 		h.revision++
 		gone := directory.Changes{Registrations: []directory.Record{{Key: name, Revision: h.revision, Gone: true}}}
 		delete(h.records, name)
 		h.mu.Unlock()
-		for _, k := range h.keepers {
-			k.Observe(gone)
+		for _, k := range h.trackers {
+			k.ApplyChanges(gone)
 		}
 		assert.DeepEqual(t, h.actions(q), []string{"refuse", "refuse"})
 		time.Sleep(10 * time.Second)
@@ -644,13 +644,13 @@
 func TestEntriesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 1)
-		k := h.keepers[0]
+		k := h.trackers[0]
 		crashing := request("guilty")
 		h.crashUntilRefused(t, k, crashing)
 		for i := range 1500 {
-			p := crash.Subject{Path: fmt.Sprint(i)}.Prints()
-			note := fmt.Sprintf(`{"what":"ended","exact":%q,"wide":%q,"service":"s","kind":"k","end":{"endpoint":"e","seen_by":"vm"}}`, p.Exact, p.Wide)
-			k.Hear(relay.Note{Topic: quarantine.Topic, Data: []byte(note)})
+			p := crash.Request{Path: fmt.Sprint(i)}.Fingerprints()
+			note := fmt.Sprintf(`{"what":"ended","exact":%q,"wide":%q,"service":"s","kind":"k","end":{"endpoint":"e","seen_by":"vm"}}`, p.Exact, p.AnyQuery)
+			k.HandleNote(relay.Note{Topic: quarantine.Topic, Data: []byte(note)})
 		}
 		assert.Assert(t, len(k.List()) <= 1024, "%d", len(k.List()))
 		_, refused := k.Admit(h.ctx, crashing)
--- a/quarantine/records.go
+++ b/quarantine/records.go
@@ -46,10 +46,10 @@
 	minRecordTTL = time.Second
 )
 
-// Observe applies changes of the store's records. Invalid records are logged and ignored. The end
-// of a record does not end a refusal: each Keeper measures by itself how long it holds, so that a
+// ApplyChanges applies changes of the store's records. Invalid records are logged and ignored. The end
+// of a record does not end a refusal: each Tracker measures by itself how long it holds, so that a
 // store that loses its keys releases nothing.
-func (k *Keeper) Observe(c directory.Changes) {
+func (k *Tracker) ApplyChanges(c directory.Changes) {
 	for _, r := range c.Registrations {
 		text, ok := strings.CutPrefix(r.Key, recordKeyPrefix)
 		if !ok {
@@ -74,7 +74,7 @@
 }
 
 // applyRecord applies a record if it is newer than the last one read.
-func (k *Keeper) applyRecord(f crash.Fingerprint, r directory.Record) error {
+func (k *Tracker) applyRecord(f crash.Fingerprint, r directory.Record) error {
 	var rec Record
 	if err := json.Unmarshal(r.Value, &rec); err != nil {
 		return fmt.Errorf("quarantine: record: %w", err)
@@ -124,7 +124,7 @@
 }
 
 // markRecordGone clears recordRevision after the store's record of a request has ended.
-func (k *Keeper) markRecordGone(f crash.Fingerprint, revision uint64) {
+func (k *Tracker) markRecordGone(f crash.Fingerprint, revision uint64) {
 	k.updateExisting(f, k.opts.Now(), func(ent *entry) {
 		if revision > ent.recordRevision {
 			ent.recordRevision = 0
@@ -134,7 +134,7 @@
 
 // markUnlistedRecordsGone clears recordRevision of the entries whose record is missing from a
 // complete listing of the store.
-func (k *Keeper) markUnlistedRecordsGone(c directory.Changes) {
+func (k *Tracker) markUnlistedRecordsGone(c directory.Changes) {
 	listed := map[crash.Fingerprint]bool{}
 	for _, r := range c.Registrations {
 		if text, ok := strings.CutPrefix(r.Key, recordKeyPrefix); ok && !r.Gone {
@@ -154,7 +154,7 @@
 // that decided them has had time to write them. One balancer of a zone does this, and only for
 // crashes that it knows from other sources than records: records written because of records would
 // be renewed for ever.
-func (k *Keeper) writeMissingRefusals(now time.Time) {
+func (k *Tracker) writeMissingRefusals(now time.Time) {
 	if k.cfg.Serving != nil && !k.cfg.Serving() {
 		return
 	}
@@ -173,7 +173,7 @@
 
 // startRefusalWrite starts writing the refusal of a request to the store in the background, if the
 // request is refused and no write is in progress.
-func (k *Keeper) startRefusalWrite(f crash.Fingerprint) {
+func (k *Tracker) startRefusalWrite(f crash.Fingerprint) {
 	now := k.opts.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -186,7 +186,7 @@
 }
 
 // writeRefusal tries to write a refusal to the store until it is recorded there or no longer holds.
-func (k *Keeper) writeRefusal(ctx context.Context, f crash.Fingerprint) {
+func (k *Tracker) writeRefusal(ctx context.Context, f crash.Fingerprint) {
 	for wait := minWriteBackoff; ctx.Err() == nil; wait = min(2*wait, maxWriteBackoff) {
 		rec, revision, validFor, ok := k.refusalRecord(f)
 		if !ok {
@@ -212,7 +212,7 @@
 // refusalRecord returns the record of a refusal, the revision of the record that it replaces, and
 // how long the refusal still holds. If the request is not refused, or the store has its refusal, it
 // clears writingRecord and returns false.
-func (k *Keeper) refusalRecord(f crash.Fingerprint) (Record, uint64, time.Duration, bool) {
+func (k *Tracker) refusalRecord(f crash.Fingerprint) (Record, uint64, time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	ent := k.entries[f]
@@ -247,7 +247,7 @@
 
 // replaceRecord writes a record in place of the one with the given revision. It expires after
 // validFor, but not before minRecordTTL, or never if an operator ordered the refusal.
-func (k *Keeper) replaceRecord(ctx context.Context, f crash.Fingerprint, rec Record, revision uint64, validFor time.Duration) error {
+func (k *Tracker) replaceRecord(ctx context.Context, f crash.Fingerprint, rec Record, revision uint64, validFor time.Duration) error {
 	value, err := json.Marshal(rec)
 	if err != nil {
 		return fmt.Errorf("quarantine: record: %w", err)
@@ -264,7 +264,7 @@
 
 // withdrawRefusal replaces the recorded refusal of a request that completed by a release, in the
 // background. A refusal that an operator ordered stays.
-func (k *Keeper) withdrawRefusal(f crash.Fingerprint) {
+func (k *Tracker) withdrawRefusal(f crash.Fingerprint) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	ent := k.entries[f]
--- a/quarantine/verify.go
+++ b/quarantine/verify.go
@@ -37,10 +37,10 @@
 // a connection that broke with the process.
 var probeDelays = []time.Duration{0, 5 * time.Millisecond, 25 * time.Millisecond}
 
-// Broke finds out, in the background, whether the endpoint of a broken attempt has crashed, and
+// CheckEndpoint finds out, in the background, whether the endpoint of a broken attempt has crashed, and
 // notifies all balancers if so. The channel is closed after the probes, whether or not they showed
 // a crash, or at once if too many checks are in progress.
-func (k *Keeper) Broke(a Attempt) <-chan struct{} {
+func (k *Tracker) CheckEndpoint(a Attempt) <-chan struct{} {
 	probed := make(chan struct{})
 	if !k.reserveCheck() {
 		k.cfg.Log.Warn("endpoint not checked for a crash: too many checks in progress", "id", a.Endpoint, "request", a.ID, "watched", maxChecks)
@@ -54,7 +54,7 @@
 		if why != "" {
 			k.reportCrash(a, why)
 		}
-		k.Over(a.Request) // ends the trial if the probes showed no crash
+		k.EndTrial(a.Request) // ends the trial if the probes showed no crash
 		close(probed)
 		if why == "" {
 			if why = k.watch(ctx, a); why != "" {
@@ -66,7 +66,7 @@
 }
 
 // reserveCheck counts one more running check. It returns false if maxChecks are running already.
-func (k *Keeper) reserveCheck() bool {
+func (k *Tracker) reserveCheck() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.runningChecks >= maxChecks {
@@ -77,7 +77,7 @@
 }
 
 // releaseCheck ends a check that reserveCheck counted.
-func (k *Keeper) releaseCheck() {
+func (k *Tracker) releaseCheck() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.runningChecks--
@@ -86,14 +86,14 @@
 // probe checks whether the endpoint is still running. It returns the evidence of a crash: its
 // address refuses connections, or another instance answers there. Without such evidence it returns
 // an empty text.
-func (k *Keeper) probe(ctx context.Context, a Attempt) string {
+func (k *Tracker) probe(ctx context.Context, a Attempt) string {
 	path := k.probePath(a.Service)
 	if path == "" {
 		return ""
 	}
 	for _, after := range probeDelays {
 		pause.For(ctx, after)
-		if k.cfg.Willing != nil && !k.cfg.Willing(a.Endpoint) {
+		if k.cfg.MayProbe != nil && !k.cfg.MayProbe(a.Endpoint) {
 			return ""
 		}
 		result, err := k.cfg.Prober.Probe(ctx, a.Addr, path, probeTimeout)
@@ -110,7 +110,7 @@
 }
 
 // probePath returns the path of the load reports of a service's endpoints; empty if they have none.
-func (k *Keeper) probePath(service string) string {
+func (k *Tracker) probePath(service string) string {
 	config := k.cfg.Endpoints.Snapshot().Config
 	if config == nil {
 		return ""
@@ -121,7 +121,7 @@
 // watch watches the directory for up to watchDuration. It returns the evidence of a crash: the
 // endpoint's entry ended without a notice of leaving, or has another start. Without such evidence
 // it returns an empty text.
-func (k *Keeper) watch(ctx context.Context, a Attempt) string {
+func (k *Tracker) watch(ctx context.Context, a Attempt) string {
 	for until := k.opts.Now().Add(watchDuration); k.opts.Now().Before(until) && ctx.Err() == nil; {
 		pause.For(ctx, k.opts.LookEvery)
 		e, found := k.cfg.Endpoints.Endpoint(a.Endpoint)
@@ -137,21 +137,21 @@
 
 // reportCrash records that the endpoint of an attempt crashed, notifies all balancers, and records
 // the refusal in the store if there is one now.
-func (k *Keeper) reportCrash(a Attempt, why string) {
+func (k *Tracker) reportCrash(a Attempt, why string) {
 	now := k.opts.Now()
 	k.endOwnTrial(a.Request)
 	k.crashes.Inc(1)
 	k.cfg.Log.Info("endpoint crashed during a request", "id", a.Endpoint, "start", a.Start, "why", why, "request", a.ID,
-		"fingerprint", string(a.Prints.Exact), "service", a.Service, "kind", a.Kind, "trial", a.Trial, "alone", a.Alone)
-	e := crash.Event{Endpoint: a.Endpoint, Start: a.Start, At: now, SeenBy: k.cfg.ID, Trial: a.Trial, Alone: a.Alone, RequestFingerprint: a.Prints.Exact}
-	k.addCrash(a.Prints, a.Service, a.Kind, e, now)
-	k.broadcast(note{What: noteCrashed, Exact: a.Prints.Exact, AnyQuery: a.Prints.Wide, Service: a.Service, Kind: a.Kind, Crash: newCrashData(e)})
-	k.startRefusalWrite(a.Prints.Exact)
-	k.startRefusalWrite(a.Prints.Wide)
+		"fingerprint", string(a.Fingerprints.Exact), "service", a.Service, "kind", a.Kind, "trial", a.Trial, "alone", a.Alone)
+	e := crash.Event{Endpoint: a.Endpoint, Start: a.Start, At: now, SeenBy: k.cfg.ID, Trial: a.Trial, Alone: a.Alone, RequestFingerprint: a.Fingerprints.Exact}
+	k.addCrash(a.Fingerprints, a.Service, a.Kind, e, now)
+	k.broadcast(note{What: noteCrashed, Exact: a.Fingerprints.Exact, AnyQuery: a.Fingerprints.AnyQuery, Service: a.Service, Kind: a.Kind, Crash: newCrashData(e)})
+	k.startRefusalWrite(a.Fingerprints.Exact)
+	k.startRefusalWrite(a.Fingerprints.AnyQuery)
 }
 
 // addCrash adds a crash to both histories of a request.
-func (k *Keeper) addCrash(p crash.Prints, service, kind string, e crash.Event, now time.Time) {
+func (k *Tracker) addCrash(p crash.Fingerprints, service, kind string, e crash.Event, now time.Time) {
 	k.updateBoth(p, now, func(ent *entry) {
 		ent.service, ent.kind, ent.crashReported = service, kind, true
 		ent.history = ent.history.WithCrash(e)
@@ -161,25 +161,25 @@
 	})
 }
 
-// Ran records that an endpoint completed a request, which shows that it does not cause crashes, and
+// Completed records that an endpoint completed a request, which shows that it does not cause crashes, and
 // notifies all balancers if it was suspected.
-func (k *Keeper) Ran(r Request) {
-	if !k.suspected(r.Prints) {
-		k.Over(r) // the completion of the same request elsewhere may have been reported meanwhile
+func (k *Tracker) Completed(r Request) {
+	if !k.suspected(r.Fingerprints) {
+		k.EndTrial(r) // the completion of the same request elsewhere may have been reported meanwhile
 		return
 	}
 	now := k.opts.Now()
 	k.endOwnTrial(r)
-	f, history, _, _ := k.decidingHistory(r.Prints, now)
+	f, history, _, _ := k.decidingHistory(r.Fingerprints, now)
 	k.cfg.Log.Info("suspected request completed", "fingerprint", string(f), "request", r.ID, "evidence", evidence(history, now))
-	k.addCompletion(r.Prints, now)
-	k.broadcast(note{What: noteCompleted, Exact: r.Prints.Exact, AnyQuery: r.Prints.Wide})
-	k.withdrawRefusal(r.Prints.Exact)
-	k.withdrawRefusal(r.Prints.Wide)
+	k.addCompletion(r.Fingerprints, now)
+	k.broadcast(note{What: noteCompleted, Exact: r.Fingerprints.Exact, AnyQuery: r.Fingerprints.AnyQuery})
+	k.withdrawRefusal(r.Fingerprints.Exact)
+	k.withdrawRefusal(r.Fingerprints.AnyQuery)
 }
 
 // addCompletion adds a completion to both histories of a request.
-func (k *Keeper) addCompletion(p crash.Prints, at time.Time) {
+func (k *Tracker) addCompletion(p crash.Fingerprints, at time.Time) {
 	k.updateBoth(p, k.opts.Now(), func(ent *entry) {
 		ent.history = ent.history.WithCompletion(at)
 		ent.clearTrial()
--- a/server/chooser.go
+++ b/server/chooser.go
@@ -60,7 +60,7 @@
 	s.fleet = s.newFleet()
 	s.limits = limits.New(limits.Config{Addr: settings.Link, Log: s.cfg.Log.Named("limits"), Metrics: s.metrics})
 	if s.cfg.Relays != nil {
-		s.keeper, s.rollouts = s.newKeeper(), s.newRollouts()
+		s.quarantine, s.rollouts = s.newQuarantine(), s.newRollouts()
 		opts.Observe = s.observe
 	}
 	if s.cfg.Relays != nil && settings.Link != "" {
@@ -81,8 +81,8 @@
 		}
 		s.limits.SetTransport(s.relays)
 	}
-	if s.keeper != nil {
-		go s.keeper.Run(ctx)
+	if s.quarantine != nil {
+		go s.quarantine.Run(ctx)
 		go s.rollouts.Run(ctx)
 	}
 	go s.fleet.Run(ctx, s.transport())
@@ -97,7 +97,7 @@
 		Log: s.cfg.Log.Named("choice"), Metrics: s.metrics, Stop: stop, Suspensions: s.suspended,
 		Limits: s.limits, Publish: s.tell,
 	}
-	if s.keeper != nil {
+	if s.quarantine != nil {
 		cfg.RolloutRecorder = s.rollouts
 	}
 	if s.relays != nil {
@@ -153,12 +153,12 @@
 	return s.relays
 }
 
-// newKeeper returns this balancer's knowledge of requests under which endpoints ended.
-func (s *Server) newKeeper() *quarantine.Keeper {
+// newQuarantine returns this balancer's knowledge of requests under which endpoints ended.
+func (s *Server) newQuarantine() *quarantine.Tracker {
 	return quarantine.New(quarantine.Config{
 		ID: s.cfg.Settings.ID, Log: s.cfg.Log.Named("quarantine"), Metrics: s.metrics,
-		Endpoints: s.directory, Prober: s.cfg.Policy.Client, Registry: s.cfg.Relays, Tell: s.tell, Serving: s.serving,
-		Willing: func(endpoint string) bool { return s.direct.MayProbe(endpoint, time.Now()) },
+		Endpoints: s.directory, Prober: s.cfg.Policy.Client, Registry: s.cfg.Relays, Publish: s.tell, Serving: s.serving,
+		MayProbe: func(endpoint string) bool { return s.direct.MayProbe(endpoint, time.Now()) },
 	})
 }
 
@@ -181,7 +181,7 @@
 	case rollout.BadVersionTopic:
 		err = s.rollouts.HandleNote(n)
 	default:
-		s.keeper.Hear(n)
+		s.quarantine.HandleNote(n)
 	}
 	if err != nil {
 		s.cfg.Log.Warn("note not read", "from", n.Origin, "topic", n.Topic, "error", err)
@@ -196,7 +196,7 @@
 	if s.relays != nil {
 		s.relays.Observe(c)
 	}
-	s.keeper.Observe(c)
+	s.quarantine.ApplyChanges(c)
 	s.rollouts.Observe(c)
 }
 
--- a/server/quarantine.go
+++ b/server/quarantine.go
@@ -16,27 +16,27 @@
 //	POST /quarantine/FINGERPRINT/refuse    has one refused until it is released
 func (s *Server) addQuarantine(mux *http.ServeMux) {
 	mux.HandleFunc("GET /quarantine", func(w http.ResponseWriter, _ *http.Request) {
-		if s.keeper == nil {
+		if s.quarantine == nil {
 			http.Error(w, errNoQuarantine.Error(), http.StatusNotImplemented)
 			return
 		}
-		s.encode(w, s.keeper.List())
+		s.encode(w, s.quarantine.List())
 	})
-	mux.HandleFunc("POST /quarantine/{fingerprint}/release", s.decree((*quarantine.Keeper).Release))
-	mux.HandleFunc("POST /quarantine/{fingerprint}/refuse", s.decree((*quarantine.Keeper).Order))
+	mux.HandleFunc("POST /quarantine/{fingerprint}/release", s.decree((*quarantine.Tracker).Release))
+	mux.HandleFunc("POST /quarantine/{fingerprint}/refuse", s.decree((*quarantine.Tracker).OrderRefusal))
 }
 
 // errNoQuarantine says that a balancer has none.
 var errNoQuarantine = errors.New("this balancer does not follow a store that is shared, and keeps no quarantine")
 
 // decree returns a handler that does an operator's will about one request.
-func (s *Server) decree(will func(*quarantine.Keeper, context.Context, crash.Fingerprint) error) http.HandlerFunc {
+func (s *Server) decree(will func(*quarantine.Tracker, context.Context, crash.Fingerprint) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if s.keeper == nil {
+		if s.quarantine == nil {
 			http.Error(w, errNoQuarantine.Error(), http.StatusNotImplemented)
 			return
 		}
-		err := will(s.keeper, r.Context(), crash.Fingerprint(r.PathValue("fingerprint")))
+		err := will(s.quarantine, r.Context(), crash.Fingerprint(r.PathValue("fingerprint")))
 		if err == nil {
 			w.WriteHeader(http.StatusNoContent)
 			return
--- a/server/server.go
+++ b/server/server.go
@@ -67,28 +67,28 @@
 
 // Server is a running balancer process.
 type Server struct {
-	cfg       Config
-	chooser   chooser
-	node      *node.Node           // nil with a Source
-	relays    *relay.Group         // nil where no changes are handed on
-	direct    *direct.Chooser      // nil without one
-	follower  *directory.Follower  // nil without one
-	directory *directory.Directory // nil without a follower
-	keeper    *quarantine.Keeper   // nil without relays
-	fleet     *fleet.Keeper        // nil without a follower
-	limits    *limits.Keeper       // nil without a follower
-	rollouts  *rollout.Controller  // nil without relays
-	suspended *suspend.Detector
-	balancer  *balancer.Balancer
-	tracing   *telemetry.Tracing
-	metrics   metrics.Registry
-	latency   *telemetry.Histograms
-	front     *pipeline.Server
-	admin     *http.Server
-	scrapes   *http.Server // nil without a metrics address
-	frontL    net.Listener
-	adminL    net.Listener
-	stopping  chan struct{}
+	cfg        Config
+	chooser    chooser
+	node       *node.Node           // nil with a Source
+	relays     *relay.Group         // nil where no changes are handed on
+	direct     *direct.Chooser      // nil without one
+	follower   *directory.Follower  // nil without one
+	directory  *directory.Directory // nil without a follower
+	quarantine *quarantine.Tracker  // nil without relays
+	fleet      *fleet.Keeper        // nil without a follower
+	limits     *limits.Keeper       // nil without a follower
+	rollouts   *rollout.Controller  // nil without relays
+	suspended  *suspend.Detector
+	balancer   *balancer.Balancer
+	tracing    *telemetry.Tracing
+	metrics    metrics.Registry
+	latency    *telemetry.Histograms
+	front      *pipeline.Server
+	admin      *http.Server
+	scrapes    *http.Server // nil without a metrics address
+	frontL     net.Listener
+	adminL     net.Listener
+	stopping   chan struct{}
 }
 
 // Start binds all addresses and serves.
@@ -124,8 +124,8 @@
 
 		Suspensions: s.suspended,
 	}
-	if s.keeper != nil {
-		balancerConfig.Quarantine = s.keeper
+	if s.quarantine != nil {
+		balancerConfig.Quarantine = s.quarantine
 	}
 	if s.fleet != nil {
 		balancerConfig.Access, balancerConfig.Quotas, balancerConfig.KeyPropagationTime = teams{s}, s.fleet, cfg.Settings.Discovery.ApplyWithin
