--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -102,15 +102,15 @@
 	defer span.End()
 	a := attempt{number: number, grant: grant, sentAt: time.Now()}
 	a.result = b.sendUpstream(ctx, x.route, grant, upstream.Request{
-		ID:            b.upstreamRequestID(x, grant),
-		Addr:          grant.Endpoint.Addr,
-		In:            x.r,
-		Body:          x.body,
-		Deadline:      x.deadline,
-		Instance:      grant.Endpoint.VM,
-		BufferBytes:   b.cfg.Policy.BufferBytes,
-		Admitted:      func() bool { return b.cfg.Chooser.StillAccepts(grant, time.Now()) },
-		Informational: x.forwardInformational,
+		ID:              b.upstreamRequestID(x, grant),
+		Addr:            grant.Endpoint.Addr,
+		Incoming:        x.r,
+		Body:            x.body,
+		Deadline:        x.deadline,
+		Instance:        grant.Endpoint.VM,
+		BufferBytes:     b.cfg.Policy.BufferBytes,
+		Admitted:        func() bool { return b.cfg.Chooser.StillAccepts(grant, time.Now()) },
+		OnInformational: x.forwardInformational,
 	})
 	span.SetAttributes(attribute.String("verdict", a.result.Verdict.String()), attribute.String("reason", string(a.result.Reason)))
 	x.logAttempt(&a, time.Now())
@@ -124,8 +124,8 @@
 func (b *Balancer) sendUpstream(ctx context.Context, route tenant.Route, grant placement.Grant, r upstream.Request) upstream.Result {
 	if b.mayUseProbeConnection(route, grant.Choice) {
 		reused := r
-		reused.MostIdle = b.cfg.Policy.MaxProbeConnectionAge
-		if result := b.cfg.Policy.Client.Send(ctx, reused); !result.Rested || !r.Body.Replayable() {
+		reused.MaxIdle = b.cfg.Policy.MaxProbeConnectionAge
+		if result := b.cfg.Policy.Client.Send(ctx, reused); !result.IdleTooLong || !r.Body.Replayable() {
 			return result
 		}
 	}
--- a/balancer/body.go
+++ b/balancer/body.go
@@ -36,7 +36,7 @@
 	// Some connections support no read deadline; the read then ends when the caller disconnects.
 	control := http.NewResponseController(x.w)
 	_ = control.SetReadDeadline(x.deadline)
-	err := x.body.Fill()
+	err := x.body.Prefetch()
 	_ = control.SetReadDeadline(time.Time{})
 	switch {
 	case err == nil:
--- a/balancer/clients.go
+++ b/balancer/clients.go
@@ -45,12 +45,12 @@
 	client, ok := c.byKey[key]
 	if !ok {
 		client = upstream.NewClient(upstream.Options{
-			Connections: key.connections,
-			HTTP2:       key.protocol == "h2c",
-			DialTimeout: c.policy.DialTimeout,
-			IdleTimeout: c.policy.IdleTimeout,
-			Fresh:       key.fresh,
-			Dialect:     &c.policy.Dialect,
+			MaxConnections: key.connections,
+			HTTP2:          key.protocol == "h2c",
+			DialTimeout:    c.policy.DialTimeout,
+			IdleTimeout:    c.policy.IdleTimeout,
+			NewConnections: key.fresh,
+			Dialect:        &c.policy.Dialect,
 		})
 		c.byKey[key] = client
 	}
@@ -60,12 +60,12 @@
 // closeIdle closes idle connections.
 func (c *clients) closeIdle() {
 	if c.policy.Client != nil {
-		c.policy.Client.Close()
+		c.policy.Client.CloseIdle()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, client := range c.byKey {
-		client.Close()
+		client.CloseIdle()
 	}
 }
 
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -59,7 +59,7 @@
 	line := x.log.Line(telemetry.EventAttempt).Int("attempt", int64(a.number)).Text("endpoint", a.grant.Endpoint.VM).
 		Text("verdict", a.result.Verdict.String()).Text("reason", string(a.result.Reason)).
 		Int("status", int64(status)).Millis("took_ms", now.Sub(a.sentAt)).
-		Bool("leaving", a.result.Report.Word.Leaving).Millis("backoff_ms", a.result.Report.Word.Backoff)
+		Bool("leaving", a.result.Report.Admission.Leaving).Millis("backoff_ms", a.result.Report.Admission.Backoff)
 	if a.result.Err != nil {
 		line.Text("error", a.result.Err.Error())
 	}
--- a/balancer/quarantine.go
+++ b/balancer/quarantine.go
@@ -60,7 +60,7 @@
 func (x *exchange) fingerprints() crash.Fingerprints {
 	s := crash.Request{Team: x.team, Method: x.r.Method, Host: x.r.Host, Path: x.r.URL.EscapedPath(), Query: x.r.URL.RawQuery, Length: x.r.ContentLength}
 	if x.bodyRead {
-		s.Body, _ = x.body.Whole()
+		s.Body, _ = x.body.Bytes()
 	}
 	return s.Fingerprints()
 }
@@ -79,8 +79,8 @@
 // crashed.
 func (b *Balancer) reportToQuarantine(ctx context.Context, x *exchange, a *attempt) {
 	switch {
-	case b.cfg.Quarantine == nil, a.suspended && a.result.Broken:
-	case a.result.Broken && !x.callerLeft():
+	case b.cfg.Quarantine == nil, a.suspended && a.result.ConnectionBroken:
+	case a.result.ConnectionBroken && !x.callerLeft():
 		x.quarantineNotified = true
 		checked := b.cfg.Quarantine.CheckEndpoint(x.brokenAttempt(a))
 		if x.admission.Suspected {
--- a/balancer/report_test.go
+++ b/balancer/report_test.go
@@ -42,7 +42,7 @@
 		if strings.HasPrefix(status, "503") {
 			want.Backoff = 3 * time.Second
 		}
-		assert.Equal(t, reports[0].report.Word, want, status)
+		assert.Equal(t, reports[0].report.Admission, want, status)
 	}
 }
 
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -42,7 +42,7 @@
 	if v == verdict.Ran {
 		v = verdict.MayHaveRun
 	}
-	return retry.Attempt{Number: a.number, Verdict: v, Replayable: body.Replayable(), Broken: a.result.Broken}
+	return retry.Attempt{Number: a.number, Verdict: v, Replayable: body.Replayable(), Broken: a.result.ConnectionBroken}
 }
 
 // forwardedOutcome returns what a forwarded response shows about its endpoint. err is why
@@ -63,7 +63,7 @@
 // endpoint. It shows nothing if nothing was written, the caller disconnected, or the VM was
 // suspended during the attempt.
 func failedAttemptResult(a *attempt, callerLeft bool, took time.Duration) placement.Result {
-	result := placement.Result{Outcome: placement.Failed, Took: took, Backoff: a.report().Word.Backoff}
+	result := placement.Result{Outcome: placement.Failed, Took: took, Backoff: a.report().Admission.Backoff}
 	res := &a.result
 	switch {
 	case a.suspended:
@@ -83,7 +83,7 @@
 // attempt, the age of the response is unknown and the report is undated.
 func (a *attempt) report() upstream.Report {
 	if a.suspended {
-		return a.result.Report.Undated()
+		return a.result.Report.WithoutTimeDependent()
 	}
 	return a.result.Report
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -81,7 +81,7 @@
 // for non-repeatable requests.
 func TestMayUseProbeConnection(t *testing.T) {
 	client := upstream.NewClient(upstream.Options{})
-	t.Cleanup(client.Close)
+	t.Cleanup(client.CloseIdle)
 	policy := Policy{FreshConnections: true, MaxProbeConnectionAge: 50 * time.Millisecond, Client: client}
 	nonRepeatableRoute, repeatableRoute := tenant.Route{Kind: &tenant.Kind{}}, tenant.Route{Kind: &tenant.Kind{Repeatable: true}}
 	for _, c := range []struct {
--- a/balancer/serve.go
+++ b/balancer/serve.go
@@ -73,7 +73,7 @@
 func (b *Balancer) deliver(x *exchange, a *attempt) error {
 	x.ran = true
 	status := a.result.Response.StatusCode
-	result := placement.Result{Outcome: forwardedOutcome(status, false, nil), Load: a.report().Load, Backoff: a.report().Word.Backoff}
+	result := placement.Result{Outcome: forwardedOutcome(status, false, nil), Load: a.report().Load, Backoff: a.report().Admission.Backoff}
 	if a.suspended {
 		result = placement.Result{Outcome: placement.Unused}
 	}
--- a/coord/limit/fleet_test.go
+++ b/coord/limit/fleet_test.go
@@ -189,7 +189,7 @@
 		if said == HeaderNamed && n.toldAt.IsZero() && !probe {
 			n.toldAt = f.Now()
 		}
-		n.limiter.ObserveAnswer(target, Answer{Said: said, Rate: rate, Asked: asked, Heard: f.Now()}, probe)
+		n.limiter.ObserveAnswer(target, Answer{Said: said, Rate: rate, SentAt: asked, ReceivedAt: f.Now()}, probe)
 		if a, ok := n.limiter.Report(target, f.Now()); ok {
 			f.call(n, a)
 		}
--- a/coord/limit/limit.go
+++ b/coord/limit/limit.go
@@ -18,7 +18,7 @@
 // # Usage
 //
 //	rate, said := limit.Parse(response.Header.Values("Lotuswing-Limit"))
-//	limiter.ObserveAnswer(target, limit.Answer{Said: said, Rate: rate, Asked: sent, Heard: now}, false)
+//	limiter.ObserveAnswer(target, limit.Answer{Said: said, Rate: rate, SentAt: sent, ReceivedAt: now}, false)
 //	if standing, _ := limiter.Standing(target, now); standing == limit.Askable {
 //		ask, _ := limiter.Ask(target, now)
 //		reply := owner.HandleAsks(addr, []limit.Ask{ask}, true, now) // at the owner
--- a/coord/limit/limit_test.go
+++ b/coord/limit/limit_test.go
@@ -69,11 +69,11 @@
 // named returns an answer that names a limit. asked and heard are in milliseconds after testStart,
 // as for withoutLimit.
 func named(rate float64, asked, heard int) Answer {
-	return Answer{Said: HeaderNamed, Rate: rate, Asked: at(asked), Heard: at(heard)}
+	return Answer{Said: HeaderNamed, Rate: rate, SentAt: at(asked), ReceivedAt: at(heard)}
 }
 
 // withoutLimit returns an answer without a limit header.
-func withoutLimit(asked, heard int) Answer { return Answer{Asked: at(asked), Heard: at(heard)} }
+func withoutLimit(asked, heard int) Answer { return Answer{SentAt: at(asked), ReceivedAt: at(heard)} }
 
 // TestOutOfOrderAnswers checks that the newest answer is in force, and that the lower limit is in
 // force if two requests overlapped.
@@ -94,8 +94,8 @@
 		"lifted, and an old answer names it":  {answers: []Answer{named(3, 0, 10), withoutLimit(10, 20), named(3, 15, 25)}, rate: 3},
 		"named again":                         {answers: []Answer{named(3, 0, 10), withoutLimit(10, 20), named(4, 20, 30)}, rate: 4},
 		"lifted after a late one":             {answers: []Answer{named(3, 0, 10), withoutLimit(10, 20), named(3, 15, 25), withoutLimit(25, 30)}, rate: 3, lifted: true},
-		"unreadable":                          {answers: []Answer{named(3, 0, 10), {Said: HeaderUnreadable, Asked: at(10), Heard: at(20)}}, rate: 3},
-		"a mute answer":                       {answers: []Answer{named(3, 0, 10), {Asked: at(10), Heard: at(20), MayLackHeader: true}}, rate: 3},
+		"unreadable":                          {answers: []Answer{named(3, 0, 10), {Said: HeaderUnreadable, SentAt: at(10), ReceivedAt: at(20)}}, rate: 3},
+		"a mute answer":                       {answers: []Answer{named(3, 0, 10), {SentAt: at(10), ReceivedAt: at(20), MayLackHeader: true}}, rate: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var w Observation
--- a/coord/limit/limiter.go
+++ b/coord/limit/limiter.go
@@ -71,13 +71,13 @@
 	case !ok && a.Said != HeaderNamed:
 		return
 	case !ok:
-		e = l.addEntry(t, a.Heard)
+		e = l.addEntry(t, a.ReceivedAt)
 	}
 	if probe {
 		e.probesNameLimit = e.probesNameLimit || a.Said == HeaderNamed
 		a.MayLackHeader = a.MayLackHeader || !e.probesNameLimit
 	}
-	l.setObserved(e, e.observed.With(a), a.Heard)
+	l.setObserved(e, e.observed.With(a), a.ReceivedAt)
 }
 
 // MergeRemote merges an observation received from another balancer into the entry of the endpoint.
--- a/coord/limit/observation.go
+++ b/coord/limit/observation.go
@@ -20,10 +20,10 @@
 
 // Answer is what one answer of an endpoint said about its limit.
 type Answer struct {
-	Said  HeaderState
-	Rate  float64   // requests per second, if Said is HeaderNamed
-	Asked time.Time // when the request was sent
-	Heard time.Time // when the header of the answer arrived
+	Said       HeaderState
+	Rate       float64   // requests per second, if Said is HeaderNamed
+	SentAt     time.Time // when the request was sent
+	ReceivedAt time.Time // when the header of the answer arrived
 	// MayLackHeader says that an answer of this kind may lack the header while a limit is in force.
 	MayLackHeader bool
 }
@@ -55,11 +55,11 @@
 func (o Observation) With(a Answer) Observation {
 	switch {
 	case a.Said == HeaderNamed:
-		return o.Merge(Observation{rate: a.Rate, asked: a.Asked, heard: a.Heard})
-	case a.Said == HeaderUnreadable || a.MayLackHeader || !o.Known() || o.lifted || a.Asked.Before(o.heard):
+		return o.Merge(Observation{rate: a.Rate, asked: a.SentAt, heard: a.ReceivedAt})
+	case a.Said == HeaderUnreadable || a.MayLackHeader || !o.Known() || o.lifted || a.SentAt.Before(o.heard):
 		return o
 	}
-	return o.Merge(Observation{rate: o.rate, lifted: true, asked: a.Asked, heard: a.Heard})
+	return o.Merge(Observation{rate: o.rate, lifted: true, asked: a.SentAt, heard: a.ReceivedAt})
 }
 
 // Merge returns which of two observations of one endpoint is in force: the one whose request was
--- a/direct/leaving_test.go
+++ b/direct/leaving_test.go
@@ -22,7 +22,7 @@
 // reportWith returns a report that has just arrived, with an endpoint's announcement.
 func reportWith(w admission.Signal) upstream.Report {
 	now := time.Now()
-	return upstream.Report{Asked: now, Heard: now, Word: w}
+	return upstream.Report{SentAt: now, ReceivedAt: now, Admission: w}
 }
 
 // leaving is an endpoint's announcement that it is leaving.
@@ -81,7 +81,7 @@
 	r := newFixture(4, selection.Options{})
 	for _, id := range []string{"e0", "e2"} {
 		answer := r.prober.answers[id]
-		answer.Word, answer.Heard = leaving, time.Now()
+		answer.Admission, answer.ReceivedAt = leaving, time.Now()
 		r.prober.answers[id] = answer
 	}
 	for range 20 {
--- a/direct/limits_test.go
+++ b/direct/limits_test.go
@@ -194,7 +194,7 @@
 		f.allowProbe = true
 		f.standing["e0"] = limit.Askable
 		answer := r.prober.answers["e0"]
-		answer.Limit = limit.Answer{Said: limit.HeaderNamed, Rate: 2, Heard: time.Now()}
+		answer.Limit = limit.Answer{Said: limit.HeaderNamed, Rate: 2, ReceivedAt: time.Now()}
 		r.prober.answers["e0"] = answer
 		foreign := answer
 		foreign.Instance = "another"
--- a/direct/probe.go
+++ b/direct/probe.go
@@ -108,10 +108,10 @@
 		return
 	}
 	e.observed = e.observed.WithProbe(answer.Load, now)
-	if answer.Warmup.Told {
-		e.observed = e.observed.WithWarmup(answer.Warmup.Left, now)
+	if answer.Warmup.Known {
+		e.observed = e.observed.WithWarmup(answer.Warmup.Remaining, now)
 	}
-	if answer.OfAnother(id) && c.cfg.Directory.MarkLeaving(id, t.listed.Start, now) {
+	if answer.NamesOtherInstance(id) && c.cfg.Directory.MarkLeaving(id, t.listed.Start, now) {
 		c.cfg.Log.Info("endpoint", "id", id, "state", "leaving", "why", "a probe found another instance", "instance", answer.Instance)
 	}
 }
--- a/direct/responses.go
+++ b/direct/responses.go
@@ -20,7 +20,7 @@
 // ObserveResponse processes what the response to a request says about the endpoint. It must be
 // called as soon as the response header has arrived, whatever the status.
 func (c *Chooser) ObserveResponse(g placement.Grant, r upstream.Report) {
-	if r.None() {
+	if r.IsEmpty() {
 		return
 	}
 	e := limits.Endpoint{ID: g.Endpoint.VM, Start: g.Choice.Start, Service: tenant.ServiceName(g.Service), Zone: g.Endpoint.Zone}
@@ -36,7 +36,7 @@
 // observeProbe processes what the response to a probe says about its endpoint. The response of
 // another instance at the same address says nothing about this endpoint and is ignored.
 func (c *Chooser) observeProbe(e limits.Endpoint, r upstream.Report) {
-	if r.OfAnother(e.ID) {
+	if r.NamesOtherInstance(e.ID) {
 		return
 	}
 	if c.cfg.Limits != nil {
@@ -47,16 +47,16 @@
 
 // observe processes what the response to a request or a probe says about the endpoint.
 func (c *Chooser) observe(e limits.Endpoint, r upstream.Report, source string) {
-	c.unsupported.record(e, r.Unread)
-	if r.Word.IsEmpty() {
+	c.unsupported.record(e, r.UnsupportedHeaders)
+	if r.Admission.IsEmpty() {
 		return
 	}
-	if r.Word.Leaving {
-		c.handleLeaving(e, source, r.Heard)
+	if r.Admission.Leaving {
+		c.handleLeaving(e, source, r.ReceivedAt)
 	}
 	if before, after := c.updateAdmission(e, r); after.BackoffUntil() != before.BackoffUntil() {
-		c.logBackoff(e, r, before.BackingOff(r.Heard), source)
-		c.publishBackoff(e, r.Word.Backoff, r.Heard)
+		c.logBackoff(e, r, before.BackingOff(r.ReceivedAt), source)
+		c.publishBackoff(e, r.Admission.Backoff, r.ReceivedAt)
 	}
 }
 
@@ -70,7 +70,7 @@
 		return before, after
 	}
 	before = state.admission
-	state.admission = before.With(r.Word, r.Heard)
+	state.admission = before.With(r.Admission, r.ReceivedAt)
 	return before, state.admission
 }
 
@@ -80,7 +80,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state, ok := c.endpoints[e.ID]; ok && state.start == e.Start {
-		state.admission = state.admission.WithRun(r.Asked)
+		state.admission = state.admission.WithRun(r.SentAt)
 	}
 }
 
@@ -91,7 +91,7 @@
 	if repeated {
 		log = c.cfg.Log.Debug
 	}
-	log("endpoint wants no requests", "id", e.ID, "service", e.Service, "for", r.Word.Backoff.String(), "from", source)
+	log("endpoint wants no requests", "id", e.ID, "service", e.Service, "for", r.Admission.Backoff.String(), "from", source)
 }
 
 // countUnwantedSend counts a request that is about to be sent, if its endpoint is leaving or
--- a/direct/warmup_test.go
+++ b/direct/warmup_test.go
@@ -17,7 +17,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	answer := p.answers[addr]
-	answer.Warmup = upstream.Warmup{Told: true, Left: left}
+	answer.Warmup = upstream.Warmup{Known: true, Remaining: left}
 	p.answers[addr] = answer
 }
 
--- a/limits/fleet_test.go
+++ b/limits/fleet_test.go
@@ -109,7 +109,7 @@
 // answerNow returns an answer with the given header values to a request sent now.
 func answerNow(values ...string) limit.Answer {
 	rate, said := limit.Parse(values)
-	return limit.Answer{Said: said, Rate: rate, Asked: time.Now(), Heard: time.Now()}
+	return limit.Answer{Said: said, Rate: rate, SentAt: time.Now(), ReceivedAt: time.Now()}
 }
 
 // standing returns the standing of the endpoint at one balancer.
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -21,7 +21,7 @@
 	time.Sleep(100 * time.Millisecond)
 	rate, said := limit.Parse(values)
 	now := time.Now()
-	return limit.Answer{Said: said, Rate: rate, Asked: now.Add(-10 * time.Millisecond), Heard: now}
+	return limit.Answer{Said: said, Rate: rate, SentAt: now.Add(-10 * time.Millisecond), ReceivedAt: now}
 }
 
 // TestLimitLog checks the log lines for a limit that is named, changed significantly, lifted and
--- a/limits/observe.go
+++ b/limits/observe.go
@@ -30,7 +30,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if a.Said == limit.HeaderUnreadable {
-		k.recordUnreadable(e, a.Heard)
+		k.recordUnreadable(e, a.ReceivedAt)
 	}
 	before := k.limiter.Observation(e.target())
 	k.limiter.ObserveAnswer(e.target(), a, from == fromProbe)
@@ -38,7 +38,7 @@
 		return
 	}
 	k.trackEndpoint(e)
-	k.logObservation(e, before, from, a.Heard)
+	k.logObservation(e, before, from, a.ReceivedAt)
 	k.reportToOwner(e, a)
 }
 
--- a/limits/owner.go
+++ b/limits/owner.go
@@ -39,7 +39,7 @@
 // reportToOwner sends what the endpoint has said to its owner, if that is news to the owner. k.mu
 // must be held.
 func (k *Keeper) reportToOwner(e Endpoint, a limit.Answer) {
-	if ask, ok := k.limiter.Report(e.target(), a.Heard); ok {
+	if ask, ok := k.limiter.Report(e.target(), a.ReceivedAt); ok {
 		go k.ask(context.Background(), e, ask)
 	}
 }
--- a/node/hear.go
+++ b/node/hear.go
@@ -19,14 +19,14 @@
 
 // hear takes what any answer says of the endpoint itself.
 func (n *Node) hear(service, vm string, r upstream.Report, from leaving.Source) {
-	if r.None() {
+	if r.IsEmpty() {
 		return
 	}
-	if r.Word.Leaving {
+	if r.Admission.Leaving {
 		n.MarkLeaving(leaving.Mark{VM: vm, Source: from})
 	}
-	if r.Word.Backoff > 0 {
-		n.log.Info("endpoint wants no requests", "id", vm, "service", service, "for", r.Word.Backoff.String(), "from", string(from))
+	if r.Admission.Backoff > 0 {
+		n.log.Info("endpoint wants no requests", "id", vm, "service", service, "for", r.Admission.Backoff.String(), "from", string(from))
 	}
 }
 
--- a/node/local.go
+++ b/node/local.go
@@ -60,7 +60,7 @@
 
 // hear takes what an answer says of whether its endpoint wants requests.
 func (p *local) hear(g placement.Grant, r upstream.Report) {
-	if r.Word.IsEmpty() && !r.Ran {
+	if r.Admission.IsEmpty() && !r.Ran {
 		return
 	}
 	p.mu.Lock()
@@ -69,9 +69,9 @@
 	if !ok {
 		return
 	}
-	o.admission = o.admission.With(r.Word, r.Heard)
+	o.admission = o.admission.With(r.Admission, r.ReceivedAt)
 	if r.Ran {
-		o.admission = o.admission.WithRun(r.Asked)
+		o.admission = o.admission.WithRun(r.SentAt)
 	}
 	p.endpoints[g.Endpoint.VM] = o
 }
--- a/quarantine/verify.go
+++ b/quarantine/verify.go
@@ -100,7 +100,7 @@
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
 			return "its address refuses connections"
-		case err == nil && result.OfAnother(a.Endpoint):
+		case err == nil && result.NamesOtherInstance(a.Endpoint):
 			return "another instance answers at its address"
 		case err == nil:
 			return "" // it is running, or has restarted, which its directory entry will show
--- a/upstream/body.go
+++ b/upstream/body.go
@@ -12,7 +12,7 @@
 
 // Body is a request body that several attempts can send in turn. It keeps a prefix of limited
 // size in memory; once more than that has been read from the source, no further attempt is
-// possible. Only Fill reads ahead; otherwise the source is read as an attempt sends it.
+// possible. Only Prefetch reads ahead; otherwise the source is read as an attempt sends it.
 type Body struct {
 	mu        sync.Mutex
 	source    io.Reader
@@ -28,11 +28,11 @@
 	return &Body{source: source, maxPrefix: maxPrefix}
 }
 
-// Fill reads the source to its end and returns the read error, if any. It is meant for bodies of
+// Prefetch reads the source to its end and returns the read error, if any. It is meant for bodies of
 // up to maxPrefix bytes (see NewBody). It stops early in a longer body, which must not be sent
 // afterwards. Once the body has been read, the HTTP server can detect that the caller disconnects
 // while its request waits, and a slow upload does not occupy a slot of an endpoint.
-func (b *Body) Fill() error {
+func (b *Body) Prefetch() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	buf := make([]byte, fillChunkBytes)
@@ -47,12 +47,12 @@
 	return b.err
 }
 
-// fillChunkBytes is the size of the buffer into which Fill reads.
+// fillChunkBytes is the size of the buffer into which Prefetch reads.
 const fillChunkBytes = 4 << 10
 
-// Whole returns the whole body and true if it was read to its end and is still in memory, and
+// Bytes returns the whole body and true if it was read to its end and is still in memory, and
 // otherwise nil and false.
-func (b *Body) Whole() ([]byte, bool) {
+func (b *Body) Bytes() ([]byte, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.bytesRead != len(b.prefix) || !errors.Is(b.err, io.EOF) {
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -39,12 +39,12 @@
 
 // Options configures a client. Fields that are zero take their defaults.
 type Options struct {
-	Connections int           // maximum of open connections of this client to one endpoint; 0 for no limit
-	HTTP2       bool          // use HTTP/2 without TLS, and no HTTP/1
-	DialTimeout time.Duration // default 1 s
-	IdleTimeout time.Duration // after which an idle connection is closed; default 90 s
-	Fresh       bool          // open a new connection for each request
-	Dialect     *Dialect      // nil for Native
+	MaxConnections int           // maximum of open connections of this client to one endpoint; 0 for no limit
+	HTTP2          bool          // use HTTP/2 without TLS, and no HTTP/1
+	DialTimeout    time.Duration // default 1 s
+	IdleTimeout    time.Duration // after which an idle connection is closed; default 90 s
+	NewConnections bool          // open a new connection for each request
+	Dialect        *Dialect      // nil for Native
 }
 
 // Client sends requests to endpoints. It is safe for concurrent use.
@@ -73,10 +73,10 @@
 			return &conn{Conn: c}, nil
 		},
 		MaxIdleConnsPerHost:    maxIdlePerEndpoint,
-		MaxConnsPerHost:        opts.Connections,
+		MaxConnsPerHost:        opts.MaxConnections,
 		IdleConnTimeout:        opts.IdleTimeout,
 		DisableCompression:     true,
-		DisableKeepAlives:      opts.Fresh,
+		DisableKeepAlives:      opts.NewConnections,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		Protocols:              new(http.Protocols),
 	}
@@ -85,6 +85,6 @@
 	return &Client{transport: t, http2: opts.HTTP2, dialect: opts.Dialect, reader: NewReader(opts.Dialect)}
 }
 
-// Close closes the idle connections, at the end of a client or when it is unknown how long they
+// CloseIdle closes the idle connections, at the end of a client or when it is unknown how long they
 // have been idle, as after the machine was suspended. The client stays usable and opens new ones.
-func (c *Client) Close() { c.transport.CloseIdleConnections() }
+func (c *Client) CloseIdle() { c.transport.CloseIdleConnections() }
--- a/upstream/dialect_test.go
+++ b/upstream/dialect_test.go
@@ -32,8 +32,8 @@
 func platformClient(t *testing.T, fresh bool) *upstream.Client {
 	t.Helper()
 	d := platform.Dialect()
-	c := upstream.NewClient(upstream.Options{Dialect: &d, Fresh: fresh})
-	t.Cleanup(c.Close)
+	c := upstream.NewClient(upstream.Options{Dialect: &d, NewConnections: fresh})
+	t.Cleanup(c.CloseIdle)
 	return c
 }
 
@@ -44,7 +44,7 @@
 		panic(err)
 	}
 	return c.Send(context.Background(), upstream.Request{
-		ID: "r1", Addr: addr, In: in, Body: upstream.NewBody(strings.NewReader(""), 1<<10),
+		ID: "r1", Addr: addr, Incoming: in, Body: upstream.NewBody(strings.NewReader(""), 1<<10),
 		Deadline: time.Now().Add(5 * time.Second), Instance: "i-1", BufferBytes: 1 << 10,
 	})
 }
@@ -121,7 +121,7 @@
 	assert.Assert(t, left > 0 && left <= 5*time.Second)
 }
 
-// TestFreshConnections checks that each request opens a connection if Options.Fresh is set, and
+// TestFreshConnections checks that each request opens a connection if Options.NewConnections is set, and
 // that requests reuse one otherwise.
 func TestFreshConnections(t *testing.T) {
 	for _, fresh := range []bool{false, true} {
@@ -157,8 +157,8 @@
 // negative or too long one is ignored.
 func TestProbeReadsWarmup(t *testing.T) {
 	for header, want := range map[string]upstream.Warmup{
-		"Warmup-Ms: 1500\r\n":                 {Told: true, Left: 1500 * time.Millisecond},
-		"Warmup-Ms: 0\r\n":                    {Told: true},
+		"Warmup-Ms: 1500\r\n":                 {Known: true, Remaining: 1500 * time.Millisecond},
+		"Warmup-Ms: 0\r\n":                    {Known: true},
 		"":                                    {},
 		"Warmup-Ms: soon\r\n":                 {},
 		"Warmup-Ms: -3\r\n":                   {},
@@ -173,7 +173,7 @@
 }
 
 // TestLongIdleConnectionIsNotUsed checks that a connection that is new or was idle for less than
-// MostIdle is used, that nothing is sent on one that was idle for longer, and that the verdict is
+// MaxIdle is used, that nothing is sent on one that was idle for longer, and that the verdict is
 // then NotRun.
 func TestLongIdleConnectionIsNotUsed(t *testing.T) {
 	e := scriptedEndpoint(t, rawendpoint.Answer(signedResponse))
@@ -182,8 +182,8 @@
 		in, err := http.NewRequest(http.MethodPost, "http://caller/x/", nil)
 		assert.NilError(t, err)
 		return c.Send(context.Background(), upstream.Request{
-			ID: "r1", Addr: e.Addr(), In: in, Body: upstream.NewBody(strings.NewReader("petition"), 1<<10),
-			Deadline: time.Now().Add(5 * time.Second), BufferBytes: 1 << 10, MostIdle: mostIdle,
+			ID: "r1", Addr: e.Addr(), Incoming: in, Body: upstream.NewBody(strings.NewReader("petition"), 1<<10),
+			Deadline: time.Now().Add(5 * time.Second), BufferBytes: 1 << 10, MaxIdle: mostIdle,
 		})
 	}
 	first := send(time.Nanosecond)
@@ -191,14 +191,14 @@
 	first.Close()
 	second := send(time.Hour)
 	assert.Equal(t, second.Verdict, verdict.Ran)
-	assert.Assert(t, !second.Rested)
+	assert.Assert(t, !second.IdleTooLong)
 	second.Close()
 	assert.Equal(t, e.Connections(), 1)
 	time.Sleep(time.Millisecond)
 	third := send(time.Nanosecond)
 	third.Close()
-	assert.Assert(t, third.Rested || e.Connections() == 2, "sent on a connection that had been idle for too long")
-	if third.Rested {
+	assert.Assert(t, third.IdleTooLong || e.Connections() == 2, "sent on a connection that had been idle for too long")
+	if third.IdleTooLong {
 		assert.Equal(t, third.Verdict, verdict.NotRun)
 		assert.Equal(t, len(e.Requests()), 2)
 	}
@@ -213,7 +213,7 @@
 		in, err := http.NewRequest(http.MethodPost, "http://caller/x/", nil)
 		assert.NilError(t, err)
 		return c.Send(context.Background(), upstream.Request{
-			ID: "r1", Addr: e.Addr(), In: in, Body: upstream.NewBody(strings.NewReader("petition"), 1<<10),
+			ID: "r1", Addr: e.Addr(), Incoming: in, Body: upstream.NewBody(strings.NewReader("petition"), 1<<10),
 			Deadline: time.Now().Add(5 * time.Second), BufferBytes: 1 << 10, Admitted: func() bool { return admitted },
 		})
 	}
--- a/upstream/http2_test.go
+++ b/upstream/http2_test.go
@@ -99,7 +99,7 @@
 				t.Run(fmt.Sprintf("%s/%s/%d bytes", name, method, len(body)), func(t *testing.T) {
 					e := newHTTP2Endpoint(t, fail)
 					c := upstream.NewClient(upstream.Options{HTTP2: true})
-					defer c.Close()
+					defer c.CloseIdle()
 					header := http.Header{"Idempotency-Key": {"once"}}
 					a := send(c, e.listener.Addr().String(), method, "petition", body, header, 5*time.Second)
 					assert.Equal(t, a.verdict, verdict.MayHaveRun)
@@ -124,7 +124,7 @@
 		return fr.WriteHeaders(http2.HeadersFrameParam{StreamID: s, BlockFragment: block.Bytes(), EndHeaders: true, EndStream: true}) == nil
 	})
 	c := upstream.NewClient(upstream.Options{HTTP2: true})
-	defer c.Close()
+	defer c.CloseIdle()
 	addr := e.listener.Addr().String()
 	assert.Equal(t, send(c, addr, "GET", "warm", "", http.Header{}, 5*time.Second).verdict, verdict.Ran)
 	assert.Equal(t, send(c, addr, "POST", "petition", "", http.Header{}, 5*time.Second).verdict, verdict.MayHaveRun)
--- a/upstream/report.go
+++ b/upstream/report.go
@@ -18,38 +18,40 @@
 // the endpoint itself. Only a Reader interprets the headers of a response that are about the
 // endpoint.
 type Report struct {
-	Asked time.Time // when the request was sent
-	Heard time.Time // when the header of the response arrived; zero if there was no response of the endpoint's own
-	Ran   bool      // the endpoint ran the request; false for a probe, and for a status that may mean the opposite (see promisesNotRun)
-
-	Instance string // ID of the incarnation; empty if the response does not name it
-	Load     placement.LoadReport
-	Warmup   Warmup
-	Limit    limit.Answer
-	Word     admission.Signal // whether the endpoint is leaving, and its backoff
-	// Unread names the headers that are unknown, and the headers Dialect.Leaving and Retry-After
+	SentAt     time.Time // when the request was sent
+	ReceivedAt time.Time // when the header of the response arrived; zero if there was no response of the endpoint's own
+	Ran        bool      // the endpoint ran the request; false for a probe, and for a status that may mean the opposite (see promisesNotRun)
+
+	Instance  string // ID of the incarnation; empty if the response does not name it
+	Load      placement.LoadReport
+	Warmup    Warmup
+	Limit     limit.Answer
+	Admission admission.Signal // whether the endpoint is leaving, and its backoff
+	// UnsupportedHeaders names the headers that are unknown, and the headers Dialect.Leaving and Retry-After
 	// if a value is malformed.
-	Unread []string
+	UnsupportedHeaders []string
 }
 
 // Warmup is the remaining time for which an endpoint is slow after its start, as the endpoint
 // reports it.
 type Warmup struct {
-	Told bool          // the response has a valid value
-	Left time.Duration // 0 once the endpoint is warm, or if Told is false
+	Known     bool          // the response has a valid value
+	Remaining time.Duration // 0 once the endpoint is warm, or if Known is false
 }
 
-// OfAnother reports whether the response names an instance other than the given one.
-func (r Report) OfAnother(instance string) bool { return r.Instance != "" && r.Instance != instance }
+// NamesOtherInstance reports whether the response names an instance other than the given one.
+func (r Report) NamesOtherInstance(instance string) bool {
+	return r.Instance != "" && r.Instance != instance
+}
 
-// None reports whether the report is empty: the endpoint itself gave no response.
-func (r Report) None() bool { return r.Heard.IsZero() }
+// IsEmpty reports whether the report is empty: the endpoint itself gave no response.
+func (r Report) IsEmpty() bool { return r.ReceivedAt.IsZero() }
 
-// Undated returns the part of a report that holds even if its age is unknown. An endpoint that
+// WithoutTimeDependent returns the part of a report that holds even if its age is unknown. An endpoint that
 // is leaving never takes that back, and if a backoff is counted from too late a time, it merely
 // ends later. Loads, limits and warm-ups hold only for the time of the response and are left out.
-func (r Report) Undated() Report {
-	return Report{Asked: r.Asked, Heard: r.Heard, Ran: r.Ran, Instance: r.Instance, Word: r.Word, Unread: r.Unread, Limit: limit.Answer{MayLackHeader: true, Asked: r.Asked, Heard: r.Heard}}
+func (r Report) WithoutTimeDependent() Report {
+	return Report{SentAt: r.SentAt, ReceivedAt: r.ReceivedAt, Ran: r.Ran, Instance: r.Instance, Admission: r.Admission, UnsupportedHeaders: r.UnsupportedHeaders, Limit: limit.Answer{MayLackHeader: true, SentAt: r.SentAt, ReceivedAt: r.ReceivedAt}}
 }
 
 const (
@@ -84,7 +86,7 @@
 	return []string{d.RequestID, d.InstanceID, d.NotRun, d.Signature, d.Load, d.Warmup, d.Limit, d.Leaving}
 }
 
-// standardHeaders are the HTTP headers that Report.Unread never names as unknown. They describe
+// standardHeaders are the HTTP headers that Report.UnsupportedHeaders never names as unknown. They describe
 // the response or its connection, for package net/http or the caller. Only Retry-After is about
 // the endpoint, and is read here.
 var standardHeaders = []string{
@@ -101,22 +103,22 @@
 // own. asked is when the request was sent, and heard when the header of the response arrived.
 func (r *Reader) Read(status int, h http.Header, asked, heard time.Time) Report {
 	d := r.dialect
-	out := Report{Asked: asked, Heard: heard, Load: d.ParseLoad(h.Get(d.Load)), Warmup: d.parseWarmup(h), Limit: d.parseLimit(h, asked, heard)}
+	out := Report{SentAt: asked, ReceivedAt: heard, Load: d.ParseLoad(h.Get(d.Load)), Warmup: d.parseWarmup(h), Limit: d.parseLimit(h, asked, heard)}
 	if d.InstanceID != "" {
 		out.Instance = h.Get(d.InstanceID)
 	}
 	leaving, leavingValid := d.parseLeaving(h)
 	backoff, backoffValid := d.parseBackoff(status, h, heard)
-	out.Word = admission.Signal{Leaving: leaving || out.Load.State == placement.Draining, Backoff: backoff}
+	out.Admission = admission.Signal{Leaving: leaving || out.Load.State == placement.Draining, Backoff: backoff}
 	if !leavingValid {
-		out.Unread = append(out.Unread, d.Leaving)
+		out.UnsupportedHeaders = append(out.UnsupportedHeaders, d.Leaving)
 	}
 	if !backoffValid {
-		out.Unread = append(out.Unread, retryAfter)
+		out.UnsupportedHeaders = append(out.UnsupportedHeaders, retryAfter)
 	}
 	for name := range h {
 		if !r.knownHeaders[name] {
-			out.Unread = append(out.Unread, name)
+			out.UnsupportedHeaders = append(out.UnsupportedHeaders, name)
 		}
 	}
 	return out
@@ -132,17 +134,17 @@
 	if err != nil || ms < 0 || ms > maxWarmup.Milliseconds() {
 		return Warmup{}
 	}
-	return Warmup{Told: true, Left: time.Duration(ms) * time.Millisecond}
+	return Warmup{Known: true, Remaining: time.Duration(ms) * time.Millisecond}
 }
 
 // parseLimit returns the endpoint's rate limit, or an Answer with MayLackHeader set if the dialect has no
 // header for it.
 func (d *Dialect) parseLimit(h http.Header, asked, heard time.Time) limit.Answer {
 	if d.Limit == "" {
-		return limit.Answer{MayLackHeader: true, Asked: asked, Heard: heard}
+		return limit.Answer{MayLackHeader: true, SentAt: asked, ReceivedAt: heard}
 	}
 	rate, said := limit.Parse(h.Values(d.Limit))
-	return limit.Answer{Said: said, Rate: rate, Asked: asked, Heard: heard}
+	return limit.Answer{Said: said, Rate: rate, SentAt: asked, ReceivedAt: heard}
 }
 
 // parseLeaving reports whether the endpoint is leaving: at least one value of the header
@@ -171,30 +173,30 @@
 	if !appliesToEndpoint {
 		return 0, true
 	}
-	longest, valid = RetryAfter(h, heard)
+	longest, valid = ParseRetryAfter(h, heard)
 	return min(longest, maxBackoff), valid
 }
 
-// RetryAfter returns the longest of the times in the Retry-After headers of a response that arrived
+// ParseRetryAfter returns the longest of the times in the Retry-After headers of a response that arrived
 // at heard. Malformed values are skipped; valid is false if there is one.
-func RetryAfter(h http.Header, heard time.Time) (longest time.Duration, valid bool) {
+func ParseRetryAfter(h http.Header, heard time.Time) (longest time.Duration, valid bool) {
 	date, err := http.ParseTime(h.Get("Date"))
 	if err != nil {
 		date = heard
 	}
 	valid = true
 	for _, value := range h.Values(retryAfter) {
-		after, ok := parseRetryAfter(value, date)
+		after, ok := parseRetryAfterValue(value, date)
 		longest, valid = max(longest, after), valid && ok
 	}
 	return longest, valid
 }
 
-// parseRetryAfter parses a value of Retry-After: seconds, with or without fractions, limited to
+// parseRetryAfterValue parses a value of Retry-After: seconds, with or without fractions, limited to
 // maxBackoff, or a date. A date is converted to the time since date, the Date of the response, so
 // that the clocks of endpoint and balancer are not compared. The result is 0 for a date that has
 // passed.
-func parseRetryAfter(value string, date time.Time) (after time.Duration, ok bool) {
+func parseRetryAfterValue(value string, date time.Time) (after time.Duration, ok bool) {
 	if seconds, ok := decimal.Parse(value); ok {
 		return time.Duration(min(seconds, maxBackoff.Seconds()) * float64(time.Second)), true
 	}
--- a/upstream/report_test.go
+++ b/upstream/report_test.go
@@ -43,8 +43,8 @@
 	} {
 		for _, status := range []int{200, 404, 429, 500, 503} {
 			r := readReport(status, http.Header{"Server-Leaving": c.values})
-			assert.Equal(t, r.Word, admission.Signal{Leaving: c.leaving}, "%s, %d", name, status)
-			assert.Equal(t, slices.Contains(r.Unread, "Server-Leaving"), c.unread, "%s, %d", name, status)
+			assert.Equal(t, r.Admission, admission.Signal{Leaving: c.leaving}, "%s, %d", name, status)
+			assert.Equal(t, slices.Contains(r.UnsupportedHeaders, "Server-Leaving"), c.unread, "%s, %d", name, status)
 		}
 	}
 }
@@ -78,8 +78,8 @@
 		"long":                    {values: []string{strings.Repeat("3", 8<<10)}, unread: true},
 	} {
 		r := readReport(503, http.Header{"Date": {date}, "Retry-After": c.values})
-		assert.Equal(t, r.Word, admission.Signal{Backoff: c.want}, name)
-		assert.Equal(t, slices.Contains(r.Unread, "Retry-After"), c.unread, name)
+		assert.Equal(t, r.Admission, admission.Signal{Backoff: c.want}, name)
+		assert.Equal(t, slices.Contains(r.UnsupportedHeaders, "Retry-After"), c.unread, name)
 	}
 }
 
@@ -96,7 +96,7 @@
 		if c.notRun {
 			h.Set("Not-Executed", "1")
 		}
-		assert.Equal(t, readReport(c.status, h).Word.Backoff, c.want, "%+v", c)
+		assert.Equal(t, readReport(c.status, h).Admission.Backoff, c.want, "%+v", c)
 	}
 }
 
@@ -118,8 +118,8 @@
 		"no response":                 {rawendpoint.Reset(), false},
 	} {
 		res := sendTo(platformClient(t, false), scriptedEndpoint(t, c.step).Addr())
-		assert.Equal(t, res.Report.Word.Leaving, c.want, name)
-		assert.Equal(t, res.Report.None(), !c.want, name)
+		assert.Equal(t, res.Report.Admission.Leaving, c.want, name)
+		assert.Equal(t, res.Report.IsEmpty(), !c.want, name)
 		res.Close()
 	}
 }
@@ -127,9 +127,9 @@
 // TestUndatedReport checks that leaving and backoff remain in a report of unknown age, and that
 // load, limit and warm-up do not.
 func TestUndatedReport(t *testing.T) {
-	r := readReport(503, http.Header{"Server-Leaving": {"1"}, "Retry-After": {"3"}, "Server-Load": {"1,0,3"}, "Server-Limit": {"2"}, "Warmup-Ms": {"9"}}).Undated()
-	assert.Equal(t, r.Word, admission.Signal{Leaving: true, Backoff: 3 * time.Second})
-	assert.Assert(t, !r.Load.Known && !r.Warmup.Told && r.Limit.MayLackHeader)
+	r := readReport(503, http.Header{"Server-Leaving": {"1"}, "Retry-After": {"3"}, "Server-Load": {"1,0,3"}, "Server-Limit": {"2"}, "Warmup-Ms": {"9"}}).WithoutTimeDependent()
+	assert.Equal(t, r.Admission, admission.Signal{Leaving: true, Backoff: 3 * time.Second})
+	assert.Assert(t, !r.Load.Known && !r.Warmup.Known && r.Limit.MayLackHeader)
 }
 
 // TestDrainingLoadReportMeansLeaving checks the Native dialect, which has no header for leaving.
@@ -138,9 +138,9 @@
 	reader := upstream.NewReader(&d)
 	h := http.Header{}
 	h.Set(upstream.LoadHeader, "inflight=1, slots=3, state=draining")
-	assert.Assert(t, reader.Read(200, h, heardAt, heardAt).Word.Leaving)
+	assert.Assert(t, reader.Read(200, h, heardAt, heardAt).Admission.Leaving)
 	h.Set(upstream.LoadHeader, "inflight=1, slots=3, state=live")
-	assert.Assert(t, !reader.Read(200, h, heardAt, heardAt).Word.Leaving)
+	assert.Assert(t, !reader.Read(200, h, heardAt, heardAt).Admission.Leaving)
 }
 
 // FuzzReport checks that the values of a report are within bounds whatever an endpoint sends, and
@@ -153,10 +153,10 @@
 		r := readReport(status, http.Header{
 			"Retry-After": {retryAfter}, "Server-Leaving": {leaving}, "Server-Limit": {limit}, "Server-Load": {load}, "Warmup-Ms": {warmup}, "Date": {date},
 		})
-		assert.Assert(t, r.Word.Backoff >= 0 && r.Word.Backoff <= time.Hour, "%v", r.Word.Backoff)
-		assert.Assert(t, r.Word.Backoff == 0 || status == http.StatusServiceUnavailable, "%d", status)
-		assert.Equal(t, r.Word.Leaving, strings.TrimSpace(leaving) == "1")
-		assert.Assert(t, r.Warmup.Left >= 0 && r.Warmup.Left <= time.Hour, "%v", r.Warmup.Left)
+		assert.Assert(t, r.Admission.Backoff >= 0 && r.Admission.Backoff <= time.Hour, "%v", r.Admission.Backoff)
+		assert.Assert(t, r.Admission.Backoff == 0 || status == http.StatusServiceUnavailable, "%d", status)
+		assert.Equal(t, r.Admission.Leaving, strings.TrimSpace(leaving) == "1")
+		assert.Assert(t, r.Warmup.Remaining >= 0 && r.Warmup.Remaining <= time.Hour, "%v", r.Warmup.Remaining)
 		assert.Assert(t, r.Limit.Rate >= 0, "%v", r.Limit.Rate)
 		assert.Assert(t, r.Load.InFlight >= 0 && r.Load.Waiting >= 0 && r.Load.Slots >= 0, "%+v", r.Load)
 	})
--- a/upstream/send.go
+++ b/upstream/send.go
@@ -17,22 +17,22 @@
 type Request struct {
 	ID       string
 	Addr     string        // of the endpoint
-	In       *http.Request // the caller's, with its hop-by-hop headers already removed
+	Incoming *http.Request // the caller's, with its hop-by-hop headers already removed
 	Body     *Body
 	Deadline time.Time // for the header of the response, and for its body if that is buffered
 	Instance string    // incarnation of the endpoint; sent if the dialect has a header for it
 	// BufferBytes is the size up to which response bodies are read to their end before Send
 	// returns; 0 for none.
 	BufferBytes int
-	// MostIdle is how long a reused connection may have been idle; 0 for any time. If the
-	// transport picks one that was idle for longer, the request is not sent, see Result.Rested.
-	MostIdle time.Duration
+	// MaxIdle is how long a reused connection may have been idle; 0 for any time. If the
+	// transport picks one that was idle for longer, the request is not sent, see Result.IdleTooLong.
+	MaxIdle time.Duration
 	// Admitted reports, once there is a connection, whether the endpoint may still get the
 	// request; nil for yes. If it may not, nothing is sent, see Result.Withdrawn. It is not
 	// called for HTTP/2, whose connections other requests share.
 	Admitted func() bool
-	// Informational is called with each 1xx response; may be nil.
-	Informational func(code int, header http.Header)
+	// OnInformational is called with each 1xx response; may be nil.
+	OnInformational func(code int, header http.Header)
 }
 
 // Result is the outcome of an attempt.
@@ -43,16 +43,16 @@
 	Response *http.Response
 	// Report is what the status and header of the response say about the endpoint, even if
 	// Response is nil. It is empty for a response that may not be the endpoint's own.
-	Report   Report
-	Buffered bool // the whole response body is in memory
-	Rested   bool // nothing was sent, because the connection had been idle for longer than MostIdle
+	Report      Report
+	Buffered    bool // the whole response body is in memory
+	IdleTooLong bool // nothing was sent, because the connection had been idle for longer than MaxIdle
 	// Withdrawn says that nothing was sent, because Admitted returned false.
 	Withdrawn bool
-	// Broken says that the request may have been sent and its connection failed before the end
+	// ConnectionBroken says that the request may have been sent and its connection failed before the end
 	// of the response and before the deadline, for example because the endpoint stopped.
-	Broken bool
-	Err    error // why there is no response
-	cancel func()
+	ConnectionBroken bool
+	Err              error // why there is no response
+	cancel           func()
 }
 
 // Close closes the response body, if any, and releases the attempt's resources. It closes the
@@ -74,7 +74,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(remaining, func() { cancel(context.DeadlineExceeded) })
 	defer timer.Stop()
-	tracker := &connTracker{mostIdle: r.MostIdle}
+	tracker := &connTracker{mostIdle: r.MaxIdle}
 	if !c.http2 {
 		tracker.admitted = r.Admitted
 	}
@@ -105,17 +105,17 @@
 // until its deadline.
 func (c *Client) outgoingRequest(ctx context.Context, r Request, remaining time.Duration) *http.Request {
 	u := &url.URL{
-		Scheme: "http", Host: r.Addr, Path: r.In.URL.Path, RawPath: r.In.URL.RawPath,
-		RawQuery: r.In.URL.RawQuery, ForceQuery: r.In.URL.ForceQuery,
+		Scheme: "http", Host: r.Addr, Path: r.Incoming.URL.Path, RawPath: r.Incoming.URL.RawPath,
+		RawQuery: r.Incoming.URL.RawQuery, ForceQuery: r.Incoming.URL.ForceQuery,
 	}
 	out := &http.Request{
-		Method:        r.In.Method,
+		Method:        r.Incoming.Method,
 		URL:           u,
-		Host:          r.In.Host,
-		Header:        r.In.Header.Clone(),
+		Host:          r.Incoming.Host,
+		Header:        r.Incoming.Header.Clone(),
 		Body:          r.Body.Attempt(),
-		ContentLength: r.In.ContentLength,
-		Trailer:       r.In.Trailer,
+		ContentLength: r.Incoming.ContentLength,
+		Trailer:       r.Incoming.Trailer,
 	}
 	out.Header.Set(c.dialect.RequestID, r.ID)
 	out.Header.Set(c.dialect.Timeout, c.dialect.FormatTimeout(remaining))
@@ -156,12 +156,12 @@
 	t.idleTooLong = !t.withdrawn && t.mostIdle > 0 && info.Reused && info.IdleTime > t.mostIdle && t.conn.sealIfNoWriteSince(t.writesBefore)
 }
 
-// trace returns the hooks for net/http that call gotConn and r.Informational.
+// trace returns the hooks for net/http that call gotConn and r.OnInformational.
 func (t *connTracker) trace(r Request) *httptrace.ClientTrace {
 	hooks := &httptrace.ClientTrace{GotConn: t.gotConn}
-	if r.Informational != nil {
+	if r.OnInformational != nil {
 		hooks.Got1xxResponse = func(code int, header textproto.MIMEHeader) error {
-			r.Informational(code, http.Header(header))
+			r.OnInformational(code, http.Header(header))
 			return nil
 		}
 	}
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	res := c.Send(ctx, upstream.Request{
-		ID: "id-" + key, Addr: addr, In: in, Body: upstream.NewBody(in.Body, 1<<10), Deadline: time.Now().Add(within),
+		ID: "id-" + key, Addr: addr, Incoming: in, Body: upstream.NewBody(in.Body, 1<<10), Deadline: time.Now().Add(within),
 	})
 	defer res.Close()
 	out := attempt{verdict: res.Verdict}
@@ -95,7 +95,7 @@
 func testNoResendAfterClose(t *testing.T, method string, idempotencyKey, reused bool, f rawendpoint.Fault) {
 	e := faultyEndpoint(t)
 	c := upstream.NewClient(upstream.Options{})
-	defer c.Close()
+	defer c.CloseIdle()
 	header := http.Header{}
 	if idempotencyKey {
 		header.Set("Idempotency-Key", "once")
@@ -116,7 +116,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		e := faultyEndpoint(t)
 		c := upstream.NewClient(upstream.Options{})
-		defer c.Close()
+		defer c.CloseIdle()
 		steps := rapid.IntRange(1, 6).Draw(t, "steps")
 		for i := range steps {
 			e.Set(rapid.SampledFrom(rawendpoint.AllFaults).Draw(t, "fault"))
@@ -140,8 +140,8 @@
 // connection has verdict NotRun and does not run later. It waits because another request uses the
 // only connection that the client may open.
 func TestDeadlineBeforeConnection(t *testing.T) {
-	c := upstream.NewClient(upstream.Options{Connections: 1})
-	defer c.Close()
+	c := upstream.NewClient(upstream.Options{MaxConnections: 1})
+	defer c.CloseIdle()
 	e := faultyEndpoint(t)
 	e.Set(rawendpoint.SilentAfterRead)
 	blocked := make(chan attempt, 1)
@@ -167,7 +167,7 @@
 		a := send(c, e.Addr(), "GET", "k", "", http.Header{}, time.Minute)
 		assert.Equal(t, a.status, http.StatusOK)
 		assert.Assert(t, !a.whole, f)
-		c.Close()
+		c.CloseIdle()
 	}
 }
 
@@ -177,7 +177,7 @@
 	e := faultyEndpoint(t)
 	e.Set(rawendpoint.AnswerForeign)
 	c := upstream.NewClient(upstream.Options{})
-	defer c.Close()
+	defer c.CloseIdle()
 	a := send(c, e.Addr(), "GET", "k", "", http.Header{}, time.Minute)
 	assert.Equal(t, a.verdict, verdict.MayHaveRun)
 	assert.Equal(t, a.body, "")
--- a/upstream/verdict.go
+++ b/upstream/verdict.go
@@ -129,14 +129,14 @@
 		return Result{Verdict: verdict.NotRun, Reason: reason.Withdrawn, Withdrawn: true, Err: err}
 	case t.idleTooLong: // sealed before anything could be written
 		_ = t.conn.Close()
-		return Result{Verdict: verdict.NotRun, Reason: reason.NothingWritten, Rested: true, Err: err}
+		return Result{Verdict: verdict.NotRun, Reason: reason.NothingWritten, IdleTooLong: true, Err: err}
 	case t.conn != nil && !http2 && t.conn.sealIfNoWriteSince(t.writesBefore):
 		_ = t.conn.Close() // sealed: nothing was written, and nothing can be any more
 		return Result{Verdict: verdict.NotRun, Reason: reason.NothingWritten, Err: err}
 	case errors.Is(cause, context.DeadlineExceeded):
 		return Result{Verdict: verdict.MayHaveRun, Reason: reason.AnswerLate, Err: err}
 	}
-	return Result{Verdict: verdict.MayHaveRun, Reason: reason.AnswerUnknown, Broken: cause == nil, Err: err}
+	return Result{Verdict: verdict.MayHaveRun, Reason: reason.AnswerUnknown, ConnectionBroken: cause == nil, Err: err}
 }
 
 // noConnectionReason returns the reason for an attempt that got no connection. cause is why its
