--- a/coord/lease/lease.go
+++ b/coord/lease/lease.go
@@ -39,15 +39,15 @@
 
 // Term is the period for which a lease is held. The zero value is never valid.
 type Term struct {
-	Token    uint64 // fencing token: the store's revision at the last renewal, so it grows with each holder
-	First    uint64 // the revision at which this holder acquired the lease
-	Deadline time.Time
+	Token            uint64 // fencing token: the store's revision at the last renewal, so it grows with each holder
+	AcquiredRevision uint64 // the revision at which this holder acquired the lease
+	Deadline         time.Time
 }
 
 // NewTerm returns the term of a lease whose request was sent at sent. first is the revision at
 // which the holder acquired the lease, token that of this grant.
 func NewTerm(sent time.Time, ttl time.Duration, first, token uint64) Term {
-	return Term{Token: token, First: first, Deadline: sent.Add(ttl - ttl/marginDivisor)}
+	return Term{Token: token, AcquiredRevision: first, Deadline: sent.Add(ttl - ttl/marginDivisor)}
 }
 
 // Valid reports whether the holder may act at now.
@@ -57,7 +57,9 @@
 
 // SameHolding reports whether one holder had the lease without interruption from one term to the
 // other: it did not expire, and was neither released nor dropped in between.
-func (t Term) SameHolding(o Term) bool { return t.First == o.First && t.First != 0 }
+func (t Term) SameHolding(o Term) bool {
+	return t.AcquiredRevision == o.AcquiredRevision && t.AcquiredRevision != 0
+}
 
 // Store is the part of a key-value store that a Keeper uses.
 type Store interface {
@@ -114,7 +116,7 @@
 	}
 	first := entry.Revision
 	if k.term.Valid(sent) {
-		first = k.term.First
+		first = k.term.AcquiredRevision
 	}
 	k.lastEntry = entry
 	k.term = NewTerm(sent, k.ttl, first, entry.Revision)
--- a/direct/acquire.go
+++ b/direct/acquire.go
@@ -153,7 +153,7 @@
 		if admitted.Access == admission.Excluded {
 			continue
 		}
-		listing := selection.Listing{Slots: e.Slots, SameZone: e.Zone == c.cfg.Zone, Admission: admitted, WarmUntil: e.WarmAt, WarmupReceivedAt: e.WarmTold}
+		listing := selection.Listing{Slots: e.Slots, SameZone: e.Zone == c.cfg.Zone, Admission: admitted, WarmUntil: e.WarmUntil, WarmupReceivedAt: e.WarmupReceivedAt}
 		s.ranking.Add(selection.NewCandidate(&state.observed, i, listing, &s.learned, c.rng.Uint32(), now))
 	}
 	s.ranking.DropEjected()
--- a/direct/admission_model_test.go
+++ b/direct/admission_model_test.go
@@ -37,7 +37,7 @@
 // know what they announced. If whole is set, they replace the earlier list.
 func (m *admissionModel) listAll(whole bool) {
 	m.revision++
-	c := directory.Changes{Whole: whole, At: m.revision}
+	c := directory.Changes{Complete: whole, Revision: m.revision}
 	for i := range modelEndpoints {
 		id := fmt.Sprint("e", i)
 		c.Entries = append(c.Entries, directory.Entry{Endpoint: directory.Endpoint{
--- a/direct/backoff_test.go
+++ b/direct/backoff_test.go
@@ -122,9 +122,9 @@
 		g, other := grant(t, r), grant(t, r)
 		r.ObserveResponse(g, reportWith(admission.Signal{Backoff: time.Minute}))
 		r.Complete(g, placement.Result{Outcome: placement.Shed})
-		r.directory.Apply(directory.Changes{Gone: []directory.Gone{{ID: "e0", Revision: 2}}}, time.Now())
+		r.directory.Apply(directory.Changes{Gone: []directory.RemovedEntry{{ID: "e0", Revision: 2}}}, time.Now())
 		time.Sleep(30 * time.Second)
-		r.directory.Apply(directory.Changes{At: 3}, time.Now())
+		r.directory.Apply(directory.Changes{Revision: 3}, time.Now())
 		r.Complete(other, placement.Result{Outcome: placement.Unused}) // drops the states of endpoints that are gone
 		r.restart("e0", 0, 4)
 		request := newRequest()
--- a/direct/direct.go
+++ b/direct/direct.go
@@ -202,7 +202,7 @@
 	switch {
 	case s.Config == nil:
 		return false, "no configuration"
-	case s.Known == 0:
+	case s.ListedCount == 0:
 		return false, "no endpoint is known"
 	}
 	return true, ""
--- a/direct/direct_test.go
+++ b/direct/direct_test.go
@@ -222,7 +222,7 @@
 		}
 		assert.Equal(t, serveOne(), "e0", "the only one in the own zone")
 		r.prober.set("new", 0, 1)
-		r.directory.Apply(directory.Changes{At: 9, Entries: []directory.Entry{{
+		r.directory.Apply(directory.Changes{Revision: 9, Entries: []directory.Entry{{
 			Endpoint: directory.Endpoint{Endpoint: placement.Endpoint{VM: "new", Addr: "new", Zone: "near", Slots: 3}, Service: "s"}, Revision: 9,
 		}}}, time.Now())
 		assert.Equal(t, serveOne(), "new")
@@ -397,11 +397,11 @@
 // once, they are still used as a last resort for some seconds, and no longer.
 func TestMissingEndpointsAreUsedBriefly(t *testing.T) {
 	r := newFixture(2, selection.Options{})
-	r.directory.Apply(directory.Changes{Whole: true, At: 9}, time.Now())
+	r.directory.Apply(directory.Changes{Complete: true, Revision: 9}, time.Now())
 	_, refused := r.Acquire(context.Background(), newRequest())
 	assert.Assert(t, refused == nil)
 	r = newFixture(2, selection.Options{})
-	r.directory.Apply(directory.Changes{Whole: true, At: 9}, time.Now().Add(-10*time.Second))
+	r.directory.Apply(directory.Changes{Complete: true, Revision: 9}, time.Now().Add(-10*time.Second))
 	_, refused = r.Acquire(context.Background(), newRequest())
 	assert.Equal(t, refused.Reason, reason.NoEndpoint)
 }
@@ -433,10 +433,10 @@
 	assert.Assert(t, refused == nil)
 	other, refused := r.Acquire(context.Background(), placement.Request{ID: "b", Service: "t/s", Avoid: []string{held.Endpoint.VM}, Target: time.Hour, Deadline: time.Now().Add(time.Hour), Accepted: time.Now()})
 	assert.Assert(t, refused == nil)
-	r.directory.Apply(directory.Changes{At: 9, Entries: []directory.Entry{{
+	r.directory.Apply(directory.Changes{Revision: 9, Entries: []directory.Entry{{
 		Endpoint: directory.Endpoint{Endpoint: placement.Endpoint{VM: "new", Slots: 3}, Service: "s"}, Revision: 9,
-	}}, Whole: true}, time.Now().Add(-time.Hour))
-	r.directory.Apply(directory.Changes{At: 10}, time.Now())
+	}}, Complete: true}, time.Now().Add(-time.Hour))
+	r.directory.Apply(directory.Changes{Revision: 10}, time.Now())
 	r.Complete(other, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
 	assert.Equal(t, r.EndpointStateCount(), 1, "the endpoint that still holds a request")
 	r.Complete(held, placement.Result{Outcome: placement.Completed, Took: time.Millisecond})
--- a/direct/evacuation_test.go
+++ b/direct/evacuation_test.go
@@ -16,7 +16,7 @@
 func (r *fixture) evacuate(revision uint64, ended bool, zones ...string) {
 	var evacuations []directory.Evacuation
 	for _, zone := range zones {
-		evacuations = append(evacuations, directory.Evacuation{Zone: zone, Over: ended, Revision: revision})
+		evacuations = append(evacuations, directory.Evacuation{Zone: zone, Ended: ended, Revision: revision})
 	}
 	r.directory.Apply(directory.Changes{Evacuations: evacuations}, time.Now())
 }
--- a/direct/leaving_test.go
+++ b/direct/leaving_test.go
@@ -151,5 +151,5 @@
 	for _, data := range []string{"", "{", "7", `{"ID":""}`, `{"ID":3}`, `{"Start":1}`} {
 		assert.Assert(t, r.HandleNote(relay.Note{Data: []byte(data)}) != nil, data)
 	}
-	assert.Equal(t, r.directory.Snapshot().Known, 2)
+	assert.Equal(t, r.directory.Snapshot().ListedCount, 2)
 }
--- a/direct/pool_test.go
+++ b/direct/pool_test.go
@@ -47,8 +47,8 @@
 			Endpoint: placement.Endpoint{VM: id, Addr: id, Zone: "near", Slots: 3}, Service: "s",
 		}, Revision: 2})
 	}
-	r.directory.Apply(directory.Changes{At: 9, Whole: true, Entries: fresh}, time.Now().Add(-time.Hour))
-	r.directory.Apply(directory.Changes{At: 10}, time.Now())
+	r.directory.Apply(directory.Changes{Revision: 9, Complete: true, Entries: fresh}, time.Now().Add(-time.Hour))
+	r.directory.Apply(directory.Changes{Revision: 10}, time.Now())
 	for range 50 {
 		assert.Equal(t, r.acquireAndComplete(t).Endpoint.VM[0], byte('f'))
 	}
@@ -69,7 +69,7 @@
 		}, Revision: 1})
 	}
 	order := directory.RolloutOrder{Service: "s", Version: "v2", Duration: time.Minute, Revision: 2}
-	r.directory.Apply(directory.Changes{At: 2, Entries: entries, Rollouts: []directory.RolloutOrder{order}}, time.Now())
+	r.directory.Apply(directory.Changes{Revision: 2, Entries: entries, Rollouts: []directory.RolloutOrder{order}}, time.Now())
 	for range 50 {
 		assert.Equal(t, r.acquireAndComplete(t).Choice.Side, placement.OldSide, "the rollout has not begun")
 	}
@@ -101,8 +101,8 @@
 func (r *fixture) applyRolloutStatus(t *testing.T, s rollout.Status, revision uint64) {
 	t.Helper()
 	value := fmt.Appendf(nil, `{"order":2,"version":"v2","state":%q,"stage":%d}`, s.State, s.Stage)
-	applied := r.directory.Apply(directory.Changes{At: revision, Registrations: []directory.Record{{
-		Key: directory.RecordName("s"), Value: value, Revision: revision,
+	applied := r.directory.Apply(directory.Changes{Revision: revision, Registrations: []directory.Record{{
+		Key: directory.RolloutRecordName("s"), Value: value, Revision: revision,
 	}}}, time.Now())
-	assert.Equal(t, len(applied.Faults), 0)
+	assert.Equal(t, len(applied.Errors), 0)
 }
--- a/direct/status.go
+++ b/direct/status.go
@@ -41,7 +41,7 @@
 func (c *Chooser) Status() Status {
 	now := time.Now()
 	s := c.cfg.Directory.Snapshot()
-	st := Status{ID: c.cfg.ID, Zone: c.cfg.Zone, Revision: s.At, Evacuated: s.Evacuated}
+	st := Status{ID: c.cfg.ID, Zone: c.cfg.Zone, Revision: s.Revision, Evacuated: s.Evacuated}
 	st.Ready, st.Why = c.Ready()
 	if s.Config != nil {
 		st.Version, st.Routes = s.Config.Version, s.Config.Routes.Len()
--- a/directory/apply.go
+++ b/directory/apply.go
@@ -10,39 +10,39 @@
 func (f *Follower) Apply(changes Changes) {
 	applied := f.directory.Apply(changes, time.Now())
 	if applied.Version > 0 {
-		f.opts.Log.Info("configuration in force", "version", applied.Version, "revision", changes.At)
+		f.opts.Log.Info("configuration in force", "version", applied.Version, "revision", changes.Revision)
 	}
 	if applied.Ignored > 0 {
-		f.opts.Log.Warn("older configuration ignored", "version", applied.Ignored, "revision", changes.At)
+		f.opts.Log.Warn("older configuration ignored", "version", applied.Ignored, "revision", changes.Revision)
 	}
-	for _, err := range slices.Concat(changes.Faults, applied.Faults) {
-		f.opts.Log.Error("unusable entry", "error", err, "revision", changes.At)
+	for _, err := range slices.Concat(changes.Errors, applied.Errors) {
+		f.opts.Log.Error("unusable entry", "error", err, "revision", changes.Revision)
 	}
 	for _, e := range applied.Zones {
-		f.opts.Log.Info("zone", "zone", e.Zone, "evacuated", !e.Over, "revision", e.Revision)
+		f.opts.Log.Info("zone", "zone", e.Zone, "evacuated", !e.Ended, "revision", e.Revision)
 	}
 	for _, r := range applied.Rollouts {
 		f.opts.Log.Info("rollout", "service", r.Order.Service, "version", r.version(), "state", r.Status().State, "share", r.Share(),
-			"begun", r.Begun(), "taken_back", r.Order.Over, "by", r.Record.By)
+			"begun", r.Started(), "taken_back", r.Order.Withdrawn, "by", r.Record.By)
 	}
 	f.logStateChanges(applied.StateChanges, changes)
-	f.opts.Observe(changes)
+	f.opts.OnApplied(changes)
 }
 
 // logStateChanges logs one line for each endpoint whose state changed. If the changes are a full
 // read, or a part of a full read, and changed more than maxEndpointLines endpoints, it logs one line
 // with the number of endpoints by state instead.
 func (f *Follower) logStateChanges(stateChanges []Change, changes Changes) {
-	if (changes.Whole || changes.Part) && len(stateChanges) > maxEndpointLines {
+	if (changes.Complete || changes.Partial) && len(stateChanges) > maxEndpointLines {
 		count := map[State]int{}
 		for _, c := range stateChanges {
 			count[c.State]++
 		}
-		f.opts.Log.Info("endpoints", "listed", count[Listed], "missing", count[Missing], "leaving", count[Leaving], "revision", changes.At)
+		f.opts.Log.Info("endpoints", "listed", count[Listed], "missing", count[Missing], "leaving", count[Leaving], "revision", changes.Revision)
 		return
 	}
 	for _, c := range stateChanges {
-		f.opts.Log.Info("endpoint", "id", c.ID, "service", c.Service, "state", c.State.String(), "revision", changes.At)
+		f.opts.Log.Info("endpoint", "id", c.ID, "service", c.Service, "state", c.State.String(), "revision", changes.Revision)
 	}
 }
 
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -19,7 +19,7 @@
 	log := hclog.New(&hclog.LoggerOptions{Name: "lotuswing", Level: hclog.Info, Output: io.Discard})
 	for b.Loop() {
 		f := directory.NewFollower(directory.New(), newFakeSource(), directory.Options{Log: log})
-		f.Apply(directory.Changes{Whole: true, At: 1000, Entries: entries})
+		f.Apply(directory.Changes{Complete: true, Revision: 1000, Entries: entries})
 	}
 }
 
@@ -35,12 +35,12 @@
 		e.Endpoint.Service = fmt.Sprint("s", i%10)
 		entries = append(entries, e)
 	}
-	d.Apply(directory.Changes{Whole: true, At: 10000, Entries: entries}, start)
+	d.Apply(directory.Changes{Complete: true, Revision: 10000, Entries: entries}, start)
 	revision := uint64(10000)
 	for b.Loop() {
 		revision++
 		changed := entries[7]
 		changed.Revision = revision
-		d.Apply(directory.Changes{At: revision, Entries: []directory.Entry{changed}}, start)
+		d.Apply(directory.Changes{Revision: revision, Entries: []directory.Entry{changed}}, start)
 	}
 }
--- a/directory/changes.go
+++ b/directory/changes.go
@@ -34,29 +34,29 @@
 	Revision uint64
 }
 
-// Gone says that an endpoint's entry was deleted or cannot be read.
-type Gone struct {
-	ID       string
-	Revision uint64
-	Spoiled  bool // the entry exists but cannot be read
+// RemovedEntry says that an endpoint's entry was deleted or cannot be read.
+type RemovedEntry struct {
+	ID         string
+	Revision   uint64
+	Unreadable bool // the entry exists but cannot be read
 }
 
 // Evacuation says that an availability zone is evacuated, so that its endpoints get no
 // more requests, or that its evacuation has ended.
 type Evacuation struct {
 	Zone     string
-	Over     bool
+	Ended    bool
 	Revision uint64
 }
 
 // RolloutOrder is an operator's order to roll out a version of a service, or the end of
 // that order.
 type RolloutOrder struct {
-	Service  string
-	Version  string        // to roll out
-	Duration time.Duration // within which the rollout should complete
-	Over     bool          // the order was withdrawn
-	Revision uint64
+	Service   string
+	Version   string        // to roll out
+	Duration  time.Duration // within which the rollout should complete
+	Withdrawn bool          // the order was withdrawn
+	Revision  uint64
 }
 
 // Record is a key of the store with its value, or the deletion of the key. Processes pass the
@@ -74,7 +74,7 @@
 type Changes struct {
 	Config  *Config
 	Entries []Entry
-	Gone    []Gone
+	Gone    []RemovedEntry
 	// Evacuations are the availability zones whose evacuation began or ended.
 	Evacuations []Evacuation
 	// Rollouts are the orders to roll out versions that were given or withdrawn.
@@ -82,10 +82,10 @@
 	// Registrations are the keys that balancers write for one another, under the names
 	// that the balancers gave them.
 	Registrations []Record
-	At            uint64   // revision up to which the changes are complete
-	Part          bool     // the changes are one part of a full read; the store has entries that are not in it
-	Whole         bool     // the changes are a full read, of all that the store holds; what is not in them was deleted
-	Faults        []error  // errors of records that could not be read
+	Revision      uint64   // revision up to which the changes are complete
+	Partial       bool     // the changes are one part of a full read; the store has entries that are not in it
+	Complete      bool     // the changes are a full read, of all that the store holds; what is not in them was deleted
+	Errors        []error  // errors of records that could not be read
 	Records       []Record // the store's records of all of the above
 }
 
@@ -94,7 +94,9 @@
 // applied; 0 before the first full read. Applying outdated changes would restore keys that were
 // deleted before the latest full read, because no record of those deletions is kept. Changes are
 // outdated when two first copies are read at once and the older one arrives last.
-func (c Changes) Outdated(known uint64) bool { return c.Whole && c.At < known || c.Part && known > 0 }
+func (c Changes) Outdated(known uint64) bool {
+	return c.Complete && c.Revision < known || c.Partial && known > 0
+}
 
 // count returns the number of changes.
 func (c Changes) count() int {
@@ -113,7 +115,7 @@
 	Zones        []Evacuation // zones whose evacuation began or ended
 
 	Rollouts []Rollout // rollouts that changed
-	Faults   []error   // errors of records that could not be read
+	Errors   []error   // errors of records that could not be read
 }
 
 // Change is an endpoint's new state.
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -81,12 +81,12 @@
 		d.applyGone(g, now, &applied)
 	}
 	d.applyEvacuations(c.Evacuations, &applied)
-	if c.Whole {
+	if c.Complete {
 		d.applyAbsent(c, now, &applied)
-		d.applyEvacuations(d.zones.impliedEnds(c.Evacuations, c.At), &applied)
+		d.applyEvacuations(d.zones.impliedEnds(c.Evacuations, c.Revision), &applied)
 	}
 	d.applyRollouts(c, &applied)
-	d.revision = max(d.revision, c.At)
+	d.revision = max(d.revision, c.Revision)
 	d.removeExpired(now)
 	d.publish(now)
 	return applied
@@ -135,7 +135,7 @@
 }
 
 // applyGone applies the deletion of an endpoint's entry, or an entry that cannot be read.
-func (d *Directory) applyGone(g Gone, now time.Time, applied *Applied) {
+func (d *Directory) applyGone(g RemovedEntry, now time.Time, applied *Applied) {
 	if e, known := d.endpoints[g.ID]; known {
 		d.setEndpoint(e.withoutEntry(g, now), applied)
 	}
@@ -161,7 +161,7 @@
 	}
 	for id := range d.endpoints {
 		if !named[id] {
-			d.applyGone(Gone{ID: id, Revision: c.At}, now, applied)
+			d.applyGone(RemovedEntry{ID: id, Revision: c.Revision}, now, applied)
 		}
 	}
 }
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -74,7 +74,7 @@
 		ids := map[string]bool{}
 		for revision := uint64(1); revision < 40; revision++ {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
-			c := directory.Changes{At: revision}
+			c := directory.Changes{Revision: revision}
 			most := rapid.SampledFrom([]int{1, 2, 60}).Draw(t, "most")
 			for range rapid.IntRange(1, most).Draw(t, "changes") {
 				id := fmt.Sprintf("e%02d", rapid.IntRange(0, 59).Draw(t, "id"))
@@ -84,7 +84,7 @@
 				e.Endpoint.Start = rapid.Int64Range(1, 2).Draw(t, "start")
 				switch rapid.IntRange(0, 9).Draw(t, "what") {
 				case 0:
-					c.Gone = append(c.Gone, directory.Gone{ID: id, Revision: revision})
+					c.Gone = append(c.Gone, directory.RemovedEntry{ID: id, Revision: revision})
 				case 1:
 					e.Leaving = true
 					c.Entries = append(c.Entries, e)
@@ -128,7 +128,7 @@
 func TestSingleRemovedEntryIsNotUsed(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 1), entry("b", 2), entry("c", 3)}}, start)
-	d.Apply(directory.Changes{Gone: []directory.Gone{{ID: "a", Revision: 4}}}, start)
+	d.Apply(directory.Changes{Gone: []directory.RemovedEntry{{ID: "a", Revision: 4}}}, start)
 	assert.DeepEqual(t, snapshotIDs(d), []string{"b", "c"})
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 1)}}, start)
 	assert.DeepEqual(t, snapshotIDs(d), []string{"b", "c"}) // the entry is older than its deletion
@@ -142,10 +142,10 @@
 	d := directory.New()
 	all := []directory.Entry{entry("a", 1), entry("b", 2), entry("c", 3), entry("d", 4), entry("e", 5)}
 	d.Apply(directory.Changes{Entries: all}, start)
-	d.Apply(directory.Changes{Whole: true, At: 9, Entries: all[4:]}, start)
+	d.Apply(directory.Changes{Complete: true, Revision: 9, Entries: all[4:]}, start)
 	assert.DeepEqual(t, snapshotIDs(d), []string{"a", "b", "c", "d", "e"})
 	later := start.Add(time.Hour)
-	d.Apply(directory.Changes{At: 10}, later)
+	d.Apply(directory.Changes{Revision: 10}, later)
 	assert.DeepEqual(t, snapshotIDs(d), []string{"e"}) // missing endpoints expire
 }
 
@@ -164,7 +164,7 @@
 	for i := range 6 {
 		now := start.Add(time.Duration(i+1) * 2 * time.Second)
 		gone := fmt.Sprint("old", i)
-		d.Apply(directory.Changes{Gone: []directory.Gone{{ID: gone, Revision: revision}}}, now)
+		d.Apply(directory.Changes{Gone: []directory.RemovedEntry{{ID: gone, Revision: revision}}}, now)
 		if i%2 == 1 { // the replacements are registered late
 			d.Apply(directory.Changes{Entries: []directory.Entry{entry(fmt.Sprint("new", i), revision+1)}}, now.Add(time.Second))
 		}
@@ -180,7 +180,7 @@
 func TestMissingEndpointStopsBeingUsable(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 1), entry("b", 2)}}, start)
-	d.Apply(directory.Changes{Whole: true, At: 9}, start)
+	d.Apply(directory.Changes{Complete: true, Revision: 9}, start)
 	missing := d.Snapshot().Endpoints["s"][0]
 	assert.Assert(t, missing.Usable(start.Add(2*time.Second)), "its entry may be written again")
 	assert.Assert(t, !missing.Usable(start.Add(5*time.Second)))
@@ -193,7 +193,7 @@
 func TestMissingEndpointThatLeavesIsNotUsed(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{entry("a", 1), entry("b", 2)}}, start)
-	d.Apply(directory.Changes{Whole: true, At: 9}, start)
+	d.Apply(directory.Changes{Complete: true, Revision: 9}, start)
 	assert.DeepEqual(t, snapshotIDs(d), []string{"a", "b"})
 	d.MarkLeaving("a", 0, start)
 	assert.DeepEqual(t, snapshotIDs(d), []string{"b"})
@@ -203,10 +203,10 @@
 // restore an endpoint whose entry was deleted before a newer full read.
 func TestOutdatedReadRestoresNothing(t *testing.T) {
 	d := directory.New()
-	d.Apply(directory.Changes{Whole: true, At: 6, Entries: []directory.Entry{entry("a", 2)}}, start)
-	d.Apply(directory.Changes{Whole: true, At: 4, Entries: []directory.Entry{entry("a", 2), entry("gone", 3)}}, start)
+	d.Apply(directory.Changes{Complete: true, Revision: 6, Entries: []directory.Entry{entry("a", 2)}}, start)
+	d.Apply(directory.Changes{Complete: true, Revision: 4, Entries: []directory.Entry{entry("a", 2), entry("gone", 3)}}, start)
 	assert.DeepEqual(t, snapshotIDs(d), []string{"a"})
-	assert.Equal(t, d.Snapshot().At, uint64(6))
+	assert.Equal(t, d.Snapshot().Revision, uint64(6))
 }
 
 // TestFirstCopyIsLoggedOnOneLine checks that a first copy is logged as one line, and later changes
@@ -216,7 +216,7 @@
 	f := directory.NewFollower(directory.New(), newFakeSource(), directory.Options{
 		Log: hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: &log, DisableTime: true}),
 	})
-	whole := directory.Changes{Whole: true, At: 100}
+	whole := directory.Changes{Complete: true, Revision: 100}
 	for i := range 70 {
 		whole.Entries = append(whole.Entries, entry(fmt.Sprint("e", i), uint64(i+1)))
 	}
@@ -224,7 +224,7 @@
 	f.Apply(whole)
 	assert.Equal(t, log.String(), "[INFO]  endpoints: listed=69 missing=0 leaving=1 revision=100\n")
 	log.Reset()
-	f.Apply(directory.Changes{At: 101, Gone: []directory.Gone{{ID: "e7", Revision: 101}}})
+	f.Apply(directory.Changes{Revision: 101, Gone: []directory.RemovedEntry{{ID: "e7", Revision: 101}}})
 	assert.Equal(t, log.String(), "[INFO]  endpoint: id=e7 service=s state=missing revision=101\n")
 }
 
@@ -256,7 +256,7 @@
 		{"counts down", 10, second, 12 * second, 13 * second},
 		{"cold once more", 11, 2 * second, 13 * second, 15 * second},
 	} {
-		assert.Equal(t, applyEntry(c.revision, c.left, c.after).WarmAt, start.Add(c.warmAt), c.name)
+		assert.Equal(t, applyEntry(c.revision, c.left, c.after).WarmUntil, start.Add(c.warmAt), c.name)
 	}
 }
 
@@ -264,21 +264,21 @@
 // lists it as ready, and is remembered for a while after its entry is deleted.
 func TestLeavingIsRememberedWhileListed(t *testing.T) {
 	d := directory.New()
-	d.Apply(directory.Changes{Whole: true, At: 2, Entries: []directory.Entry{entry("a", 1), entry("b", 2)}}, start)
+	d.Apply(directory.Changes{Complete: true, Revision: 2, Entries: []directory.Entry{entry("a", 1), entry("b", 2)}}, start)
 	assert.Assert(t, d.MarkLeaving("a", 0, start))
 	revision := uint64(3)
 	for after := 5 * time.Minute; after < time.Hour; after += 5 * time.Minute {
-		d.Apply(directory.Changes{At: revision}, start.Add(after))
-		d.Apply(directory.Changes{Whole: true, At: revision, Entries: []directory.Entry{entry("a", 1), entry("b", 2)}}, start.Add(after))
+		d.Apply(directory.Changes{Revision: revision}, start.Add(after))
+		d.Apply(directory.Changes{Complete: true, Revision: revision, Entries: []directory.Entry{entry("a", 1), entry("b", 2)}}, start.Add(after))
 		assert.DeepEqual(t, snapshotIDs(d), []string{"b"})
 		revision++
 	}
 	end := start.Add(time.Hour)
-	d.Apply(directory.Changes{At: revision, Gone: []directory.Gone{{ID: "a", Revision: revision}}}, end)
-	d.Apply(directory.Changes{At: revision + 1}, end.Add(time.Minute))
+	d.Apply(directory.Changes{Revision: revision, Gone: []directory.RemovedEntry{{ID: "a", Revision: revision}}}, end)
+	d.Apply(directory.Changes{Revision: revision + 1}, end.Add(time.Minute))
 	_, known := d.Endpoint("a")
 	assert.Assert(t, known, "a late read may repeat its entry")
-	d.Apply(directory.Changes{At: revision + 2}, end.Add(time.Hour))
+	d.Apply(directory.Changes{Revision: revision + 2}, end.Add(time.Hour))
 	_, known = d.Endpoint("a")
 	assert.Assert(t, !known, "no read can repeat its entry any more")
 }
--- a/directory/endpoint.go
+++ b/directory/endpoint.go
@@ -28,19 +28,19 @@
 	placement.Endpoint
 	// Start distinguishes the successive starts of a server under one identity. Nothing that is
 	// known of one start applies to the next. It is 0 where it is unknown.
-	Start    int64
-	Service  string
-	Version  string // of the server's software
-	State    State
-	Warmup   time.Duration // remaining warm-up that the server stated when it wrote its entry
-	WarmAt   time.Time     // end of the warm-up by that statement
-	WarmTold time.Time     // when that statement was first read
-	Changed  time.Time     // when this process learnt what the state follows from: the latest entry, its deletion or a notice of leaving
-	Revision uint64        // of the store's entry or of its deletion
-
-	Gone      bool // the store has no entry for it
-	Spoiled   bool // its entry exists but cannot be read, so it must not get requests
-	Evacuated bool // its availability zone is evacuated; set only in a Snapshot
+	Start            int64
+	Service          string
+	Version          string // of the server's software
+	State            State
+	Warmup           time.Duration // remaining warm-up that the server stated when it wrote its entry
+	WarmUntil        time.Time     // end of the warm-up by that statement
+	WarmupReceivedAt time.Time     // when that statement was first read
+	Changed          time.Time     // when this process learnt what the state follows from: the latest entry, its deletion or a notice of leaving
+	Revision         uint64        // of the store's entry or of its deletion
+
+	Gone       bool // the store has no entry for it
+	Unreadable bool // its entry exists but cannot be read, so it must not get requests
+	Evacuated  bool // its availability zone is evacuated; set only in a Snapshot
 	// Side says to which side of a rollout its version belongs; set only in a Snapshot.
 	Side placement.RolloutSide
 }
@@ -63,7 +63,7 @@
 
 // Usable reports whether the endpoint may get requests at now.
 func (e Endpoint) Usable(now time.Time) bool {
-	if e.Evacuated || e.Spoiled || e.Side == placement.ExcludedSide {
+	if e.Evacuated || e.Unreadable || e.Side == placement.ExcludedSide {
 		return false
 	}
 	return e.State == Listed || e.State == Missing && now.Sub(e.Changed) <= missingUsableFor
@@ -87,7 +87,7 @@
 func newEndpoint(entry Entry, now time.Time) Endpoint {
 	e := entry.Endpoint
 	e.Revision = entry.Revision
-	e.Warmup, e.WarmAt, e.WarmTold = entry.Warmup, now.Add(entry.Warmup), now
+	e.Warmup, e.WarmUntil, e.WarmupReceivedAt = entry.Warmup, now.Add(entry.Warmup), now
 	e.Changed = now
 	if entry.Leaving {
 		e.State = Leaving
@@ -111,9 +111,9 @@
 	if e.State == Leaving {
 		next.State = Leaving
 	}
-	next.WarmAt = e.warmAt(entry, now)
+	next.WarmUntil = e.warmAt(entry, now)
 	if entry.Revision == e.Revision {
-		next.WarmTold = e.WarmTold // the same entry was read again
+		next.WarmupReceivedAt = e.WarmupReceivedAt // the same entry was read again
 	}
 	return next
 }
@@ -131,19 +131,19 @@
 func (e Endpoint) warmAt(entry Entry, now time.Time) time.Time {
 	end := now.Add(entry.Warmup)
 	coldAgain := entry.Revision > e.Revision && entry.Warmup > e.Warmup
-	if !coldAgain && e.WarmAt.Before(end) {
-		return e.WarmAt
+	if !coldAgain && e.WarmUntil.Before(end) {
+		return e.WarmUntil
 	}
 	return end
 }
 
 // withoutEntry returns a known endpoint after its entry was deleted or could not be read.
-func (e Endpoint) withoutEntry(g Gone, now time.Time) Endpoint {
+func (e Endpoint) withoutEntry(g RemovedEntry, now time.Time) Endpoint {
 	if g.Revision < e.Revision {
 		return e
 	}
-	deletedNow := !e.Gone && !g.Spoiled
-	e.Revision, e.Spoiled, e.Gone = g.Revision, g.Spoiled, !g.Spoiled
+	deletedNow := !e.Gone && !g.Unreadable
+	e.Revision, e.Unreadable, e.Gone = g.Revision, g.Unreadable, !g.Unreadable
 	switch {
 	case e.State == Listed:
 		e.State, e.Changed = Missing, now
--- a/directory/evacuation.go
+++ b/directory/evacuation.go
@@ -14,26 +14,26 @@
 		return false
 	}
 	z[e.Zone] = e
-	return e.Over == (known && !old.Over)
+	return e.Ended == (known && !old.Ended)
 }
 
 // impliedEnds returns the ends of the evacuations that a full read, at the given revision, does not
 // name.
 func (z evacuations) impliedEnds(named []Evacuation, at uint64) []Evacuation {
-	var over []Evacuation
+	var ended []Evacuation
 	for zone, e := range z {
 		isNamed := slices.ContainsFunc(named, func(n Evacuation) bool { return n.Zone == zone })
-		if !e.Over && !isNamed {
-			over = append(over, Evacuation{Zone: zone, Over: true, Revision: at})
+		if !e.Ended && !isNamed {
+			ended = append(ended, Evacuation{Zone: zone, Ended: true, Revision: at})
 		}
 	}
-	return over
+	return ended
 }
 
 // isEvacuated reports whether a zone is evacuated.
 func (z evacuations) isEvacuated(zone string) bool {
 	e, known := z[zone]
-	return known && !e.Over
+	return known && !e.Ended
 }
 
 // evacuatedZones returns the names of the evacuated zones, sorted.
--- a/directory/evacuation_test.go
+++ b/directory/evacuation_test.go
@@ -35,7 +35,7 @@
 
 // evacuationEnd returns the end of a zone's evacuation.
 func evacuationEnd(zone string, revision uint64) []directory.Evacuation {
-	return []directory.Evacuation{{Zone: zone, Revision: revision, Over: true}}
+	return []directory.Evacuation{{Zone: zone, Revision: revision, Ended: true}}
 }
 
 // TestEvacuatedZoneIsNotUsed checks that no endpoint of an evacuated zone is used until the
@@ -47,7 +47,7 @@
 	assert.DeepEqual(t, applied.Zones, evacuate("x", 3))
 	assert.DeepEqual(t, usableIDs(d, start), []string{"b"})
 	assert.DeepEqual(t, d.Snapshot().Evacuated, []string{"x"})
-	assert.Equal(t, d.Snapshot().Known, 2)
+	assert.Equal(t, d.Snapshot().ListedCount, 2)
 
 	d.Apply(directory.Changes{Entries: []directory.Entry{inZone("c", "x", 4)}}, start)
 	assert.DeepEqual(t, usableIDs(d, start), []string{"b"}) // c joined an evacuated zone
@@ -76,7 +76,7 @@
 func TestLostEntriesDoNotEndEvacuation(t *testing.T) {
 	d := directory.New()
 	d.Apply(directory.Changes{Entries: []directory.Entry{inZone("a", "x", 1), inZone("b", "y", 2)}}, start)
-	d.Apply(directory.Changes{Whole: true, At: 9, Evacuations: evacuate("x", 5)}, start)
+	d.Apply(directory.Changes{Complete: true, Revision: 9, Evacuations: evacuate("x", 5)}, start)
 	assert.DeepEqual(t, usableIDs(d, start), []string{"b"})
 }
 
@@ -88,12 +88,12 @@
 		last := rapid.Uint64Range(2, 12).Draw(t, "last")
 		at := func(revision uint64) directory.Changes {
 			if revision%2 == 0 {
-				return directory.Changes{At: revision, Evacuations: evacuate("x", revision)}
+				return directory.Changes{Revision: revision, Evacuations: evacuate("x", revision)}
 			}
-			return directory.Changes{At: revision, Evacuations: evacuationEnd("x", revision)}
+			return directory.Changes{Revision: revision, Evacuations: evacuationEnd("x", revision)}
 		}
 		whole := func(revision uint64) directory.Changes {
-			c := directory.Changes{At: revision, Whole: true}
+			c := directory.Changes{Revision: revision, Complete: true}
 			if revision%2 == 0 {
 				c.Evacuations = evacuate("x", revision)
 			}
@@ -121,11 +121,11 @@
 // it, unless the read is older than the evacuation.
 func TestFullReadWithoutEvacuationEndsIt(t *testing.T) {
 	d := directory.New()
-	d.Apply(directory.Changes{At: 7, Evacuations: evacuate("x", 7)}, start)
-	d.Apply(directory.Changes{At: 6, Whole: true}, start)
+	d.Apply(directory.Changes{Revision: 7, Evacuations: evacuate("x", 7)}, start)
+	d.Apply(directory.Changes{Revision: 6, Complete: true}, start)
 	assert.DeepEqual(t, d.Snapshot().Evacuated, []string{"x"})
-	applied := d.Apply(directory.Changes{At: 8, Whole: true}, start)
+	applied := d.Apply(directory.Changes{Revision: 8, Complete: true}, start)
 	assert.DeepEqual(t, applied.Zones, evacuationEnd("x", 8))
-	d.Apply(directory.Changes{At: 8, Evacuations: evacuate("x", 7)}, start)
+	d.Apply(directory.Changes{Revision: 8, Evacuations: evacuate("x", 7)}, start)
 	assert.Equal(t, len(d.Snapshot().Evacuated), 0, "the evacuation arrived after its end")
 }
--- a/directory/follow.go
+++ b/directory/follow.go
@@ -76,7 +76,7 @@
 // waiting is not cancelled.
 func (f *Follower) SetActive(active bool) {
 	if f.active.set(active) {
-		f.opts.Log.Info("following the store", "active", active, "revision", f.directory.Snapshot().At)
+		f.opts.Log.Info("following the store", "active", active, "revision", f.directory.Snapshot().Revision)
 	}
 }
 
@@ -87,17 +87,17 @@
 // shortens its pauses.
 func (f *Follower) SetServing(serving bool) { f.serving.Store(serving) }
 
-// Settled reports whether the store is followed and has answered recently, so
+// UpToDate reports whether the store is followed and has answered recently, so
 // that the directory's content may be passed on as the store's present state.
-func (f *Follower) Settled(now time.Time) bool {
+func (f *Follower) UpToDate(now time.Time) bool {
 	answeredAt := f.answeredAt.Load()
 	age := now.Sub(f.startedAt) - time.Duration(answeredAt)
-	return answeredAt > 0 && f.active.isOpen() && f.failures.Load() < unsettledFailures &&
-		age < f.shortened(f.opts.CheckEvery)+f.opts.CheckWait+settledSlack
+	return answeredAt > 0 && f.active.isOpen() && f.failures.Load() < outdatedFailures &&
+		age < f.shortened(f.opts.CheckEvery)+f.opts.CheckTimeout+upToDateSlack
 }
 
-// Answered returns when the store last answered; the zero time if it never has.
-func (f *Follower) Answered() time.Time {
+// LastAnswer returns when the store last answered; the zero time if it never has.
+func (f *Follower) LastAnswer() time.Time {
 	answeredAt := f.answeredAt.Load()
 	if answeredAt == 0 {
 		return time.Time{}
@@ -116,10 +116,10 @@
 	}
 }
 
-// Watching returns for how long the present watch has waited, or 0
+// WatchDuration returns for how long the present watch has waited, or 0
 // if there is none. A watch that has waited for some milliseconds has brought
 // whatever the store knew when it began.
-func (f *Follower) Watching(now time.Time) time.Duration {
+func (f *Follower) WatchDuration(now time.Time) time.Duration {
 	since := f.watchingSince.Load()
 	if since == 0 {
 		return 0
@@ -128,8 +128,8 @@
 }
 
 const (
-	unsettledFailures = 2                      // number of consecutive failed reads and watches at which a follower is no longer settled
-	settledSlack      = 150 * time.Millisecond // how much older than a check period and its timeout the last answer may be
+	outdatedFailures = 2                      // number of consecutive failed reads and watches at which a follower is no longer up to date
+	upToDateSlack    = 150 * time.Millisecond // how much older than a check period and its timeout the last answer may be
 )
 
 // shortened returns a pause, shortened to servingShare of it if other processes rely on this
@@ -144,8 +144,8 @@
 // Run reads everything, then follows the store until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	go f.monitor(ctx)
-	if f.opts.Begin != nil {
-		f.opts.Begin(ctx)
+	if f.opts.Bootstrap != nil {
+		f.opts.Bootstrap(ctx)
 	} else {
 		f.readInitial(ctx)
 	}
@@ -165,13 +165,13 @@
 		switch {
 		case errors.Is(err, ErrCompacted):
 			f.compacted.Store(true)
-			f.opts.Log.Info("store has compacted its history; reading everything again", "revision", f.directory.Snapshot().At)
+			f.opts.Log.Info("store has compacted its history; reading everything again", "revision", f.directory.Snapshot().Revision)
 			return
 		case errors.Is(err, errWatchMissesChanges):
-			f.opts.Log.Info("watch misses changes; reading everything again", "revision", f.directory.Snapshot().At)
+			f.opts.Log.Info("watch misses changes; reading everything again", "revision", f.directory.Snapshot().Revision)
 			return
 		case errors.Is(err, errWatchMayBeLost):
-			f.opts.Log.Info("watch may be lost; starting a new one", "revision", f.directory.Snapshot().At)
+			f.opts.Log.Info("watch may be lost; starting a new one", "revision", f.directory.Snapshot().Revision)
 		case err != nil:
 			f.pauseAfterFailure(ctx, "watch", err)
 		default:
@@ -191,7 +191,7 @@
 		n -= len(changes.Registrations)
 	}
 	if n > 0 && n < backlogThreshold {
-		pause.For(ctx, f.shortened(f.opts.Gather))
+		pause.For(ctx, f.shortened(f.opts.BatchDelay))
 	}
 }
 
@@ -207,13 +207,13 @@
 	if f.lost.Swap(false) {
 		f.opts.Log.Info("store regained")
 	}
-	f.Retry()
+	f.EndRetryPause()
 	f.opts.OnAnswer()
 }
 
-// Retry ends the pause after a failed call. Callers use it when the store has just answered a call
+// EndRetryPause ends the pause after a failed call. Callers use it when the store has just answered a call
 // of their own, which the follower would otherwise notice only after its pause.
-func (f *Follower) Retry() {
+func (f *Follower) EndRetryPause() {
 	select {
 	case f.retry <- struct{}{}:
 	default:
--- a/directory/follow_test.go
+++ b/directory/follow_test.go
@@ -62,7 +62,7 @@
 }
 
 func (s *fakeSource) changes() directory.Changes {
-	return directory.Changes{Config: &directory.Config{Version: s.version}, At: s.revision, Whole: true}
+	return directory.Changes{Config: &directory.Config{Version: s.version}, Revision: s.revision, Complete: true}
 }
 
 func (s *fakeSource) Watch(ctx context.Context, after uint64, wait time.Duration) (directory.Changes, error) {
@@ -85,7 +85,7 @@
 		select {
 		case <-changed:
 		case <-deadline:
-			return directory.Changes{At: after}, nil
+			return directory.Changes{Revision: after}, nil
 		case <-ctx.Done():
 			return directory.Changes{}, ctx.Err()
 		}
@@ -105,7 +105,7 @@
 	t.Helper()
 	d := directory.New()
 	f := directory.NewFollower(d, s, directory.Options{
-		Gather: time.Millisecond, RetryPause: time.Millisecond, CheckEvery: 2 * time.Millisecond, StuckAfter: 4 * time.Millisecond,
+		BatchDelay: time.Millisecond, RetryPause: time.Millisecond, CheckEvery: 2 * time.Millisecond, StuckTimeout: 4 * time.Millisecond,
 		ExactCheckEvery: 4 * time.Millisecond,
 	})
 	ctx, stop := context.WithCancel(context.Background())
@@ -158,7 +158,7 @@
 	for name, answered := range map[string]func(context.Context, *directory.Follower) error{
 		"registrations are read": func(ctx context.Context, f *directory.Follower) error { return f.ReadRegistrations(ctx) },
 		"a registration is renewed": func(_ context.Context, f *directory.Follower) error {
-			f.Retry()
+			f.EndRetryPause()
 			return nil
 		},
 	} {
@@ -220,8 +220,8 @@
 func TestOptionsFitTheBound(t *testing.T) {
 	for _, bound := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 2500 * time.Millisecond, time.Minute} {
 		o := directory.OptionsWithin(bound)
-		assert.Assert(t, o.Gather < bound*8/10, "%v", bound)
-		assert.Assert(t, o.CheckEvery+o.StuckAfter < bound*8/10, "%v", bound)
+		assert.Assert(t, o.BatchDelay < bound*8/10, "%v", bound)
+		assert.Assert(t, o.CheckEvery+o.StuckTimeout < bound*8/10, "%v", bound)
 		assert.Assert(t, o.CheckEvery < time.Second, "%v", bound)
 	}
 }
@@ -234,7 +234,7 @@
 }
 
 func (s *boundedSource) ReadAll(context.Context, bool) (directory.Changes, error) {
-	return directory.Changes{At: 0, Whole: true}, nil
+	return directory.Changes{Revision: 0, Complete: true}, nil
 }
 
 func (s *boundedSource) ReadRegistrations(context.Context) (directory.Changes, error) {
@@ -242,16 +242,16 @@
 }
 
 func (s *boundedSource) Watch(ctx context.Context, after uint64, _ time.Duration) (directory.Changes, error) {
-	changes := directory.Changes{At: after}
-	for changes.At < uint64(s.entries) && len(changes.Entries) < s.most {
-		changes.At++
-		changes.Entries = append(changes.Entries, entry(fmt.Sprint("e", changes.At), changes.At))
+	changes := directory.Changes{Revision: after}
+	for changes.Revision < uint64(s.entries) && len(changes.Entries) < s.most {
+		changes.Revision++
+		changes.Entries = append(changes.Entries, entry(fmt.Sprint("e", changes.Revision), changes.Revision))
 	}
 	if len(changes.Entries) > 0 {
 		return changes, nil
 	}
 	if after == uint64(s.entries) {
-		return directory.Changes{Config: &directory.Config{Version: 7}, At: after + 1}, nil
+		return directory.Changes{Config: &directory.Config{Version: 7}, Revision: after + 1}, nil
 	}
 	<-ctx.Done()
 	return directory.Changes{}, ctx.Err()
@@ -265,7 +265,7 @@
 // the pause in which changes are batched, which never ends in this test.
 func TestConfigurationAfterBacklogIsNotDelayed(t *testing.T) {
 	d := directory.New()
-	f := directory.NewFollower(d, &boundedSource{entries: 3000, most: 500}, directory.Options{Gather: 1000 * time.Hour, CheckEvery: 1000 * time.Hour})
+	f := directory.NewFollower(d, &boundedSource{entries: 3000, most: 500}, directory.Options{BatchDelay: 1000 * time.Hour, CheckEvery: 1000 * time.Hour})
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go f.Run(ctx)
@@ -304,28 +304,28 @@
 	s.publish(1)
 	d := directory.New()
 	f := directory.NewFollower(d, s, directory.Options{
-		Gather: time.Millisecond, CheckEvery: time.Millisecond, StuckAfter: time.Millisecond, Standby: true,
+		BatchDelay: time.Millisecond, CheckEvery: time.Millisecond, StuckTimeout: time.Millisecond, Standby: true,
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go f.Run(ctx)
 	waitVersion(t, d, 1)
-	assert.Assert(t, !f.Settled(time.Now()))
+	assert.Assert(t, !f.UpToDate(time.Now()))
 	s.publish(2)
-	f.Apply(directory.Changes{Config: &directory.Config{Version: 2}, At: 2}) // as a relay brings it
+	f.Apply(directory.Changes{Config: &directory.Config{Version: 2}, Revision: 2}) // as a relay brings it
 	assert.DeepEqual(t, []int64{s.cheap.Load(), s.exact.Load(), s.watches.Load(), s.revisionReads.Load()}, []int64{1, 0, 0, 0})
 	f.SetActive(true)
 	s.publish(3)
 	waitVersion(t, d, 3)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if f.Settled(time.Now()) && f.Watching(time.Now()) > 0 {
+		if f.UpToDate(time.Now()) && f.WatchDuration(time.Now()) > 0 {
 			return poll.Success()
 		}
 		return poll.Continue("not settled")
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(time.Millisecond))
 	s.set(func(s *fakeSource) { s.down = true })
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if !f.Settled(time.Now()) {
+		if !f.UpToDate(time.Now()) {
 			return poll.Success()
 		}
 		return poll.Continue("still settled")
--- a/directory/lists.go
+++ b/directory/lists.go
@@ -33,7 +33,7 @@
 func (d *Directory) publish(now time.Time) {
 	before := d.snapshot.Load()
 	s := &Snapshot{
-		Config: d.config, Endpoints: make(map[string][]Endpoint, len(d.services)), At: d.revision,
+		Config: d.config, Endpoints: make(map[string][]Endpoint, len(d.services)), Revision: d.revision,
 		Evacuated: d.zones.evacuatedZones(), Rollouts: d.rollouts.sorted(), Shares: map[string]float64{},
 	}
 	for id := range d.unlisted {
@@ -50,7 +50,7 @@
 			s.setShare(service, d.setEvacuatedAndSide(service, list))
 		}
 		if d.isConfigured(service) {
-			s.Known += countListed(s.Endpoints[service])
+			s.ListedCount += countListed(s.Endpoints[service])
 		}
 	}
 	clear(d.changed)
--- a/directory/monitor.go
+++ b/directory/monitor.go
@@ -17,7 +17,7 @@
 			f.active.wait(ctx)
 			checked, w = time.Time{}, watchdog{} // so that the first check comes at once
 		}
-		w.stuckAfter, w.exactEvery, w.checkEvery = f.shortened(f.opts.StuckAfter), f.opts.ExactCheckEvery, f.shortened(f.opts.CheckEvery)
+		w.stuckAfter, w.exactEvery, w.checkEvery = f.shortened(f.opts.StuckTimeout), f.opts.ExactCheckEvery, f.shortened(f.opts.CheckEvery)
 		// The period counts from the start of a check to that of the next, however long an
 		// answer takes. While a store compacts its history, cheap reads show a change for
 		// little more than a second, so a longer period could miss it.
@@ -49,19 +49,19 @@
 	if f.compacted.Swap(false) {
 		w.observeCompaction()
 	}
-	action := w.observe(time.Now(), revision, f.directory.Snapshot().At, f.watchingSince.Load() != 0, err)
+	action := w.observe(time.Now(), revision, f.directory.Snapshot().Revision, f.watchingSince.Load() != 0, err)
 	if action != checkExactly {
 		return action
 	}
 	if revision, err = f.revision(ctx, true); err != nil {
 		return trustWatch // the next cheap check shows whether the store answers
 	}
-	return w.observeExact(revision, f.directory.Snapshot().At)
+	return w.observeExact(revision, f.directory.Snapshot().Revision)
 }
 
-// revision reads the store's revision within CheckWait.
+// revision reads the store's revision within CheckTimeout.
 func (f *Follower) revision(ctx context.Context, exact bool) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, f.opts.CheckWait)
+	ctx, cancel := context.WithTimeout(ctx, f.opts.CheckTimeout)
 	defer cancel()
 	f.calls.Add(1)
 	return f.source.Revision(ctx, exact)
@@ -82,7 +82,7 @@
 // recordCheckAnswer records the answer to a cheap check. The answer shows that the store can be
 // reached; only a waiting watch shows that it also accepts watches.
 func (f *Follower) recordCheckAnswer(now time.Time) {
-	if f.Watching(now) > watchAcceptedAfter {
+	if f.WatchDuration(now) > watchAcceptedAfter {
 		f.recordAnswer()
 		return
 	}
--- a/directory/options.go
+++ b/directory/options.go
@@ -12,28 +12,28 @@
 // two seconds (see OptionsWithin).
 type Options struct {
 	Log hclog.Logger
-	// Gather is the pause after changes, so that the next answer brings several at once;
+	// BatchDelay is the pause after changes, so that the next answer brings several at once;
 	// default 1.4 s.
-	Gather time.Duration
+	BatchDelay time.Duration
 	// CheckEvery is the time between revision checks, which are cheap reads;
-	// default 850 ms. CheckWait is the timeout of one; default 600 ms.
-	CheckEvery time.Duration
-	CheckWait  time.Duration
-	// StuckAfter is how long the watch may lack a revision that a check has seen, before
+	// default 850 ms. CheckTimeout is the timeout of one; default 600 ms.
+	CheckEvery   time.Duration
+	CheckTimeout time.Duration
+	// StuckTimeout is how long the watch may lack a revision that a check has seen, before
 	// everything is read again; default 550 ms.
-	StuckAfter time.Duration
+	StuckTimeout time.Duration
 	// ExactCheckEvery is the least time between exact revision checks while cheap reads
 	// lag; default 1 s.
 	ExactCheckEvery time.Duration
 	// RetryPause is the longest pause after a first failed call, doubled with each consecutive
 	// failure up to maxRetryPause; default 500 ms.
 	RetryPause time.Duration
-	// Observe is called with all changes after they are applied; may be nil.
-	Observe func(Changes)
-	// Begin applies a first copy of everything and returns when it has, or
+	// OnApplied is called with all changes after they are applied; may be nil.
+	OnApplied func(Changes)
+	// Bootstrap applies a first copy of everything and returns when it has, or
 	// when ctx has ended. If it is nil, the follower reads the copy from the store; when a
 	// whole fleet starts at once, all its processes would do so at the same time.
-	Begin func(ctx context.Context)
+	Bootstrap func(ctx context.Context)
 	// OnAnswer is called when the store answers a read, a watch or a cheap revision check, and
 	// OnFailure when a watch fails, or a read that the follower retries; they may be nil.
 	OnAnswer  func()
@@ -61,14 +61,14 @@
 
 // OptionsWithin returns options with which a change is applied within a bound
 // after the store has accepted it, even if the watch does not bring it: the next
-// revision check notices it, and after StuckAfter everything is read again.
+// revision check notices it, and after StuckTimeout everything is read again.
 func OptionsWithin(bound time.Duration) Options {
 	part := func(share float64) time.Duration { return time.Duration(share * float64(bound)) }
 	return Options{
-		Gather:     part(gatherShare),
-		CheckEvery: min(part(checkShare), maxCheckEvery),
-		StuckAfter: part(stuckShare),
-		CheckWait:  min(part(checkWaitShare), maxCheckWait),
+		BatchDelay:   part(gatherShare),
+		CheckEvery:   min(part(checkShare), maxCheckEvery),
+		StuckTimeout: part(stuckShare),
+		CheckTimeout: min(part(checkWaitShare), maxCheckWait),
 	}
 }
 
@@ -94,14 +94,14 @@
 // withDefaults returns the options with defaults in place of zero fields.
 func (o Options) withDefaults() Options {
 	defaults := OptionsWithin(defaultBound)
-	o.Gather = cmp.Or(o.Gather, defaults.Gather)
+	o.BatchDelay = cmp.Or(o.BatchDelay, defaults.BatchDelay)
 	o.CheckEvery = cmp.Or(o.CheckEvery, defaults.CheckEvery)
-	o.CheckWait = cmp.Or(o.CheckWait, defaults.CheckWait)
-	o.StuckAfter = cmp.Or(o.StuckAfter, defaults.StuckAfter)
+	o.CheckTimeout = cmp.Or(o.CheckTimeout, defaults.CheckTimeout)
+	o.StuckTimeout = cmp.Or(o.StuckTimeout, defaults.StuckTimeout)
 	o.ExactCheckEvery = cmp.Or(o.ExactCheckEvery, defaultExactCheckEvery)
 	o.RetryPause = cmp.Or(o.RetryPause, defaultRetryPause)
-	if o.Observe == nil {
-		o.Observe = func(Changes) {}
+	if o.OnApplied == nil {
+		o.OnApplied = func(Changes) {}
 	}
 	if o.OnAnswer == nil {
 		o.OnAnswer = func() {}
--- a/directory/read.go
+++ b/directory/read.go
@@ -7,32 +7,32 @@
 
 // Read reads everything cheaply and applies it. What it reads may be seconds
 // old; the watch brings later changes. The first read of a PagedSource applies its pages as
-// they arrive, up to PartEntries endpoints, so that a balancer can serve early.
+// they arrive, up to MinServingEntries endpoints, so that a balancer can serve early.
 func (f *Follower) Read(ctx context.Context) error {
 	paged, ok := f.source.(PagedSource)
-	if !ok || f.directory.Snapshot().At > 0 {
+	if !ok || f.directory.Snapshot().Revision > 0 {
 		return f.readAll(ctx, false)
 	}
 	entries := 0
 	return f.read(ctx, readTimeout, func(ctx context.Context) (Changes, error) {
 		return paged.ReadPages(ctx, false, func(page Changes) bool {
 			entries += len(page.Entries)
-			page.Part = true
+			page.Partial = true
 			f.Apply(page)
-			return entries < PartEntries
+			return entries < MinServingEntries
 		})
 	})
 }
 
-// PartEntries is the least number of endpoints that a balancer must know to serve before it
+// MinServingEntries is the least number of endpoints that a balancer must know to serve before it
 // has a copy of everything, which takes long with thousands of endpoints. Deployments with fewer
 // endpoints get the whole copy at once.
-const PartEntries = 1024
+const MinServingEntries = 1024
 
 // ReadRegistrations reads only the registrations of balancers, cheaply, and applies
 // them.
 func (f *Follower) ReadRegistrations(ctx context.Context) error {
-	return f.read(ctx, f.opts.CheckWait, f.source.ReadRegistrations)
+	return f.read(ctx, f.opts.CheckTimeout, f.source.ReadRegistrations)
 }
 
 // readInitial reads everything for the first time and retries until it succeeds. A balancer that
--- a/directory/rollout.go
+++ b/directory/rollout.go
@@ -29,12 +29,12 @@
 	Out     []string      `json:"out,omitempty"` // versions of earlier orders that were not completed
 }
 
-// maxHeldVersions bounds how many versions are kept from requests by Out, which drops the oldest.
+// maxHeldVersions bounds how many versions are kept from requests by HeldBackVersions, which drops the oldest.
 const maxHeldVersions = 8
 
-// Out returns the versions, besides the one that is rolled out, whose endpoints get no requests:
+// HeldBackVersions returns the versions, besides the one that is rolled out, whose endpoints get no requests:
 // those of earlier orders that were rolled back, withdrawn or replaced before they were completed.
-func (r Rollout) Out() []string {
+func (r Rollout) HeldBackVersions() []string {
 	out := slices.Clone(r.Record.Out)
 	if r.Revision > 0 && r.Record.State != rollout.Completed {
 		out = append(out, r.Record.Version)
@@ -43,8 +43,8 @@
 	return out[max(0, len(out)-maxHeldVersions):]
 }
 
-// RecordName returns the name of the record of a service's rollout.
-func RecordName(service string) string { return rolloutRecordPrefix + service }
+// RolloutRecordName returns the name of the record of a service's rollout.
+func RolloutRecordName(service string) string { return rolloutRecordPrefix + service }
 
 // Rollout is the state of a service's latest rollout.
 type Rollout struct {
@@ -59,37 +59,37 @@
 // Status returns how far the rollout has come. A version that was found bad is rolled back,
 // even while the record does not say so yet.
 func (r Rollout) Status() rollout.Status {
-	recorded := r.Recorded()
-	if r.Bad && !r.Order.Over && recorded.State == rollout.Running {
+	recorded := r.RecordedStatus()
+	if r.Bad && !r.Order.Withdrawn && recorded.State == rollout.Running {
 		recorded.State = rollout.RolledBack
 	}
 	return recorded
 }
 
-// Recorded returns how far the rollout has come according to the record. An order that no balancer
+// RecordedStatus returns how far the rollout has come according to the record. An order that no balancer
 // has begun to carry out is running at stage 0, and its Share is 0 until it has begun. A withdrawn
 // order that was not completed counts as rolled back.
-func (r Rollout) Recorded() rollout.Status {
-	begun := r.Revision > 0 && (r.Record.Order == r.Order.Revision || r.Order.Over)
+func (r Rollout) RecordedStatus() rollout.Status {
+	begun := r.Revision > 0 && (r.Record.Order == r.Order.Revision || r.Order.Withdrawn)
 	switch {
 	case !begun:
 		return rollout.Status{State: rollout.Running}
-	case r.Order.Over && r.Record.State == rollout.Running:
+	case r.Order.Withdrawn && r.Record.State == rollout.Running:
 		return rollout.Status{State: rollout.RolledBack}
 	}
 	return rollout.Status{State: r.Record.State, Stage: r.Record.Stage}
 }
 
-// Begun reports whether a balancer has begun to carry out the latest order, unless
+// Started reports whether a balancer has begun to carry out the latest order, unless
 // that was withdrawn.
-func (r Rollout) Begun() bool {
-	return r.Revision > 0 && !r.Order.Over && r.Record.Order == r.Order.Revision
+func (r Rollout) Started() bool {
+	return r.Revision > 0 && !r.Order.Withdrawn && r.Record.Order == r.Order.Revision
 }
 
 // Share returns the share of the service's requests that goes to the version being rolled out,
 // from 0 to 1.
 func (r Rollout) Share() float64 {
-	if !r.Order.Over && !r.Begun() {
+	if !r.Order.Withdrawn && !r.Started() {
 		return 0
 	}
 	return r.Status().Share()
@@ -97,7 +97,7 @@
 
 // version returns the version that the rollout is about.
 func (r Rollout) version() string {
-	if r.Order.Over || r.Order.Version == "" {
+	if r.Order.Withdrawn || r.Order.Version == "" {
 		return r.Record.Version
 	}
 	return r.Order.Version
@@ -113,10 +113,10 @@
 	if known && o.Revision <= r.Order.Revision {
 		return false
 	}
-	if !known && o.Over {
+	if !known && o.Withdrawn {
 		return false
 	}
-	if o.Over {
+	if o.Withdrawn {
 		o.Version, o.Duration = r.Order.Version, r.Order.Duration
 	}
 	r.Order = o
@@ -143,7 +143,7 @@
 		return false, fmt.Errorf("directory: rollout record of %s: %w", service, err)
 	}
 	if r.Order.Service == "" {
-		r.Order = RolloutOrder{Service: service, Over: true} // the order arrives later, or was withdrawn
+		r.Order = RolloutOrder{Service: service, Withdrawn: true} // the order arrives later, or was withdrawn
 	}
 	r.Record, r.Revision = decoded, record.Revision
 	all[service] = r
@@ -180,8 +180,8 @@
 	var over []RolloutOrder
 	for service, r := range all {
 		isNamed := slices.ContainsFunc(named, func(o RolloutOrder) bool { return o.Service == service })
-		if !r.Order.Over && !isNamed {
-			over = append(over, RolloutOrder{Service: service, Over: true, Revision: at})
+		if !r.Order.Withdrawn && !isNamed {
+			over = append(over, RolloutOrder{Service: service, Withdrawn: true, Revision: at})
 		}
 	}
 	return over
@@ -191,7 +191,7 @@
 // goes to the new version. Of the endpoints of the new version, it uses as many as that share
 // needs, so that each is as busy as any other endpoint.
 func (r Rollout) assignSides(list []Endpoint) (share float64) {
-	out := r.Out()
+	out := r.HeldBackVersions()
 	var newer, older []int
 	for i := range list {
 		switch version := list[i].Version; {
@@ -236,8 +236,8 @@
 // applyRollouts applies rollout orders and the balancers' rollout records.
 func (d *Directory) applyRollouts(c Changes, applied *Applied) {
 	orders := c.Rollouts
-	if c.Whole {
-		orders = append(slices.Clone(orders), d.rollouts.impliedEnds(c.Rollouts, c.At)...)
+	if c.Complete {
+		orders = append(slices.Clone(orders), d.rollouts.impliedEnds(c.Rollouts, c.Revision)...)
 	}
 	for _, o := range orders {
 		if d.rollouts.applyOrder(o) {
@@ -249,7 +249,7 @@
 	for _, r := range c.Registrations {
 		changed, err := d.rollouts.applyRecord(r)
 		if err != nil {
-			applied.Faults = append(applied.Faults, err)
+			applied.Errors = append(applied.Errors, err)
 		}
 		if changed {
 			service := strings.TrimPrefix(r.Key, rolloutRecordPrefix)
--- a/directory/start_test.go
+++ b/directory/start_test.go
@@ -45,13 +45,13 @@
 		"announced that it leaves": func(d *directory.Directory) { apply(d, start, leaving) },
 		"another incarnation answered at its address": func(d *directory.Directory) { d.MarkLeaving("a", 1, start) },
 		"its entry was deleted": func(d *directory.Directory) {
-			d.Apply(directory.Changes{Gone: []directory.Gone{{ID: "a", Revision: 2}}}, start)
+			d.Apply(directory.Changes{Gone: []directory.RemovedEntry{{ID: "a", Revision: 2}}}, start)
 		},
 		"its entry was deleted long ago": func(d *directory.Directory) {
-			d.Apply(directory.Changes{Gone: []directory.Gone{{ID: "a", Revision: 2}}}, start.Add(-time.Hour))
+			d.Apply(directory.Changes{Gone: []directory.RemovedEntry{{ID: "a", Revision: 2}}}, start.Add(-time.Hour))
 		},
 		"its entry could not be read meanwhile": func(d *directory.Directory) {
-			d.Apply(directory.Changes{Gone: []directory.Gone{{ID: "a", Revision: 2, Spoiled: true}}}, start)
+			d.Apply(directory.Changes{Gone: []directory.RemovedEntry{{ID: "a", Revision: 2, Unreadable: true}}}, start)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 			before(d)
 			apply(d, start, entryOfA(2, 3))
 			assert.Equal(t, startInUse(d, start), int64(2))
-			assert.Assert(t, !d.Snapshot().Endpoints["s"][0].WarmAt.After(start), "the warm-up of the earlier start does not apply")
+			assert.Assert(t, !d.Snapshot().Endpoints["s"][0].WarmUntil.After(start), "the warm-up of the earlier start does not apply")
 			apply(d, start, entryOfA(1, 1))
 			assert.Equal(t, startInUse(d, start), int64(2), "an older entry was read late")
 			assert.Assert(t, !d.MarkLeaving("a", 1, start), "a late notice about the earlier start")
@@ -88,7 +88,7 @@
 func TestUnreadableEntryIsNotUsed(t *testing.T) {
 	d := directory.New()
 	apply(d, start, entryOfA(1, 1))
-	d.Apply(directory.Changes{Gone: []directory.Gone{{ID: "a", Revision: 2, Spoiled: true}}}, start)
+	d.Apply(directory.Changes{Gone: []directory.RemovedEntry{{ID: "a", Revision: 2, Unreadable: true}}}, start)
 	assert.Equal(t, startInUse(d, start), int64(0))
 	apply(d, start, entryOfA(1, 3))
 	assert.Equal(t, startInUse(d, start), int64(1))
@@ -100,9 +100,9 @@
 	d := directory.New()
 	apply(d, start, entryOfA(1, 1))
 	d.Apply(directory.Changes{Config: &directory.Config{Version: 1, Services: map[string]tenant.Service{"other": {}}}}, start)
-	assert.Equal(t, d.Snapshot().Known, 0)
+	assert.Equal(t, d.Snapshot().ListedCount, 0)
 	d.Apply(directory.Changes{Config: &directory.Config{Version: 2, Services: map[string]tenant.Service{"s": {}}}}, start)
-	assert.Equal(t, d.Snapshot().Known, 1)
+	assert.Equal(t, d.Snapshot().ListedCount, 1)
 }
 
 // pagedSource is a store whose full read hands over its pages one by one.
@@ -113,7 +113,7 @@
 }
 
 func (s *pagedSource) ReadPages(_ context.Context, _ bool, onPage func(directory.Changes) bool) (directory.Changes, error) {
-	all := directory.Changes{Whole: true, At: 9}
+	all := directory.Changes{Complete: true, Revision: 9}
 	more := true
 	for i, p := range s.pages {
 		all.Entries = append(all.Entries, p.Entries...)
@@ -141,10 +141,10 @@
 		source.pages = append(source.pages, c)
 	}
 	var known []int
-	source.seen = func(int) { known = append(known, d.Snapshot().Known) }
+	source.seen = func(int) { known = append(known, d.Snapshot().ListedCount) }
 	f := directory.NewFollower(d, source, directory.Options{})
 	assert.NilError(t, f.Read(context.Background()))
 	assert.DeepEqual(t, known, []int{0, 200, 400, 600, 800, 1000, 1200, 1200, 1200, 1200, 1200})
-	assert.Equal(t, d.Snapshot().Known, 2000)
-	assert.Equal(t, d.Snapshot().At, uint64(9))
+	assert.Equal(t, d.Snapshot().ListedCount, 2000)
+	assert.Equal(t, d.Snapshot().Revision, uint64(9))
 }
--- a/directory/watch.go
+++ b/directory/watch.go
@@ -40,7 +40,7 @@
 	f.calls.Add(1)
 	f.watchingSince.Store(int64(time.Since(f.startedAt)))
 	defer f.watchingSince.Store(0)
-	changes, err := f.source.Watch(ctx, f.directory.Snapshot().At, watchWait)
+	changes, err := f.source.Watch(ctx, f.directory.Snapshot().Revision, watchWait)
 	switch {
 	case err == nil:
 	case advice(reason.Load()) == readAgain:
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -485,7 +485,7 @@
 		"nothing":         {func(*harness) {}, false},
 		"it starts again": {func(h *harness) { h.listEndpoint("e0", 2) }, true},
 		"its entry goes": {func(h *harness) {
-			h.directory.Apply(directory.Changes{Gone: []directory.Gone{{ID: "e0", Revision: 99}}}, time.Now())
+			h.directory.Apply(directory.Changes{Gone: []directory.RemovedEntry{{ID: "e0", Revision: 99}}}, time.Now())
 		}, true},
 		"it leaves":                      {func(h *harness) { h.directory.MarkLeaving("e0", 1, time.Now()) }, false},
 		"another one is at its address":  {func(h *harness) { h.instances["e0"] = "other" }, true},
--- a/quarantine/records.go
+++ b/quarantine/records.go
@@ -68,7 +68,7 @@
 			k.cfg.Log.Warn("record not read", "key", r.Key, "error", err)
 		}
 	}
-	if c.Whole {
+	if c.Complete {
 		k.markUnlistedRecordsGone(c)
 	}
 }
@@ -144,7 +144,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for f, ent := range k.entries {
-		if !listed[f] && ent.recordRevision <= c.At {
+		if !listed[f] && ent.recordRevision <= c.Revision {
 			ent.recordRevision = 0
 		}
 	}
--- a/relay/askers.go
+++ b/relay/askers.go
@@ -93,7 +93,7 @@
 	deadline := time.Now().Add(limit)
 	for now := time.Now(); now.Before(deadline); now = time.Now() {
 		alternative := g.askerInTouch(now)
-		if g.follower.Settled(now) || alternative != "" && alternative != asker || news() {
+		if g.follower.UpToDate(now) || alternative != "" && alternative != asker || news() {
 			return
 		}
 		g.replica.waitChange(context.Background(), deadline.Sub(now))
@@ -108,7 +108,7 @@
 // Calls that wait for changes then return at once, not at the end of their wait, because the callers
 // must get changes elsewhere in the meantime. Pass it to the follower as its OnFailure option.
 func (g *Group) OnFailure() {
-	if !g.follower.Settled(time.Now()) {
+	if !g.follower.UpToDate(time.Now()) {
 		g.replica.wakeWaiters()
 	}
 }
--- a/relay/bootstrap.go
+++ b/relay/bootstrap.go
@@ -8,7 +8,7 @@
 )
 
 // Begin obtains a first copy of the store's content from other balancers or from the store, and
-// applies it. Pass it to the follower as its Begin option.
+// applies it. Pass it to the follower as its Bootstrap option.
 func (g *Group) Begin(ctx context.Context) {
 	bootstrapResult := bootstrap.New(bootstrap.Config{
 		Self: bootstrap.Peer{Addr: g.cfg.Addr, Zone: g.cfg.Zone}, Seeds: g.cfg.Seeds, Cores: g.cfg.Cores,
@@ -47,7 +47,7 @@
 // ApplyPart applies a partial copy from another balancer.
 func (s bootstrapState) ApplyPart(records []directory.Record) {
 	changes := s.group.cfg.Decoder.Decode(records, 0, false)
-	changes.Part = true
+	changes.Partial = true
 	s.group.follower.Apply(changes)
 }
 
--- a/relay/bootstrap_test.go
+++ b/relay/bootstrap_test.go
@@ -24,7 +24,7 @@
 // follow brings a replica up to date with the store, like a watch from its revision.
 func (f *fleetModel) follow(rep *replica) {
 	at, _ := rep.revision()
-	c := directory.Changes{At: f.store.revision}
+	c := directory.Changes{Revision: f.store.revision}
 	for _, r := range f.store.records {
 		if r.Revision > at {
 			c.Records = append(c.Records, r)
@@ -48,7 +48,7 @@
 		rep.apply(rapid.SampledFrom(f.pastReads).Draw(t, "read"), f.now)
 	case "stale part": // some keys of an earlier full read, as the store or another balancer may send them
 		part := rapid.SampledFrom(f.pastReads).Draw(t, "read")
-		part.Whole, part.Part, part.At = false, true, 0
+		part.Complete, part.Partial, part.Revision = false, true, 0
 		part.Records = part.Records[:rapid.IntRange(0, len(part.Records)).Draw(t, "keys")]
 		rep.apply(part, f.now)
 	case "ask":
@@ -78,7 +78,7 @@
 	c := rapid.SampledFrom(f.copies).Draw(t, "copy")
 	records, err := c.Unpack()
 	assert.NilError(t, err)
-	rep.apply(directory.Changes{Records: records, At: c.At, Whole: true}, f.now)
+	rep.apply(directory.Changes{Records: records, Revision: c.At, Complete: true}, f.now)
 }
 
 // revisions returns the revision of each key that a replica has a record of.
@@ -129,8 +129,8 @@
 func TestOutdatedReadDoesNotRestoreDeletedKey(t *testing.T) {
 	rep := newReplica()
 	a, gone := directory.Record{Key: "a", Revision: 2}, directory.Record{Key: "gone", Revision: 3}
-	rep.apply(directory.Changes{Whole: true, At: 6, Records: []directory.Record{a}}, start)
-	rep.apply(directory.Changes{Whole: true, At: 4, Records: []directory.Record{a, gone}}, start)
+	rep.apply(directory.Changes{Complete: true, Revision: 6, Records: []directory.Record{a}}, start)
+	rep.apply(directory.Changes{Complete: true, Revision: 4, Records: []directory.Record{a, gone}}, start)
 	assert.Equal(t, len(rep.liveContent()), 1)
 	assert.Equal(t, rep.knownRevision, uint64(6))
 }
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -12,7 +12,7 @@
 	}
 	g.starting.Store(false)
 	g.follower.SetActive(true)
-	return g.follower.Settled(now)
+	return g.follower.UpToDate(now)
 }
 
 // ServesAsRelay reports whether this balancer is its zone's relay.
@@ -52,7 +52,7 @@
 // balancer while no relay is registered, for example one whose own registration has ended.
 // Otherwise two balancers that are in touch with the store would follow each other.
 func (g *Group) mayFollowAsker(now time.Time) bool {
-	return g.isRelay(now) || len(g.replica.allRelays()) == 0 && !g.follower.Settled(now)
+	return g.isRelay(now) || len(g.replica.allRelays()) == 0 && !g.follower.UpToDate(now)
 }
 
 // candidateRelays returns the relays that may be asked: the registered ones or, if there is none
--- a/relay/counting.go
+++ b/relay/counting.go
@@ -107,7 +107,7 @@
 
 // ConnectedToStore reports whether this balancer is settled, that is, in touch with the store
 // itself.
-func (g *Group) ConnectedToStore() bool { return g.follower.Settled(time.Now()) }
+func (g *Group) ConnectedToStore() bool { return g.follower.UpToDate(time.Now()) }
 
 // RelayZones returns the zones that have a registered relay, sorted.
 func (g *Group) RelayZones() []string {
--- a/relay/follow.go
+++ b/relay/follow.go
@@ -52,7 +52,7 @@
 	}
 	now := time.Now()
 	inOutage := s.outage.reported(now) && !g.isRelay(now)
-	if inOutage && !now.Before(s.outage.probeAt) && !g.follower.Settled(now) {
+	if inOutage && !now.Before(s.outage.probeAt) && !g.follower.UpToDate(now) {
 		g.probeStore(ctx, s)
 	}
 	target, ok := g.chooseTarget(s, now)
@@ -145,7 +145,7 @@
 	position := g.receivedPosition(r.Addr)
 	var reply ChangesReply
 	err := g.client.Call(ctx, r.Addr, methodChanges, ChangesArgs{
-		After: after, Wait: g.opts.Wait, From: g.cfg.Addr, Patient: patient, InTouch: g.follower.Settled(time.Now()),
+		After: after, Wait: g.opts.Wait, From: g.cfg.Addr, Patient: patient, InTouch: g.follower.UpToDate(time.Now()),
 		TakesNotes: true, NotesLife: position.life, NotesAfter: position.index,
 	}, &reply)
 	if err == nil {
@@ -243,7 +243,7 @@
 	g.setCurrentRelay(Relay{}, s.lastSettledAnswer)
 	switch {
 	case s.outage.reported(now) && !g.isRelay(now):
-		if !g.follower.Settled(now) {
+		if !g.follower.UpToDate(now) {
 			g.follower.SetActive(false)
 		}
 	case g.opts.mustWatchStore(s.lastSettledAnswer, now) && !g.starting.Load():
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -89,7 +89,7 @@
 func TestOnlyRelayFollowsAsker(t *testing.T) {
 	for own, want := range map[string]string{"10.0.0.1:1": "10.0.0.9:1", "10.0.0.2:1": "10.0.0.1:1"} {
 		g := New(Config{Zone: "medina", Addr: own})
-		g.replica.apply(directory.Changes{At: 2, Whole: true, Registrations: []directory.Record{
+		g.replica.apply(directory.Changes{Revision: 2, Complete: true, Registrations: []directory.Record{
 			{Key: "relays/medina", Value: []byte(`{"id":"vm","addr":"10.0.0.1:1"}`), Revision: 2},
 		}}, start)
 		g.askers.record(ChangesArgs{From: "10.0.0.9:1", InTouch: true}, start)
--- a/relay/part_test.go
+++ b/relay/part_test.go
@@ -21,7 +21,7 @@
 
 // endpointPage returns a partial read of n endpoints, numbered from the given one.
 func endpointPage(from, n int) directory.Changes {
-	c := directory.Changes{Part: true}
+	c := directory.Changes{Partial: true}
 	for i := range n {
 		id := fmt.Sprintf("i-%05d", from+i)
 		c.Records = append(c.Records, directory.Record{Key: "servers/" + id, Revision: uint64(from + i + 1)})
@@ -31,11 +31,11 @@
 }
 
 // TestPartIsEnoughToServe checks that a replica becomes servable once it knows enough endpoints,
-// that a part contains directory.PartEntries endpoints and all other records, and that a complete
+// that a part contains directory.MinServingEntries endpoints and all other records, and that a complete
 // copy replaces a partial one.
 func TestPartIsEnoughToServe(t *testing.T) {
 	rep := newReplica().withDecoder(prefixDecoder{})
-	rep.apply(directory.Changes{Part: true, Records: []directory.Record{{Key: "op/config", Revision: 1}, {Key: "lotuswing/relays/a", Revision: 2}}}, start)
+	rep.apply(directory.Changes{Partial: true, Records: []directory.Record{{Key: "op/config", Revision: 1}, {Key: "lotuswing/relays/a", Revision: 2}}}, start)
 	for from := 0; from < 1000; from += 200 {
 		rep.apply(endpointPage(from, 200), start)
 		assert.Assert(t, !pause.Over(rep.servable) && !rep.isComplete())
@@ -43,7 +43,7 @@
 	rep.apply(endpointPage(1000, 200), start)
 	assert.Assert(t, pause.Over(rep.servable) && !rep.isComplete())
 	whole := endpointPage(0, 10000)
-	whole.Part, whole.Whole, whole.At = false, true, 10000
+	whole.Partial, whole.Complete, whole.Revision = false, true, 10000
 	whole.Records = append(whole.Records, directory.Record{Key: "op/config", Revision: 1})
 	rep.apply(whole, start)
 	assert.Assert(t, rep.isComplete() && !rep.isSmall())
@@ -57,7 +57,7 @@
 			others[r.Key] = true
 		}
 	}
-	assert.Equal(t, endpoints, directory.PartEntries)
+	assert.Equal(t, endpoints, directory.MinServingEntries)
 	assert.DeepEqual(t, others, map[string]bool{"op/config": true})
 }
 
@@ -66,7 +66,7 @@
 func TestSmallStoreIsHandedOnWhole(t *testing.T) {
 	rep := newReplica().withDecoder(prefixDecoder{})
 	c := endpointPage(0, 300)
-	c.Part, c.Whole, c.At = false, true, 300
+	c.Partial, c.Complete, c.Revision = false, true, 300
 	rep.apply(c, start)
 	assert.Assert(t, pause.Over(rep.servable) && rep.isSmall())
 }
--- a/relay/recovery_test.go
+++ b/relay/recovery_test.go
@@ -20,11 +20,11 @@
 	Follower
 	settled bool
 	read    *atomic.Int64 // number of reads of the registrations
-	retried *atomic.Int64 // number of calls of Retry
+	retried *atomic.Int64 // number of calls of EndRetryPause
 }
 
-// Settled returns the configured value.
-func (f staticFollower) Settled(time.Time) bool { return f.settled }
+// UpToDate returns the configured value.
+func (f staticFollower) UpToDate(time.Time) bool { return f.settled }
 
 // Active reports that the follower watches the store, also while it is not settled.
 func (f staticFollower) Active() bool { return true }
@@ -35,8 +35,8 @@
 // SetServing does nothing.
 func (f staticFollower) SetServing(bool) {}
 
-// Retry counts its calls.
-func (f staticFollower) Retry() { f.retried.Add(1) }
+// EndRetryPause counts its calls.
+func (f staticFollower) EndRetryPause() { f.retried.Add(1) }
 
 // ReadRegistrations counts its calls and finds no registration.
 func (f staticFollower) ReadRegistrations(context.Context) error {
@@ -99,7 +99,7 @@
 	ctx, start := context.Background(), time.Now() // nothing that is recorded after start has expired at start
 	old, oldAddr := startStaticGroup(t, false)
 	next, nextAddr := startStaticGroup(t, true)
-	next.replica.apply(directory.Changes{At: 2, Whole: true, Registrations: []directory.Record{
+	next.replica.apply(directory.Changes{Revision: 2, Complete: true, Registrations: []directory.Record{
 		{Key: "relays/medina", Value: []byte(`{"id":"next","addr":"` + nextAddr + `"}`), Revision: 2},
 	}}, time.Now())
 	s := subscription{lastRelay: Relay{Addr: oldAddr, Zone: "medina", revision: 1}}
@@ -126,7 +126,7 @@
 	now := time.Now()
 	g := New(Config{Zone: "medina", Addr: "10.0.0.2:1", Log: hclog.NewNullLogger()})
 	g.follower = staticFollower{retried: new(atomic.Int64)}
-	g.replica.apply(directory.Changes{At: 2, Whole: true, Registrations: []directory.Record{
+	g.replica.apply(directory.Changes{Revision: 2, Complete: true, Registrations: []directory.Record{
 		{Key: "relays/medina", Value: []byte(`{"id":"vm","addr":"10.0.0.1:1"}`), Revision: 2},
 	}}, now)
 	var s subscription
@@ -156,7 +156,7 @@
 	g.handleNoRelay(ctx, &s)
 	assert.Equal(t, reads.Load(), int64(1), "the bootstrap source knows no relay")
 	giver.starting.Store(true)
-	giver.replica.apply(directory.Changes{At: 1, Whole: true, Registrations: []directory.Record{
+	giver.replica.apply(directory.Changes{Revision: 1, Complete: true, Registrations: []directory.Record{
 		{Key: "relays/tribunal", Value: []byte(`{"id":"other","addr":"` + relayAddr + `"}`), Revision: 1},
 	}}, time.Now())
 	g.handleNoRelay(ctx, &s)
@@ -167,7 +167,7 @@
 	g.handleNoRelay(ctx, &subscription{})
 	assert.Equal(t, reads.Load(), int64(2), "the first copy came from the store")
 
-	g.replica.apply(directory.Changes{At: 2, Whole: true, Registrations: []directory.Record{
+	g.replica.apply(directory.Changes{Revision: 2, Complete: true, Registrations: []directory.Record{
 		{Key: "relays/medina", Value: []byte(`{"id":"own","addr":"10.0.0.3:1"}`), Revision: 1},
 		{Key: "relays/tribunal", Value: []byte(`{"id":"other","addr":"` + relayAddr + `"}`), Revision: 2},
 	}}, time.Now())
@@ -182,8 +182,8 @@
 	lost *atomic.Bool
 }
 
-// Settled returns false once lost is set.
-func (f settableFollower) Settled(time.Time) bool { return !f.lost.Load() }
+// UpToDate returns false once lost is set.
+func (f settableFollower) UpToDate(time.Time) bool { return !f.lost.Load() }
 
 // TestRelayReportsStoreLossAtOnce checks that a call which waits for changes is answered as soon as
 // the relay loses the store, not at the end of its wait. Users saw a configuration 70 ms later than
@@ -197,13 +197,13 @@
 	relay := New(Config{ID: addr, Zone: "medina", Addr: addr, Registry: fakeRegistry{}, Log: hclog.NewNullLogger()})
 	assert.NilError(t, relay.Start(l, settableFollower{staticFollower: staticFollower{read: new(atomic.Int64), retried: new(atomic.Int64)}, lost: lost}))
 	t.Cleanup(relay.Close)
-	relay.replica.apply(directory.Changes{At: 2, Whole: true}, time.Now())
+	relay.replica.apply(directory.Changes{Revision: 2, Complete: true}, time.Now())
 	l, err = net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	follower := New(Config{ID: "b", Zone: "medina", Addr: l.Addr().String(), Registry: fakeRegistry{}, Log: hclog.NewNullLogger(), Options: Options{Wait: maxWait}})
 	assert.NilError(t, follower.Start(l, staticFollower{read: new(atomic.Int64), retried: new(atomic.Int64)}))
 	t.Cleanup(follower.Close)
-	follower.replica.apply(directory.Changes{At: 2, Whole: true}, time.Now())
+	follower.replica.apply(directory.Changes{Revision: 2, Complete: true}, time.Now())
 	answered := make(chan error, 1)
 	go func() {
 		answered <- follower.fetchChanges(context.Background(), Relay{Addr: addr, Zone: "medina"}, false)
--- a/relay/registration.go
+++ b/relay/registration.go
@@ -103,8 +103,8 @@
 
 // seesRegistrations reports whether this balancer would know of a registration if one existed.
 func (g *Group) seesRegistrations(now time.Time) bool {
-	if g.follower.Settled(now) {
-		return g.follower.Watching(now) >= minWatchAge
+	if g.follower.UpToDate(now) {
+		return g.follower.WatchDuration(now) >= minWatchAge
 	}
 	return g.relaySettled.Load()
 }
@@ -126,7 +126,7 @@
 		g.registeredAfter.Store(int64(time.Since(g.createdAt)))
 		g.follower.SetServing(true)
 		g.follower.SetActive(true)
-		g.follower.Retry()
+		g.follower.EndRetryPause()
 	}
 	g.replica.waitRegistration(ctx, g.cfg.Zone, g.opts.TTL)
 }
@@ -140,5 +140,5 @@
 		g.cfg.Log.Warn("could not renew relay registration", "zone", g.cfg.Zone, "lease", own.lease, "error", err)
 		return
 	}
-	g.follower.Retry()
+	g.follower.EndRetryPause()
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -20,7 +20,7 @@
 // # Usage
 //
 //	g := relay.New(relay.Config{ID: id, Zone: zone, Addr: addr, Registry: store, Decoder: store, Log: log})
-//	follower := directory.NewFollower(d, store, directory.Options{Standby: true, Observe: g.Observe, Begin: g.Begin, OnAnswer: g.OnAnswer, OnFailure: g.OnFailure})
+//	follower := directory.NewFollower(d, store, directory.Options{Standby: true, OnApplied: g.Observe, Bootstrap: g.Begin, OnAnswer: g.OnAnswer, OnFailure: g.OnFailure})
 //	err := g.Start(listener, follower)
 //	defer g.Close()
 package relay
@@ -73,21 +73,21 @@
 	// SetServing says whether other balancers rely on this follower, which then pauses for shorter
 	// times.
 	SetServing(serving bool)
-	// Retry ends the pause after a failed call, because the store has just answered another call.
-	Retry()
+	// EndRetryPause ends the pause after a failed call, because the store has just answered another call.
+	EndRetryPause()
 	// Read reads the full store and applies the result, which may be some seconds old.
 	Read(ctx context.Context) error
 	// ReadRegistrations reads only the registrations and applies them.
 	ReadRegistrations(ctx context.Context) error
 	// Active reports whether the follower watches the store.
 	Active() bool
-	// Answered returns when the store last answered; zero for never.
-	Answered() time.Time
-	// Settled reports whether the follower watches the store and got an answer lately, so that its
+	// LastAnswer returns when the store last answered; zero for never.
+	LastAnswer() time.Time
+	// UpToDate reports whether the follower watches the store and got an answer lately, so that its
 	// content may be passed on as the store's current state.
-	Settled(now time.Time) bool
-	// Watching returns how long the current watch has been open; 0 if there is none.
-	Watching(now time.Time) time.Duration
+	UpToDate(now time.Time) bool
+	// WatchDuration returns how long the current watch has been open; 0 if there is none.
+	WatchDuration(now time.Time) time.Duration
 }
 
 // Decoder interprets records of the store.
@@ -177,7 +177,7 @@
 	return g
 }
 
-// Observe records changes that the follower has applied. Pass it to the follower as its Observe
+// Observe records changes that the follower has applied. Pass it to the follower as its OnApplied
 // option.
 func (g *Group) Observe(c directory.Changes) {
 	for _, err := range g.replica.apply(c, time.Now()) {
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -104,8 +104,8 @@
 		},
 	})
 	m.follower = directory.NewFollower(m.directory, m.source, directory.Options{
-		Log: log, Gather: short, RetryPause: short, CheckEvery: 100 * time.Millisecond, StuckAfter: 50 * time.Millisecond,
-		Standby: true, Observe: m.group.Observe, Begin: m.group.Begin, OnAnswer: m.group.OnAnswer, OnFailure: m.group.OnFailure,
+		Log: log, BatchDelay: short, RetryPause: short, CheckEvery: 100 * time.Millisecond, StuckTimeout: 50 * time.Millisecond,
+		Standby: true, OnApplied: m.group.Observe, Bootstrap: m.group.Begin, OnAnswer: m.group.OnAnswer, OnFailure: m.group.OnFailure,
 	})
 	assert.NilError(t, m.group.Start(l, m.follower))
 	ctx, stop := context.WithCancel(context.Background())
@@ -166,7 +166,7 @@
 // settledBalancers returns the balancers that watch the store and are up to date.
 func settledBalancers(all []*testBalancer) (list []*testBalancer) {
 	for _, m := range all {
-		if m.follower.Settled(time.Now()) {
+		if m.follower.UpToDate(time.Now()) {
 			list = append(list, m)
 		}
 	}
@@ -214,11 +214,11 @@
 	}
 	store.PutServer("i-1", platformtest.Server{Address: "127.0.0.1:1", Service: "s", Slots: 3})
 	for _, m := range all {
-		waitUntil(t, "an endpoint", func() bool { return m.directory.Snapshot().Known == 1 })
+		waitUntil(t, "an endpoint", func() bool { return m.directory.Snapshot().ListedCount == 1 })
 	}
 	store.RemoveServer("i-1")
 	for _, m := range all {
-		waitUntil(t, "no endpoint", func() bool { return m.directory.Snapshot().Known == 0 })
+		waitUntil(t, "no endpoint", func() bool { return m.directory.Snapshot().ListedCount == 0 })
 	}
 	var after int64
 	for _, m := range others {
@@ -272,7 +272,7 @@
 	publish(store, 1)
 	all, zoneRelay, _ := startZone(t, store, 3)
 	other := startBalancer(t, store, "tribunal")
-	waitUntil(t, "a relay of the other zone", func() bool { return other.follower.Settled(time.Now()) })
+	waitUntil(t, "a relay of the other zone", func() bool { return other.follower.UpToDate(time.Now()) })
 	publishAndWait(t, store, 3, append(all, other)...)
 	zoneRelay.refused.Store(true)
 	publishAndWait(t, store, 5, append(all, other)...)
@@ -397,7 +397,7 @@
 	}
 	var readers int
 	for i, m := range again {
-		waitUntil(t, fmt.Sprint("a first copy at ", i), func() bool { return m.version() == 3 && m.directory.Snapshot().Known == 12 })
+		waitUntil(t, fmt.Sprint("a first copy at ", i), func() bool { return m.version() == 3 && m.directory.Snapshot().ListedCount == 12 })
 		if m.fullReads.Load() > 0 {
 			readers++
 			assert.Assert(t, strings.Contains(registered, `"`+m.addr+`"`), "%s reads, registered are %s", m.addr, registered)
--- a/relay/replica.go
+++ b/relay/replica.go
@@ -64,15 +64,15 @@
 	for _, r := range c.Records {
 		rep.applyRecord(r, now)
 	}
-	if c.Whole {
+	if c.Complete {
 		rep.deleteAbsent(c, now)
 	}
-	if c.Whole && !rep.isComplete() {
-		rep.minDeltaRevision = c.At
+	if c.Complete && !rep.isComplete() {
+		rep.minDeltaRevision = c.Revision
 		close(rep.complete)
 	}
 	rep.updateServable(c)
-	rep.knownRevision = max(rep.knownRevision, c.At)
+	rep.knownRevision = max(rep.knownRevision, c.Revision)
 	rep.expireTombstones(now)
 	rep.compactChangeLog()
 	errs := rep.applyRegistrations(c)
@@ -86,16 +86,16 @@
 	if pause.Over(rep.servable) {
 		return
 	}
-	if c.Part {
+	if c.Partial {
 		rep.partEndpoints += len(c.Entries)
 	}
-	if rep.isComplete() || rep.partEndpoints >= directory.PartEntries {
+	if rep.isComplete() || rep.partEndpoints >= directory.MinServingEntries {
 		close(rep.servable)
 	}
 }
 
 // part returns what a balancer needs to begin to serve: all records other than endpoints, and up to
-// directory.PartEntries endpoints.
+// directory.MinServingEntries endpoints.
 func (rep *replica) part() []directory.Record {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
@@ -106,7 +106,7 @@
 			continue
 		}
 		if rep.isEndpoint != nil && rep.isEndpoint(r.Key) {
-			if endpoints >= directory.PartEntries {
+			if endpoints >= directory.MinServingEntries {
 				continue
 			}
 			endpoints++
@@ -120,7 +120,7 @@
 func (rep *replica) isSmall() bool {
 	rep.mu.Lock()
 	defer rep.mu.Unlock()
-	return rep.isComplete() && len(rep.records) < 2*directory.PartEntries
+	return rep.isComplete() && len(rep.records) < 2*directory.MinServingEntries
 }
 
 // applyRecord stores a record if it is newer than the known one.
@@ -175,8 +175,8 @@
 		present[r.Key] = true
 	}
 	for key, r := range rep.records {
-		if !present[key] && !r.Gone && r.Revision <= c.At {
-			rep.applyRecord(directory.Record{Key: key, Revision: c.At, Gone: true}, now)
+		if !present[key] && !r.Gone && r.Revision <= c.Revision {
+			rep.applyRecord(directory.Record{Key: key, Revision: c.Revision, Gone: true}, now)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 // applyRegistrations updates the relays by zone and returns one error for each registration that
 // could not be parsed.
 func (rep *replica) applyRegistrations(c directory.Changes) (errs []error) {
-	if c.Whole && c.At >= rep.knownRevision {
+	if c.Complete && c.Revision >= rep.knownRevision {
 		clear(rep.relays)
 	}
 	for _, r := range c.Registrations {
--- a/relay/replica_test.go
+++ b/relay/replica_test.go
@@ -37,11 +37,11 @@
 		r.Value = []byte(fmt.Sprint("v", s.revision))
 	}
 	s.records[key] = r
-	return directory.Changes{Records: []directory.Record{r}, At: s.revision}
+	return directory.Changes{Records: []directory.Record{r}, Revision: s.revision}
 }
 
 func (s *storeModel) fullRead() directory.Changes {
-	c := directory.Changes{At: s.revision, Whole: true}
+	c := directory.Changes{Revision: s.revision, Complete: true}
 	for _, r := range s.records {
 		if !r.Gone {
 			c.Records = append(c.Records, r)
@@ -85,7 +85,7 @@
 				assert.NilError(t, err)
 				records, err := unpack(packed)
 				assert.NilError(t, err)
-				replica.apply(directory.Changes{Records: records, At: d.knownRevision, Whole: d.whole}, now)
+				replica.apply(directory.Changes{Records: records, Revision: d.knownRevision, Complete: d.whole}, now)
 				assert.DeepEqual(t, replica.liveContent(), relay.liveContent())
 			}
 			assert.DeepEqual(t, relay.liveContent(), s.liveContent())
@@ -97,8 +97,8 @@
 // balancer which knows all changes gets no records.
 func TestOlderRecordIsIgnored(t *testing.T) {
 	rep := newReplica()
-	rep.apply(directory.Changes{Whole: true, At: 3, Records: []directory.Record{{Key: "a", Revision: 3, Value: []byte("new")}}}, start)
-	rep.apply(directory.Changes{At: 2, Records: []directory.Record{{Key: "a", Revision: 2, Value: []byte("old")}}}, start)
+	rep.apply(directory.Changes{Complete: true, Revision: 3, Records: []directory.Record{{Key: "a", Revision: 3, Value: []byte("new")}}}, start)
+	rep.apply(directory.Changes{Revision: 2, Records: []directory.Record{{Key: "a", Revision: 2, Value: []byte("old")}}}, start)
 	assert.DeepEqual(t, rep.liveContent(), map[string]string{"a": "new"})
 	assert.Equal(t, len(rep.since(3).records), 0)
 	assert.Equal(t, rep.since(3).knownRevision, uint64(3))
@@ -113,7 +113,7 @@
 		return directory.Record{Key: "relays/" + zone, Value: []byte(fmt.Sprintf(`{"id":"vm","addr":%q}`, addr)), Revision: revision, Lease: 7}
 	}
 	apply := func(whole bool, at uint64, list ...directory.Record) []error {
-		return rep.apply(directory.Changes{Registrations: list, At: at, Whole: whole}, start)
+		return rep.apply(directory.Changes{Registrations: list, Revision: at, Complete: whole}, start)
 	}
 	assert.Equal(t, len(apply(true, 2, registration("medina", "10.0.0.1:1", 2))), 0)
 	r, ok := rep.relay("medina")
@@ -152,11 +152,11 @@
 // that it has not seen have expired.
 func TestExpiredTombstoneForcesFullDelta(t *testing.T) {
 	rep := newReplica()
-	rep.apply(directory.Changes{Whole: true, At: 5, Records: []directory.Record{{Key: "a", Revision: 4}, {Key: "b", Revision: 5}}}, start)
-	rep.apply(directory.Changes{At: 7, Records: []directory.Record{{Key: "a", Revision: 7, Gone: true}}}, start)
+	rep.apply(directory.Changes{Complete: true, Revision: 5, Records: []directory.Record{{Key: "a", Revision: 4}, {Key: "b", Revision: 5}}}, start)
+	rep.apply(directory.Changes{Revision: 7, Records: []directory.Record{{Key: "a", Revision: 7, Gone: true}}}, start)
 	assert.Assert(t, !rep.since(6).whole)
 	assert.Equal(t, len(rep.since(6).records), 1, "the deletion of a")
-	rep.apply(directory.Changes{At: 8, Records: []directory.Record{{Key: "c", Revision: 8}}}, start.Add(2*tombstoneTTL))
+	rep.apply(directory.Changes{Revision: 8, Records: []directory.Record{{Key: "c", Revision: 8}}}, start.Add(2*tombstoneTTL))
 	late := rep.since(6)
 	assert.Assert(t, late.whole)
 	assert.Equal(t, len(late.records), 2, "b and c")
@@ -175,7 +175,7 @@
 			if rapid.Bool().Draw(t, "deliver") {
 				i := rapid.IntRange(0, len(pending)-1).Draw(t, "which")
 				c := pending[i]
-				c.At = 0
+				c.Revision = 0
 				rep.apply(c, start)
 			}
 		}
@@ -183,7 +183,7 @@
 		for i := range rep.changeLog[len(rep.changeLog)-minChangeLog-100:] {
 			rep.changeLog[len(rep.changeLog)-1-i] = change{revision: store.revision, key: "replaced"}
 		}
-		rep.apply(directory.Changes{At: store.revision}, start)
+		rep.apply(directory.Changes{Revision: store.revision}, start)
 		after := rapid.Uint64Range(0, store.revision-1).Draw(t, "after")
 		got := rep.since(after)
 		want := map[string]uint64{}
@@ -210,12 +210,12 @@
 // 10,000 endpoints has changed: 0.2 ms when since scanned all keys, less than 1 us now.
 func BenchmarkSince(b *testing.B) {
 	rep := newReplica()
-	whole := directory.Changes{At: 10000, Whole: true}
+	whole := directory.Changes{Revision: 10000, Complete: true}
 	for i := range 10000 {
 		whole.Records = append(whole.Records, directory.Record{Key: fmt.Sprint("servers/i-", i), Revision: uint64(i + 1), Value: []byte("v")})
 	}
 	rep.apply(whole, start)
-	rep.apply(directory.Changes{At: 10001, Records: []directory.Record{{Key: "servers/i-7", Revision: 10001}}}, start)
+	rep.apply(directory.Changes{Revision: 10001, Records: []directory.Record{{Key: "servers/i-7", Revision: 10001}}}, start)
 	for b.Loop() {
 		if d := rep.since(10000); len(d.records) != 1 {
 			b.Fatal(len(d.records))
--- a/relay/server.go
+++ b/relay/server.go
@@ -77,18 +77,18 @@
 	if args.Patient {
 		g.waitSettled(args.From, wait, hasNotes)
 	}
-	if !g.follower.Settled(time.Now()) {
+	if !g.follower.UpToDate(time.Now()) {
 		*reply = g.unsettledReply(time.Now())
 		return nil
 	}
-	g.replica.waitAfter(context.Background(), args.After, wait, func() bool { return hasNotes() || !g.follower.Settled(time.Now()) })
+	g.replica.waitAfter(context.Background(), args.After, wait, func() bool { return hasNotes() || !g.follower.UpToDate(time.Now()) })
 	g.cfg.Suspensions.Check() // the VM may have been suspended during the wait
 	d := g.replica.since(args.After)
 	packed, err := g.packer.pack(d)
 	if err != nil {
 		return err
 	}
-	*reply = ChangesReply{Settled: g.follower.Settled(time.Now()), Whole: d.whole, At: d.knownRevision, Packed: packed}
+	*reply = ChangesReply{Settled: g.follower.UpToDate(time.Now()), Whole: d.whole, At: d.knownRevision, Packed: packed}
 	if !reply.Settled {
 		*reply = g.unsettledReply(time.Now())
 	}
--- a/relay/status.go
+++ b/relay/status.go
@@ -22,7 +22,7 @@
 	confirmedAt := g.confirmedAt
 	if g.follower.Active() {
 		st.Following = FollowsStore
-		if answered := g.follower.Answered(); answered.After(confirmedAt) {
+		if answered := g.follower.LastAnswer(); answered.After(confirmedAt) {
 			confirmedAt = answered
 		}
 	}
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -33,7 +33,7 @@
 // its rollout.
 func (c *Controller) RecordOutcome(t direct.RolloutOutcome, now time.Time) {
 	r, ok := findRollout(c.cfg.Directory.Snapshot(), t.Service)
-	if !ok || !r.Begun() {
+	if !ok || !r.Started() {
 		return
 	}
 	version := olderVersion
--- a/rollout/notes_test.go
+++ b/rollout/notes_test.go
@@ -41,7 +41,7 @@
 
 	assert.NilError(t, heard.HandleNote(told[0]))
 	assert.Equal(t, other.currentRollout().Status().State, rollout.RolledBack)
-	assert.Equal(t, other.currentRollout().Recorded().State, rollout.Running)
+	assert.Equal(t, other.currentRollout().RecordedStatus().State, rollout.Running)
 
 	leader.storeDown = false
 	leader.now = leader.now.Add(maxWritePause)
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -73,7 +73,7 @@
 }
 
 func (w *testFleet) apply(c directory.Changes) {
-	c.At = w.revision
+	c.Revision = w.revision
 	w.directory.Apply(c, w.now)
 }
 
@@ -126,7 +126,7 @@
 func (w *testFleet) simulate(maxTime time.Duration, fails func(at time.Duration) bool, controllers ...*Controller) time.Duration {
 	from := w.now
 	for n := 0; w.now.Sub(from) < maxTime; n++ {
-		if r := w.currentRollout(); r.Begun() && r.Status().State != rollout.Running {
+		if r := w.currentRollout(); r.Started() && r.Status().State != rollout.Running {
 			break
 		}
 		w.now = w.now.Add(100 * time.Millisecond)
@@ -265,7 +265,7 @@
 	w.addEndpoints("v2", 10)
 	w.addEndpoints("v3", 10)
 	w.orderRollout("v3")
-	assert.Assert(t, !w.currentRollout().Begun())
+	assert.Assert(t, !w.currentRollout().Started())
 	assert.DeepEqual(t, w.countBySide(), map[string]int{"v1/1": 10}) // the version of the replaced order gets no requests
 	w.simulate(12*time.Second, neverFails, k)
 	assert.Equal(t, w.currentRollout().Status().State, rollout.Completed)
@@ -274,7 +274,7 @@
 	w.orderRollout("v2")
 	k.evaluateAll(context.Background())
 	w.revision++
-	w.apply(directory.Changes{Rollouts: []directory.RolloutOrder{{Service: "s", Over: true, Revision: w.revision}}})
+	w.apply(directory.Changes{Rollouts: []directory.RolloutOrder{{Service: "s", Withdrawn: true, Revision: w.revision}}})
 	assert.Equal(t, w.countBySide()["v2/2"], 0, "the order is withdrawn")
 	k.evaluateAll(context.Background())
 	assert.Equal(t, w.written[len(w.written)-1], rollout.Running, "nothing is written for a withdrawn order")
@@ -316,7 +316,7 @@
 		w := newTestFleet()
 		w.orderRollout("v2")
 		w.addEndpoints("v2", 3)
-		w.apply(directory.Changes{Registrations: []directory.Record{{Key: directory.RecordName("s"), Value: value, Revision: 99}}})
+		w.apply(directory.Changes{Registrations: []directory.Record{{Key: directory.RolloutRecordName("s"), Value: value, Revision: 99}}})
 		if share := w.currentRollout().Share(); share < 0 || share > 1 {
 			t.Fatal(share)
 		}
--- a/rollout/run.go
+++ b/rollout/run.go
@@ -51,7 +51,7 @@
 func (c *Controller) evaluateAll(ctx context.Context) (open, leads bool) {
 	s := c.cfg.Directory.Snapshot()
 	for _, r := range s.Rollouts {
-		if r.Order.Over || r.Begun() && r.Recorded().State != rollout.Running {
+		if r.Order.Withdrawn || r.Started() && r.RecordedStatus().State != rollout.Running {
 			continue
 		}
 		open = true
@@ -83,7 +83,7 @@
 		t = &rolloutState{order: r.Order.Revision, orderSeen: now, kinds: map[string]*kindEvidence{}}
 		c.states[r.Order.Service] = t
 	}
-	if status := r.Recorded(); t.revision != r.Revision || t.status != status {
+	if status := r.RecordedStatus(); t.revision != r.Revision || t.status != status {
 		t.status, t.revision, t.statusSeen, t.writePause = status, r.Revision, now, 0
 	}
 	return t
@@ -119,7 +119,7 @@
 func (c *Controller) next(r directory.Rollout, t *rolloutState, listed []directory.Endpoint, now time.Time) (rollout.Status, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !r.Begun() {
+	if !r.Started() {
 		return rollout.Status{State: rollout.Running}, true
 	}
 	bad, proved := t.evaluate(c.cfg.Counts.Sums(keyPrefix(r.Order.Service, r.Order.Revision)))
@@ -140,7 +140,7 @@
 	for i := range listed {
 		switch e := &listed[i]; {
 		case e.State != directory.Listed:
-		case e.Version == version && !now.Before(e.WarmAt):
+		case e.Version == version && !now.Before(e.WarmUntil):
 			newer++
 		case e.Side == placement.OldSide:
 			older++
@@ -152,14 +152,14 @@
 // writeStatus writes a status to the store, for all balancers and for operators.
 func (c *Controller) writeStatus(ctx context.Context, r directory.Rollout, next rollout.Status) error {
 	value, err := json.Marshal(directory.RolloutRecord{
-		Order: r.Order.Revision, Version: r.Order.Version, State: next.State, Stage: next.Stage, By: c.cfg.ID, Out: r.Out(),
+		Order: r.Order.Revision, Version: r.Order.Version, State: next.State, Stage: next.Stage, By: c.cfg.ID, Out: r.HeldBackVersions(),
 	})
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	return c.cfg.Registry.WriteRollout(ctx, directory.RecordName(r.Order.Service), value, r.Revision, r.Order, next.State)
+	return c.cfg.Registry.WriteRollout(ctx, directory.RolloutRecordName(r.Order.Service), value, r.Revision, r.Order, next.State)
 }
 
 // Errors of Stop.
@@ -174,7 +174,7 @@
 // ErrChanged, or an error of the store.
 func (c *Controller) Stop(ctx context.Context, service string) error {
 	r, ok := findRollout(c.cfg.Directory.Snapshot(), service)
-	if !ok || r.Order.Over || r.Begun() && r.Recorded().State != rollout.Running {
+	if !ok || r.Order.Withdrawn || r.Started() && r.RecordedStatus().State != rollout.Running {
 		return ErrNoRollout
 	}
 	err := c.writeStatus(ctx, r, rollout.Status{State: rollout.RolledBack})
--- a/server/chooser.go
+++ b/server/chooser.go
@@ -61,14 +61,14 @@
 	s.limits = limits.New(limits.Config{Addr: settings.Link, Log: s.cfg.Log.Named("limits"), Metrics: s.metrics})
 	if s.cfg.Relays != nil {
 		s.quarantine, s.rollouts = s.newQuarantine(), s.newRollouts()
-		opts.Observe = s.observe
+		opts.OnApplied = s.observe
 	}
 	if s.cfg.Relays != nil && settings.Link != "" {
 		var err error
 		if s.relays, err = s.newRelays(); err != nil {
 			return err
 		}
-		opts.Standby, opts.Begin = true, s.relays.Begin
+		opts.Standby, opts.Bootstrap = true, s.relays.Begin
 		opts.OnAnswer, opts.OnFailure = s.relays.OnAnswer, s.relays.OnFailure
 	}
 	s.follower = directory.NewFollower(d, s.cfg.Source, opts)
--- a/server/teams.go
+++ b/server/teams.go
@@ -21,7 +21,7 @@
 // time after which changes must be in force.
 func (t teams) ReceivesChanges(now time.Time) bool {
 	s := t.server
-	if s.follower.Settled(now) {
+	if s.follower.UpToDate(now) {
 		return true
 	}
 	if s.relays == nil {
