--- a/demo/crash.go
+++ b/demo/crash.go
@@ -124,7 +124,7 @@
 		switch {
 		case err != nil || !st.Ready || st.Copy.Following == "":
 			return false
-		case st.Copy.Following == relay.FollowsStore:
+		case st.Copy.Following == relay.WatchesStore:
 			store++
 		default:
 			others++
--- a/direct/backoff_notes.go
+++ b/direct/backoff_notes.go
@@ -14,7 +14,7 @@
 // asked it for a backoff. The others may still send requests to the endpoint, but prefer other
 // endpoints. With hundreds of balancers, each sends less than one request to an endpoint during a
 // backoff, so most would not learn of the backoff from requests of their own.
-const BackoffTopic = relay.Brief + "backoff"
+const BackoffTopic = relay.BriefTopicPrefix + "backoff"
 
 // backoffNote is the payload of a note under BackoffTopic, as JSON.
 type backoffNote struct {
--- a/limits/fleet_test.go
+++ b/limits/fleet_test.go
@@ -33,7 +33,7 @@
 }
 
 func (p testTransport) ServesAsRelay() bool {
-	for _, r := range p.Owners() {
+	for _, r := range p.LimitOwners() {
 		if r.Addr == p.addr {
 			return true
 		}
@@ -43,7 +43,7 @@
 
 func (p testTransport) ConnectedToStore() bool { return true }
 
-func (p testTransport) Owners() []limit.Relay {
+func (p testTransport) LimitOwners() []limit.Relay {
 	p.net.mu.Lock()
 	defer p.net.mu.Unlock()
 	return p.net.relays
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -48,8 +48,8 @@
 	ServesAsRelay() bool
 	// ConnectedToStore reports whether this balancer is connected to the store.
 	ConnectedToStore() bool
-	// Owners returns the registered relays.
-	Owners() []limit.Relay
+	// LimitOwners returns the registered relays.
+	LimitOwners() []limit.Relay
 	// Ask sends asks to the balancer at addr and returns its reply.
 	Ask(ctx context.Context, addr string, asks []limit.Ask) (limit.Reply, error)
 	// Publish sends a note to all other balancers.
--- a/limits/owner.go
+++ b/limits/owner.go
@@ -22,7 +22,7 @@
 	if c == nil {
 		return k.answerAsks(k.cfg.Addr, []limit.Ask{a}, true), nil
 	}
-	addr, ok := limit.Owner(e.Zone, a.Target, c.Owners())
+	addr, ok := limit.Owner(e.Zone, a.Target, c.LimitOwners())
 	switch {
 	case !ok:
 		return limit.Reply{}, errNoOwner
--- a/limits/status.go
+++ b/limits/status.go
@@ -42,7 +42,7 @@
 		st.Owns = true
 		return st
 	}
-	st.Owner, _ = limit.Owner(e.Zone, t, k.transport.Owners())
+	st.Owner, _ = limit.Owner(e.Zone, t, k.transport.LimitOwners())
 	st.Owns = st.Owner == k.cfg.Addr
 	return st
 }
--- a/quarantine/admit.go
+++ b/quarantine/admit.go
@@ -118,7 +118,7 @@
 	defer cancel()
 	lease, err := k.cfg.Registry.Replace(askCtx, trialKeyPrefix+string(f), []byte(`"`+k.cfg.ID+`"`), 0, k.trialDuration(r))
 	now := k.opts.Now()
-	if errors.Is(err, relay.ErrTaken) {
+	if errors.Is(err, relay.ErrAlreadyRegistered) {
 		k.markForeignTrial(f, now.Add(k.trialDuration(r)))
 		return Admission{}, nil, false
 	}
--- a/quarantine/operate.go
+++ b/quarantine/operate.go
@@ -114,7 +114,7 @@
 			return nil
 		}
 		err := k.replaceRecord(ctx, f, rec, revision, crash.RefusalPeriod)
-		if !errors.Is(err, relay.ErrTaken) {
+		if !errors.Is(err, relay.ErrAlreadyRegistered) {
 			return err
 		}
 		pause.Until(ctx, changed, operatorWriteTimeout)
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -51,7 +51,7 @@
 // Registry writes records to the store.
 type Registry interface {
 	// Replace writes a record under a new lease, which it returns, if the record still has the
-	// given revision; 0 means that it does not exist. Otherwise it returns relay.ErrTaken.
+	// given revision; 0 means that it does not exist. Otherwise it returns relay.ErrAlreadyRegistered.
 	Replace(ctx context.Context, name string, value []byte, revision uint64, ttl time.Duration) (lease uint64, err error)
 	// Release ends a lease and deletes its records.
 	Release(ctx context.Context, lease uint64) error
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -151,7 +151,7 @@
 		stored = storedValue{}
 	}
 	if stored.revision != revision {
-		return 0, relay.ErrTaken
+		return 0, relay.ErrAlreadyRegistered
 	}
 	h.revision++
 	next := storedValue{value: value, revision: h.revision, lease: h.revision}
--- a/quarantine/records.go
+++ b/quarantine/records.go
@@ -193,7 +193,7 @@
 			return
 		}
 		err := k.replaceRecord(ctx, f, rec, revision, validFor)
-		if err == nil || errors.Is(err, relay.ErrTaken) {
+		if err == nil || errors.Is(err, relay.ErrAlreadyRegistered) {
 			k.cfg.Log.Info("refusal recorded", "fingerprint", string(f), "service", rec.Service, "taken", err != nil)
 			break
 		}
--- a/relay/bootstrap.go
+++ b/relay/bootstrap.go
@@ -7,9 +7,9 @@
 	"github.com/lotuswing/lotuswing/directory"
 )
 
-// Begin obtains a first copy of the store's content from other balancers or from the store, and
+// Bootstrap obtains a first copy of the store's content from other balancers or from the store, and
 // applies it. Pass it to the follower as its Bootstrap option.
-func (g *Group) Begin(ctx context.Context) {
+func (g *Group) Bootstrap(ctx context.Context) {
 	bootstrapResult := bootstrap.New(bootstrap.Config{
 		Self: bootstrap.Peer{Addr: g.cfg.Addr, Zone: g.cfg.Zone}, Seeds: g.cfg.Seeds, Cores: g.cfg.Cores,
 		State: bootstrapState{g}, Store: g.follower, Peers: bootstrapPeers{g}, Giver: g.giver,
--- a/relay/counting.go
+++ b/relay/counting.go
@@ -96,8 +96,8 @@
 // IsRelay reports whether addr belongs to a registered relay.
 func (g *Group) IsRelay(addr string) bool { return g.replica.isRelay(addr) }
 
-// Owners returns the registered relays, each of which owns the limits of its zone's endpoints.
-func (g *Group) Owners() []limit.Relay {
+// LimitOwners returns the registered relays, each of which owns the limits of its zone's endpoints.
+func (g *Group) LimitOwners() []limit.Relay {
 	var owners []limit.Relay
 	for _, r := range g.replica.allRelays() {
 		owners = append(owners, limit.Relay{Zone: r.Zone, Addr: r.Addr})
--- a/relay/notes.go
+++ b/relay/notes.go
@@ -27,7 +27,7 @@
 	// bytes take less than a megabyte. The oldest are dropped first.
 	noteRetention = 10 * time.Minute
 	maxNotes      = 4096
-	// briefNoteRetention is the retention of notes whose topic begins with Brief.
+	// briefNoteRetention is the retention of notes whose topic begins with BriefTopicPrefix.
 	briefNoteRetention = 10 * time.Second
 	// maxNoteBytes bounds the data of one note.
 	maxNoteBytes = 1 << 10
@@ -35,13 +35,13 @@
 	pruneInterval = 10 * time.Second
 )
 
-// Brief is the topic prefix of notes that are useful for seconds only: balancers that start later
+// BriefTopicPrefix is the topic prefix of notes that are useful for seconds only: balancers that start later
 // do not receive them, and they do not take up the space of other notes for long.
-const Brief = "brief/"
+const BriefTopicPrefix = "brief/"
 
 // retention returns how long the note is passed on.
 func (n Note) retention() time.Duration {
-	if strings.HasPrefix(n.Topic, Brief) {
+	if strings.HasPrefix(n.Topic, BriefTopicPrefix) {
 		return briefNoteRetention
 	}
 	return noteRetention
--- a/relay/notes_test.go
+++ b/relay/notes_test.go
@@ -51,7 +51,7 @@
 func TestBriefNotesExpireSoon(t *testing.T) {
 	l := newNoteLog()
 	brief, other := newNote("a", 1), newNote("a", 2)
-	brief.Topic = Brief + "x"
+	brief.Topic = BriefTopicPrefix + "x"
 	l.add([]Note{brief, other}, noteStart)
 	notes, _ := l.since(logPosition{}, "", noteStart.Add(briefNoteRetention))
 	assert.Equal(t, len(notes), 2)
--- a/relay/registration.go
+++ b/relay/registration.go
@@ -117,7 +117,7 @@
 	defer cancel()
 	err := g.cfg.Registry.Register(limited, namePrefix+g.cfg.Zone, value, g.opts.TTL)
 	switch {
-	case errors.Is(err, ErrTaken):
+	case errors.Is(err, ErrAlreadyRegistered):
 		g.cfg.Log.Info("another balancer registered as relay first", "zone", g.cfg.Zone)
 	case err != nil:
 		g.cfg.Log.Warn("could not register as relay", "zone", g.cfg.Zone, "error", err)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -20,7 +20,7 @@
 // # Usage
 //
 //	g := relay.New(relay.Config{ID: id, Zone: zone, Addr: addr, Registry: store, Decoder: store, Log: log})
-//	follower := directory.NewFollower(d, store, directory.Options{Standby: true, OnApplied: g.Observe, Bootstrap: g.Begin, OnAnswer: g.OnAnswer, OnFailure: g.OnFailure})
+//	follower := directory.NewFollower(d, store, directory.Options{Standby: true, OnApplied: g.ApplyChanges, Bootstrap: g.Bootstrap, OnAnswer: g.OnAnswer, OnFailure: g.OnFailure})
 //	err := g.Start(listener, follower)
 //	defer g.Close()
 package relay
@@ -46,18 +46,18 @@
 )
 
 var (
-	// ErrTaken is returned by Registry.Register for a registration that already exists.
-	ErrTaken = errors.New("relay: already registered")
-	// ErrLapsed is returned by Registry.Renew for a lease that has expired.
-	ErrLapsed = errors.New("relay: lease has expired")
+	// ErrAlreadyRegistered is returned by Registry.Register for a registration that already exists.
+	ErrAlreadyRegistered = errors.New("relay: already registered")
+	// ErrLeaseExpired is returned by Registry.Renew for a lease that has expired.
+	ErrLeaseExpired = errors.New("relay: lease has expired")
 )
 
 // Registry stores registrations under leases.
 type Registry interface {
-	// Register creates a registration under a new lease with the given TTL. It returns ErrTaken if
+	// Register creates a registration under a new lease with the given TTL. It returns ErrAlreadyRegistered if
 	// the registration exists.
 	Register(ctx context.Context, name string, value []byte, ttl time.Duration) error
-	// Renew extends a lease. It returns ErrLapsed if the lease has expired.
+	// Renew extends a lease. It returns ErrLeaseExpired if the lease has expired.
 	Renew(ctx context.Context, lease uint64) error
 	// Release ends a lease and deletes its registrations.
 	Release(ctx context.Context, lease uint64) error
@@ -177,9 +177,9 @@
 	return g
 }
 
-// Observe records changes that the follower has applied. Pass it to the follower as its OnApplied
+// ApplyChanges records changes that the follower has applied. Pass it to the follower as its OnApplied
 // option.
-func (g *Group) Observe(c directory.Changes) {
+func (g *Group) ApplyChanges(c directory.Changes) {
 	for _, err := range g.replica.apply(c, time.Now()) {
 		g.cfg.Log.Error("could not parse relay registration", "error", err)
 	}
@@ -189,7 +189,7 @@
 }
 
 // Start serves other balancers on a listener and runs the loops that follow relays and maintain the
-// registration, until Close is called. The follower must be the one that calls Observe.
+// registration, until Close is called. The follower must be the one that calls ApplyChanges.
 func (g *Group) Start(l net.Listener, follower Follower) error {
 	g.follower = follower
 	server, err := link.Serve(l, g.cfg.TLS, &rpcService{group: g})
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -105,7 +105,7 @@
 	})
 	m.follower = directory.NewFollower(m.directory, m.source, directory.Options{
 		Log: log, BatchDelay: short, RetryPause: short, CheckEvery: 100 * time.Millisecond, StuckTimeout: 50 * time.Millisecond,
-		Standby: true, OnApplied: m.group.Observe, Bootstrap: m.group.Begin, OnAnswer: m.group.OnAnswer, OnFailure: m.group.OnFailure,
+		Standby: true, OnApplied: m.group.ApplyChanges, Bootstrap: m.group.Bootstrap, OnAnswer: m.group.OnAnswer, OnFailure: m.group.OnFailure,
 	})
 	assert.NilError(t, m.group.Start(l, m.follower))
 	ctx, stop := context.WithCancel(context.Background())
--- a/relay/status.go
+++ b/relay/status.go
@@ -11,8 +11,8 @@
 	Age        time.Duration // since the copy was last confirmed to be the store's current state
 }
 
-// FollowsStore is the value of Status.Following while the balancer watches the store.
-const FollowsStore = "store"
+// WatchesStore is the value of Status.Following while the balancer watches the store.
+const WatchesStore = "store"
 
 // Status returns the status at the time now.
 func (g *Group) Status(now time.Time) Status {
@@ -21,7 +21,7 @@
 	st := Status{FirstFrom: g.bootstrapResult.From, FirstAfter: g.bootstrapResult.After, Following: g.currentRelay.ID}
 	confirmedAt := g.confirmedAt
 	if g.follower.Active() {
-		st.Following = FollowsStore
+		st.Following = WatchesStore
 		if answered := g.follower.LastAnswer(); answered.After(confirmedAt) {
 			confirmedAt = answered
 		}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -51,7 +51,7 @@
 	Sums(prefix string) map[string]int64
 }
 
-// Registry writes the records of rollouts. WriteRollout returns relay.ErrTaken if the record
+// Registry writes the records of rollouts. WriteRollout returns relay.ErrAlreadyRegistered if the record
 // does not have the given revision.
 type Registry interface {
 	WriteRollout(ctx context.Context, name string, value []byte, revision uint64, order directory.RolloutOrder, state rollout.State) error
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -60,7 +60,7 @@
 		return errNoResponse
 	}
 	if revision != w.recordRevision {
-		return relay.ErrTaken
+		return relay.ErrAlreadyRegistered
 	}
 	w.revision++
 	w.recordRevision = w.revision
@@ -231,7 +231,7 @@
 	stale := w.currentRollout()
 	stale.Revision--
 	err := one.writeStatus(context.Background(), stale, rollout.Status{State: rollout.RolledBack})
-	assert.Equal(t, err, relay.ErrTaken)
+	assert.Equal(t, err, relay.ErrAlreadyRegistered)
 	assert.Equal(t, w.currentRollout().Status().State, rollout.Completed)
 }
 
--- a/rollout/run.go
+++ b/rollout/run.go
@@ -105,7 +105,7 @@
 	case err == nil:
 		c.cfg.Log.Info("rollout advanced", "service", r.Order.Service, "version", r.Order.Version, "state", next.State, "share", next.Share())
 		metrics.GetOrRegisterCounter(fmt.Sprintf("rollouts{state=%q}", next.State), c.cfg.Metrics).Inc(1)
-	case errors.Is(err, relay.ErrTaken):
+	case errors.Is(err, relay.ErrAlreadyRegistered):
 		c.cfg.Log.Info("rollout record was changed meanwhile", "service", r.Order.Service)
 	default:
 		c.cfg.Log.Warn("rollout record not written", "service", r.Order.Service, "error", err)
@@ -178,7 +178,7 @@
 		return ErrNoRollout
 	}
 	err := c.writeStatus(ctx, r, rollout.Status{State: rollout.RolledBack})
-	if errors.Is(err, relay.ErrTaken) {
+	if errors.Is(err, relay.ErrAlreadyRegistered) {
 		return ErrChanged
 	}
 	return err
--- a/server/chooser.go
+++ b/server/chooser.go
@@ -68,7 +68,7 @@
 		if s.relays, err = s.newRelays(); err != nil {
 			return err
 		}
-		opts.Standby, opts.Bootstrap = true, s.relays.Begin
+		opts.Standby, opts.Bootstrap = true, s.relays.Bootstrap
 		opts.OnAnswer, opts.OnFailure = s.relays.OnAnswer, s.relays.OnFailure
 	}
 	s.follower = directory.NewFollower(d, s.cfg.Source, opts)
@@ -194,7 +194,7 @@
 // observe hands changes that are in force to all that keep something of them.
 func (s *Server) observe(c directory.Changes) {
 	if s.relays != nil {
-		s.relays.Observe(c)
+		s.relays.ApplyChanges(c)
 	}
 	s.quarantine.ApplyChanges(c)
 	s.rollouts.Observe(c)
