--- a/demo/crash.go
+++ b/demo/crash.go
@@ -74,7 +74,7 @@
 	for i := range crashEndpoints {
 		p, err := platformtest.StartProcess(f.store, platformtest.ProcessConfig{
 			ID: fmt.Sprintf("fragile-%d", i), Service: "fragile", Zone: "medina", RestartAfter: crashRestart,
-			Behavior: platformtest.Behavior{Work: serviceTime, CrashOn: crashPath},
+			Behavior: platformtest.Behavior{ServiceTime: serviceTime, CrashOn: crashPath},
 		})
 		if err != nil {
 			return nil, err
--- a/demo/limits.go
+++ b/demo/limits.go
@@ -30,7 +30,7 @@
 func (r *run) startLimited(f *crashFleet) error {
 	for i := range limitedEndpoints {
 		id := fmt.Sprintf("limited-%d", i)
-		e := platformtest.NewEndpoint(id, platformtest.Behavior{Work: serviceTime})
+		e := platformtest.NewEndpoint(id, platformtest.Behavior{ServiceTime: serviceTime})
 		if i == 0 {
 			e.Set(func(b *platformtest.Behavior) { b.Limit = strconv.Itoa(limitPerSecond) })
 			f.limited = e
@@ -51,7 +51,7 @@
 
 // limitViolations compares what the endpoint with a limit got with what it named.
 func (f *crashFleet) limitViolations() []audit.Violation {
-	arrivals := f.limited.Arrivals()
+	arrivals := f.limited.ArrivalTimes()
 	if len(arrivals) == 0 {
 		return nil
 	}
--- a/demo/words.go
+++ b/demo/words.go
@@ -30,7 +30,7 @@
 // startSpoken starts the endpoints.
 func (r *run) startSpoken(f *crashFleet) error {
 	for i := range spokenEndpoints {
-		e := platformtest.NewEndpoint(fmt.Sprintf("spoken-%d", i), platformtest.Behavior{Work: serviceTime})
+		e := platformtest.NewEndpoint(fmt.Sprintf("spoken-%d", i), platformtest.Behavior{ServiceTime: serviceTime})
 		addr, err := r.serve(e)
 		if err != nil {
 			return err
@@ -45,7 +45,7 @@
 func (f *crashFleet) speak(ctx context.Context) {
 	pause.For(ctx, spokenAfter)
 	f.spoken[0].Set(func(b *platformtest.Behavior) { b.Leaving = true })
-	f.spoken[1].Set(func(b *platformtest.Behavior) { b.Decline, b.RetryAfter = true, spokenBackoff })
+	f.spoken[1].Set(func(b *platformtest.Behavior) { b.Refuse, b.RetryAfter = true, spokenBackoff })
 }
 
 // spokenPlan is what callers ask of these endpoints.
@@ -56,7 +56,7 @@
 // spokenViolations compares what they got with what they had said. Which balancer a request came from
 // they do not know: what one was told all should know.
 func (f *crashFleet) spokenViolations() []audit.Violation {
-	return audit.SentAfterLeaving(f.spoken[0].Arrived(), leavingWithin, func(a audit.Arrival, told time.Time) bool {
+	return audit.SentAfterLeaving(f.spoken[0].Arrivals(), leavingWithin, func(a audit.Arrival, told time.Time) bool {
 		return f.pace.used(told, a.At) <= leavingWithin
 	})
 }
--- a/relay/part_test.go
+++ b/relay/part_test.go
@@ -17,7 +17,7 @@
 	return directory.Changes{}
 }
 
-func (prefixDecoder) NamesEndpoint(key string) bool { return strings.HasPrefix(key, "servers/") }
+func (prefixDecoder) IsEndpointKey(key string) bool { return strings.HasPrefix(key, "servers/") }
 
 // endpointPage returns a partial read of n endpoints, numbered from the given one.
 func endpointPage(from, n int) directory.Changes {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -95,8 +95,8 @@
 	// Decode interprets records. at is the revision up to which they are complete, and whole means
 	// that they are the full content.
 	Decode(records []directory.Record, at uint64, whole bool) directory.Changes
-	// NamesEndpoint reports whether key belongs to an endpoint's entry.
-	NamesEndpoint(key string) bool
+	// IsEndpointKey reports whether key belongs to an endpoint's entry.
+	IsEndpointKey(key string) bool
 }
 
 // Config configures a Group.
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -246,8 +246,8 @@
 	assert.Assert(t, evacuated(late), "the first copy contains the evacuation")
 
 	zoneRelay.kill()
-	store.Forget()
-	store.TakeBack("tribunal")
+	store.Compact()
+	store.EndEvacuation("tribunal")
 	for _, m := range append(others, late) {
 		waitUntil(t, "the evacuation ended", func() bool { return len(m.directory.Snapshot().Evacuated) == 0 })
 	}
@@ -302,7 +302,7 @@
 	publish(store, 1)
 	all, _, _ := startZone(t, store, 3)
 	for version := uint64(3); version < 9; version += 2 {
-		store.Revoke()
+		store.RevokeLeases()
 		publishAndWait(t, store, version, all...)
 		waitUntil(t, "one relay", func() bool { return len(settledBalancers(all)) == 1 })
 	}
@@ -471,7 +471,7 @@
 	// A balancer regards itself as the relay for one TTL after it registers.
 	waitUntil(t, "renewals", func() bool { return store.Calls()["kv-keep"] > 4 })
 	zoneRelay.refused.Store(true)
-	store.Revoke() // the relay's open watch still reports the revocation
+	store.RevokeLeases() // the relay's open watch still reports the revocation
 	publishAndWait(t, store, 5, all...)
 	publishAndWait(t, store, 7, all...)
 	zoneRelay.refused.Store(false)
--- a/relay/replica.go
+++ b/relay/replica.go
@@ -43,7 +43,7 @@
 // withDecoder sets how the replica recognizes keys of endpoints, and returns it. d may be nil.
 func (rep *replica) withDecoder(d Decoder) *replica {
 	if d != nil {
-		rep.isEndpoint = d.NamesEndpoint
+		rep.isEndpoint = d.IsEndpointKey
 	}
 	return rep
 }
--- a/server/crash_test.go
+++ b/server/crash_test.go
@@ -31,7 +31,7 @@
 	for i := range all {
 		p, err := platformtest.StartProcess(r.store, platformtest.ProcessConfig{
 			ID: fmt.Sprintf("p-%d", i), Service: "fragile", Zone: "medina", RestartAfter: 50 * time.Millisecond, NewID: newID,
-			Behavior: platformtest.Behavior{Work: 5 * time.Millisecond, CrashOn: crashing},
+			Behavior: platformtest.Behavior{ServiceTime: 5 * time.Millisecond, CrashOn: crashing},
 		})
 		assert.NilError(t, err)
 		t.Cleanup(p.Stop)
--- a/server/limits_test.go
+++ b/server/limits_test.go
@@ -41,7 +41,7 @@
 	all := make([]*platformtest.Endpoint, n)
 	for i := range all {
 		id := fmt.Sprintf("l-%d", i)
-		all[i] = platformtest.NewEndpoint(id, platformtest.Behavior{Work: 2 * time.Millisecond})
+		all[i] = platformtest.NewEndpoint(id, platformtest.Behavior{ServiceTime: 2 * time.Millisecond})
 		front := httptest.NewServer(all[i])
 		t.Cleanup(front.Close)
 		r.store.PutServer(id, platformtest.Server{Address: front.Listener.Addr().String(), Service: limitedService, Zone: "medina", Slots: 3})
@@ -145,7 +145,7 @@
 	ends := time.Now()
 	stop()
 	checkListed(t, all, perSecond)
-	worst := worstWindow(endpoints[0].Arrivals(), known, ends)
+	worst := worstWindow(endpoints[0].ArrivalTimes(), known, ends)
 	allowed := audit.LimitAllows(perSecond)
 	t.Logf("%d in the worst window of %v; %d answered with 200, %d with 503", worst, allowed, got.of(http.StatusOK), got.of(http.StatusServiceUnavailable))
 	assert.Assert(t, float64(worst) <= allowed, "%d in the worst window, %v allowed", worst, allowed)
--- a/server/platform_test.go
+++ b/server/platform_test.go
@@ -48,7 +48,7 @@
 		front.Close()
 	})
 	r.url = front.URL
-	endpoint := httptest.NewServer(platformtest.NewEndpoint("i-1", platformtest.Behavior{Work: time.Millisecond}))
+	endpoint := httptest.NewServer(platformtest.NewEndpoint("i-1", platformtest.Behavior{ServiceTime: time.Millisecond}))
 	t.Cleanup(endpoint.Close)
 	r.store.PutServer("i-1", platformtest.Server{Address: endpoint.Listener.Addr().String(), Service: "s", Zone: "medina", Slots: 3})
 	r.store.Publish(1, []tenant.PrefixRoute{{
--- a/server/resume.go
+++ b/server/resume.go
@@ -6,10 +6,10 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// resting is a source that keeps connections.
-type resting interface {
-	// Rest closes those that nobody uses.
-	Rest()
+// idleCloser is a source that keeps connections.
+type idleCloser interface {
+	// CloseIdleConnections closes those that nobody uses.
+	CloseIdleConnections()
 }
 
 // resume brings what the process believes up to date after its VM was suspended, before
@@ -28,7 +28,7 @@
 	if s.follower != nil {
 		s.follower.Resume(slept)
 	}
-	if r, ok := s.cfg.Source.(resting); ok {
-		r.Rest()
+	if r, ok := s.cfg.Source.(idleCloser); ok {
+		r.CloseIdleConnections()
 	}
 }
--- a/server/resume_test.go
+++ b/server/resume_test.go
@@ -19,7 +19,7 @@
 func TestSuspendedVM(t *testing.T) {
 	r := newPlatformRig(t)
 	var slept, opened atomic.Int64
-	endpoint := httptest.NewUnstartedServer(platformtest.NewEndpoint("i-2", platformtest.Behavior{Work: time.Millisecond}))
+	endpoint := httptest.NewUnstartedServer(platformtest.NewEndpoint("i-2", platformtest.Behavior{ServiceTime: time.Millisecond}))
 	endpoint.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
 			opened.Add(1)
--- a/server/teams_test.go
+++ b/server/teams_test.go
@@ -65,7 +65,7 @@
 // route for which nobody needs a key.
 func TestTeamsAtAllBalancers(t *testing.T) {
 	r := newPlatformRig(t)
-	endpoint := platformtest.NewEndpoint("i-2", platformtest.Behavior{Work: time.Millisecond, Slots: 100})
+	endpoint := platformtest.NewEndpoint("i-2", platformtest.Behavior{ServiceTime: time.Millisecond, Slots: 100})
 	front := httptest.NewServer(endpoint)
 	t.Cleanup(front.Close)
 	r.store.RemoveServer("i-1")
@@ -125,8 +125,8 @@
 		behavior platformtest.Behavior
 		want     string
 	}{
-		"good": {platformtest.Behavior{Work: time.Millisecond, Slots: 100}, "completed"},
-		"bad":  {platformtest.Behavior{Work: time.Millisecond, Slots: 100, LoseAnswer: true}, "rolled_back"},
+		"good": {platformtest.Behavior{ServiceTime: time.Millisecond, Slots: 100}, "completed"},
+		"bad":  {platformtest.Behavior{ServiceTime: time.Millisecond, Slots: 100, ResetConnection: true}, "rolled_back"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -143,7 +143,7 @@
 					r.store.PutServer(id, platformtest.Server{Address: front.Listener.Addr().String(), Service: "s", Zone: "medina", Slots: 100, Version: version})
 				}
 			}
-			put("v1", platformtest.Behavior{Work: time.Millisecond, Slots: 100})
+			put("v1", platformtest.Behavior{ServiceTime: time.Millisecond, Slots: 100})
 			all := threeBalancers(t, r)
 			r.store.OrderRollout("s", "v2", 6*time.Second)
 			put("v2", c.behavior)
--- a/server/words_test.go
+++ b/server/words_test.go
@@ -62,7 +62,7 @@
 // arrivedAt returns what reached endpoints, with the balancers that requests are named after.
 func arrivedAt(endpoints []*platformtest.Endpoint) (all []audit.Arrival) {
 	for _, e := range endpoints {
-		for _, a := range e.Arrived() {
+		for _, a := range e.Arrivals() {
 			a.Balancer, _, _ = strings.Cut(a.Request, "/")
 			all = append(all, a)
 		}
@@ -119,7 +119,7 @@
 	defer stop()
 	got := callersOf(ctx, t, all, 2)
 	time.Sleep(time.Second)
-	endpoints[0].Set(func(b *platformtest.Behavior) { b.Decline, b.RetryAfter = true, "3" })
+	endpoints[0].Set(func(b *platformtest.Behavior) { b.Refuse, b.RetryAfter = true, "3" })
 	time.Sleep(2 * time.Second)
 	checkSaid(t, all)
 	time.Sleep(5 * time.Second)
@@ -140,22 +140,22 @@
 	all := threeBalancers(t, r)
 	all[0].callFor(t, "/l/1")
 	leaving := endpoints[0]
-	if len(leaving.Arrived()) == 0 {
+	if len(leaving.Arrivals()) == 0 {
 		leaving = endpoints[1] // the one that the balancer prefers
 	}
 	leaving.Set(func(b *platformtest.Behavior) { b.LeavingOnce = true })
 	for range 20 {
 		all[0].callFor(t, "/l/1")
 	}
-	before := len(leaving.Arrived())
-	assert.Assert(t, before > 0 && leaving.Arrived()[before-1].Leaving, "its word was its last answer")
+	before := len(leaving.Arrivals())
+	assert.Assert(t, before > 0 && leaving.Arrivals()[before-1].Leaving, "its word was its last answer")
 	late := r.start(t, "vm-4", all[0].link)
 	late.waitReady(t)
 	time.Sleep(200 * time.Millisecond) // its first question to a relay brings what it has not heard
 	for range 20 {
 		late.callFor(t, "/l/1")
 	}
-	assert.Equal(t, len(leaving.Arrived()), before)
+	assert.Equal(t, len(leaving.Arrivals()), before)
 }
 
 // checkSaid checks what operators are told of the only endpoint that wants no requests: each balancer
--- a/soak/crashes.go
+++ b/soak/crashes.go
@@ -78,7 +78,7 @@
 	for i := range fragileCount {
 		p, err := platformtest.StartProcess(w.store, platformtest.ProcessConfig{
 			ID: fmt.Sprintf("i-%s-%d", serviceFragile, i), Service: serviceFragile, Zone: zoneName(i % zones), RestartAfter: fragileRestart,
-			NewID: i%2 == 0, Behavior: platformtest.Behavior{Work: endpointWork, Slots: endpointSlots, CrashOn: crashText},
+			NewID: i%2 == 0, Behavior: platformtest.Behavior{ServiceTime: endpointWork, Slots: endpointSlots, CrashOn: crashText},
 		})
 		if err != nil {
 			c.stop()
--- a/soak/endpoints.go
+++ b/soak/endpoints.go
@@ -35,7 +35,7 @@
 // addEndpoint starts an endpoint and lists it; w.mu is held.
 func (w *world) addEndpoint(service string) (*endpoint, error) {
 	w.started++
-	server := platformtest.NewEndpoint(fmt.Sprintf("i-%s-%d", service, w.started), platformtest.Behavior{Work: endpointWork, Slots: endpointSlots})
+	server := platformtest.NewEndpoint(fmt.Sprintf("i-%s-%d", service, w.started), platformtest.Behavior{ServiceTime: endpointWork, Slots: endpointSlots})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("soak: endpoint: %w", err)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -42,16 +42,16 @@
 		return w.misbehave(func(b *platformtest.Behavior, on bool) { b.Pace = map[bool]int{true: 500, false: 100}[on] })
 	}},
 	{"endpoint declines", func(w *world) (string, func()) {
-		return w.misbehave(func(b *platformtest.Behavior, on bool) { b.Decline = on })
+		return w.misbehave(func(b *platformtest.Behavior, on bool) { b.Refuse = on })
 	}},
 	{"answers lost", func(w *world) (string, func()) {
-		return w.misbehave(func(b *platformtest.Behavior, on bool) { b.LoseAnswer = on })
+		return w.misbehave(func(b *platformtest.Behavior, on bool) { b.ResetConnection = on })
 	}},
 	{"answers cut", func(w *world) (string, func()) {
-		return w.misbehave(func(b *platformtest.Behavior, on bool) { b.CutAnswer = on })
+		return w.misbehave(func(b *platformtest.Behavior, on bool) { b.TruncateResponse = on })
 	}},
 	{"answers of others", func(w *world) (string, func()) {
-		return w.misbehave(func(b *platformtest.Behavior, on bool) { b.Foreign = on })
+		return w.misbehave(func(b *platformtest.Behavior, on bool) { b.WrongRequestID = on })
 	}},
 	{"endpoint leaves", (*world).replace},
 	{"configuration", (*world).reconfigure},
@@ -119,13 +119,13 @@
 
 func (w *world) forget() (string, func()) {
 	from := time.Now()
-	w.store.Forget()
+	w.store.Compact()
 	return "", func() { w.calendar.disturb("", from, time.Now()) }
 }
 
 // revoke ends the leases of all relays; nobody may notice.
 func (w *world) revoke() (string, func()) {
-	w.store.Revoke()
+	w.store.RevokeLeases()
 	return "", func() {}
 }
 
--- a/soak/ledger_test.go
+++ b/soak/ledger_test.go
@@ -286,10 +286,10 @@
 		"leaves, soon after":   {behavior: platformtest.Behavior{Leaving: true}, after: leaveLimit - time.Second},
 		"leaves, long after":   {behavior: platformtest.Behavior{Leaving: true}, after: leaveLimit + time.Second, want: 4},
 		"leaves, disturbed":    {behavior: platformtest.Behavior{Leaving: true}, after: leaveLimit + time.Second, disturbed: true},
-		"backs off":            {behavior: platformtest.Behavior{Decline: true, RetryAfter: "5"}, after: time.Second, want: 1},
-		"backs off, over":      {behavior: platformtest.Behavior{Decline: true, RetryAfter: "0.9"}, after: time.Second},
-		"backs off, no time":   {behavior: platformtest.Behavior{Decline: true, RetryAfter: "soon"}, after: time.Second},
-		"backs off, disturbed": {behavior: platformtest.Behavior{Decline: true, RetryAfter: "5"}, after: time.Second, disturbed: true},
+		"backs off":            {behavior: platformtest.Behavior{Refuse: true, RetryAfter: "5"}, after: time.Second, want: 1},
+		"backs off, over":      {behavior: platformtest.Behavior{Refuse: true, RetryAfter: "0.9"}, after: time.Second},
+		"backs off, no time":   {behavior: platformtest.Behavior{Refuse: true, RetryAfter: "soon"}, after: time.Second},
+		"backs off, disturbed": {behavior: platformtest.Behavior{Refuse: true, RetryAfter: "5"}, after: time.Second, disturbed: true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			l, cal := newLedger(), &calendar{}
--- a/soak/words.go
+++ b/soak/words.go
@@ -50,7 +50,7 @@
 
 // refuse has the endpoint refuse all requests and ask for a time without any; empty ends that.
 func (e *endpoint) refuse(retryAfter string) {
-	e.server.Set(func(b *platformtest.Behavior) { b.Decline, b.RetryAfter = retryAfter != "", retryAfter })
+	e.server.Set(func(b *platformtest.Behavior) { b.Refuse, b.RetryAfter = retryAfter != "", retryAfter })
 }
 
 // sayLeaving has an endpoint say that it leaves, and takes it out of the store after a while. Another
@@ -93,7 +93,7 @@
 func (l *ledger) arrivedAt(e *endpoint) (all []audit.Arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, a := range e.server.Arrived() {
+	for _, a := range e.server.Arrivals() {
 		r := l.sent[a.Request]
 		if r == nil {
 			continue
--- a/soak/zones.go
+++ b/soak/zones.go
@@ -58,7 +58,7 @@
 		e := emptying{zone: zone, from: time.Now()}
 		pause.For(ctx, time.Duration(rng.Int64N(int64(emptiedFor))))
 		w.cool(ctx, zone, &warming)
-		w.store.TakeBack(zone)
+		w.store.EndEvacuation(zone)
 		e.to = time.Now()
 		w.calendar.empty(e)
 		w.log.Info("fault ends", "kind", "zone emptied", "zone", zone)
@@ -122,7 +122,7 @@
 		if !c.quiet("", cold.from, cold.to) {
 			continue
 		}
-		arrivals := slices.DeleteFunc(cold.endpoint.server.Arrivals(), func(at time.Time) bool {
+		arrivals := slices.DeleteFunc(cold.endpoint.server.ArrivalTimes(), func(at time.Time) bool {
 			return at.Before(cold.from) || at.After(cold.to)
 		})
 		if most := window.MaxCount(arrivals, time.Second); float64(most) > coldLimit {
