--- a/balancer/refuse.go
+++ b/balancer/refuse.go
@@ -37,7 +37,7 @@
 	case mayHaveRun:
 		r.verdict = verdict.MayHaveRun
 		if isCodeBeforeSending(r.reason) || hasRetryAfter(reason.MustLookup(r.reason).Status) {
-			r.reason = reason.AnswerUnknown
+			r.reason = reason.ResponseUnknown
 		}
 	case isCodeBeforeSending(r.reason):
 		r.verdict = verdict.NotRun
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -59,9 +59,9 @@
 		want       reason.Code
 	}{
 		{"refused before anything was sent", reason.TooLate, false, verdict.NotRun, reason.TooLate},
-		{"no endpoint for another attempt", reason.TooLate, true, verdict.MayHaveRun, reason.AnswerUnknown},
-		{"refused by the endpoint after an attempt", reason.EndpointRefused, true, verdict.MayHaveRun, reason.AnswerUnknown},
-		{"late response", reason.AnswerLate, true, verdict.MayHaveRun, reason.AnswerLate},
+		{"no endpoint for another attempt", reason.TooLate, true, verdict.MayHaveRun, reason.ResponseUnknown},
+		{"refused by the endpoint after an attempt", reason.EndpointRefused, true, verdict.MayHaveRun, reason.ResponseUnknown},
+		{"late response", reason.ResponseTimeout, true, verdict.MayHaveRun, reason.ResponseTimeout},
 	} {
 		got := refusal{reason: c.code}.withFinalVerdict(c.mayHaveRun)
 		assert.Equal(t, got.verdict, c.verdict, c.name)
--- a/coord/reason/table.go
+++ b/coord/reason/table.go
@@ -30,13 +30,13 @@
 	DialFailed          Code = "LW3001"
 	NothingWritten      Code = "LW3002"
 	EndpointRefused     Code = "LW3003"
-	AnswerUnknown       Code = "LW3004"
-	AnswerLate          Code = "LW3005"
-	AnswerForeign       Code = "LW3006"
+	ResponseUnknown     Code = "LW3004"
+	ResponseTimeout     Code = "LW3005"
+	ResponseMismatched  Code = "LW3006"
 	UpgradeFailed       Code = "LW3007"
 	EndpointReplaced    Code = "LW3008"
-	AnswerSpoiled       Code = "LW3009"
-	AnswerCut           Code = "LW3010"
+	ResponseInvalid     Code = "LW3009"
+	ResponseTruncated   Code = "LW3010"
 	Withdrawn           Code = "LW3011"
 )
 
@@ -70,12 +70,12 @@
 	{DialFailed, "no connection to the endpoint", "No connection could be opened, so nothing was sent.", "Check the endpoint's VM.", 503, firstRelease, Warning},
 	{NothingWritten, "connection failed before anything was sent", "The connection failed before the first byte of the request was written.", "Nothing; it is retried when time allows.", 503, firstRelease, Info},
 	{EndpointRefused, "the endpoint refused the request", "The endpoint answered that it did not run the request.", "Expected when endpoints shed load or drain.", 503, firstRelease, Info},
-	{AnswerUnknown, "the endpoint's answer is unknown", "The request was at least partly sent and the connection failed before an answer arrived.", "For kinds that are not repeatable, find out at the endpoint whether the request ran before sending it again.", 502, firstRelease, Warning},
-	{AnswerLate, "no answer before the deadline", "The request was sent and its deadline passed before an answer arrived; it was cancelled.", "As for LW3004; look for slow endpoints in 'lotusctl status'.", 504, firstRelease, Warning},
-	{AnswerForeign, "the answer belongs to another request", "The answer carried the identity of another request and was discarded with its connection.", "The endpoint mixes up answers: take it out and report the fault.", 502, firstRelease, Urgent},
+	{ResponseUnknown, "the endpoint's answer is unknown", "The request was at least partly sent and the connection failed before an answer arrived.", "For kinds that are not repeatable, find out at the endpoint whether the request ran before sending it again.", 502, firstRelease, Warning},
+	{ResponseTimeout, "no answer before the deadline", "The request was sent and its deadline passed before an answer arrived; it was cancelled.", "As for LW3004; look for slow endpoints in 'lotusctl status'.", 504, firstRelease, Warning},
+	{ResponseMismatched, "the answer belongs to another request", "The answer carried the identity of another request and was discarded with its connection.", "The endpoint mixes up answers: take it out and report the fault.", 502, firstRelease, Urgent},
 	{UpgradeFailed, "the session could not be upgraded", "The endpoint agreed to switch protocols but the caller's connection could not be taken over.", "Check that the caller speaks HTTP/1.1 on this connection.", 502, firstRelease, Warning},
 	{EndpointReplaced, "another endpoint has the address", "The request named the incarnation of the endpoint that it was meant for, and another one answered at the address. It did not run the request.", "Nothing; the endpoint is marked as gone and the request goes elsewhere.", 503, "0.2.0", Info},
-	{AnswerSpoiled, "the answer is not the endpoint's own", "The answer lacks the signature of an endpoint, or its body is encoded though nobody asked for that. It was discarded with its connection.", "As for LW3004; if it lasts, take the endpoint out and report the fault.", 502, "0.2.0", Warning},
-	{AnswerCut, "the answer was cut short", "The endpoint began an answer and the connection failed before its end. Nothing of it was passed on.", "As for LW3004; look for endpoints that crash.", 502, "0.2.0", Warning},
+	{ResponseInvalid, "the answer is not the endpoint's own", "The answer lacks the signature of an endpoint, or its body is encoded though nobody asked for that. It was discarded with its connection.", "As for LW3004; if it lasts, take the endpoint out and report the fault.", 502, "0.2.0", Warning},
+	{ResponseTruncated, "the answer was cut short", "The endpoint began an answer and the connection failed before its end. Nothing of it was passed on.", "As for LW3004; look for endpoints that crash.", 502, "0.2.0", Warning},
 	{Withdrawn, "the endpoint wants no more requests", "The endpoint said that it leaves, or wants no requests for a while, after it was chosen and before the request was written. Nothing was sent.", "Nothing: another endpoint is chosen. 'lotusctl said' shows what endpoints say of themselves.", 503, "0.3.0", Info},
 }
--- a/coord/retry/retry.go
+++ b/coord/retry/retry.go
@@ -79,7 +79,7 @@
 func Decide(r Request, a Attempt, budget Budget, now time.Time) Decision {
 	switch {
 	case !a.Verdict.MayRetry(r.Repeatable):
-		return Decision{Reason: reason.AnswerUnknown}
+		return Decision{Reason: reason.ResponseUnknown}
 	case r.OnTrial && a.Broken:
 		return Decision{Reason: reason.Quarantined}
 	case a.Number >= r.maxAttempts(), !a.Replayable, !budget.Allows(now):
--- a/coord/retry/retry_test.go
+++ b/coord/retry/retry_test.go
@@ -30,7 +30,7 @@
 		want    reason.Code // empty for another attempt
 	}{
 		{"did not run", retry.Request{Deadline: soon}, notRun, true, ""},
-		{"non-repeatable, may have run", retry.Request{MayHaveRun: true, Deadline: soon}, mayHaveRun, true, reason.AnswerUnknown},
+		{"non-repeatable, may have run", retry.Request{MayHaveRun: true, Deadline: soon}, mayHaveRun, true, reason.ResponseUnknown},
 		{"repeatable, may have run", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, mayHaveRun, true, ""},
 		{"a third attempt that may have run", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, withNumber(mayHaveRun, 3), true, ""},
 		{"a fourth attempt that may have run", retry.Request{Repeatable: true, MayHaveRun: true, Deadline: soon}, withNumber(mayHaveRun, 4), true, reason.RetryExhausted},
--- a/upstream/buffer.go
+++ b/upstream/buffer.go
@@ -25,7 +25,7 @@
 		r.Response.Body = http.NoBody // the header alone says that the request did not run
 	case err != nil:
 		r.Close()
-		*r = Result{Verdict: verdict.MayHaveRun, Reason: reason.AnswerCut, ConnectionBroken: true, Err: err}
+		*r = Result{Verdict: verdict.MayHaveRun, Reason: reason.ResponseTruncated, ConnectionBroken: true, Err: err}
 	case len(kept) > limit:
 		r.Response.Body = &partlyReadBody{Reader: io.MultiReader(bytes.NewReader(kept), body), Closer: body}
 	default:
--- a/upstream/verdict.go
+++ b/upstream/verdict.go
@@ -28,7 +28,7 @@
 func (d *Dialect) classify(status int, h http.Header, id string) responseClass {
 	echo := h.Get(d.RequestID)
 	if echo != id && (echo != "" || d.EchoRequired) {
-		return unproven(reason.AnswerForeign, "answer carries request id %q, want %q", echo, id)
+		return unproven(reason.ResponseMismatched, "answer carries request id %q, want %q", echo, id)
 	}
 	if d.saysNotRun(status, h) {
 		if status == http.StatusMisdirectedRequest {
@@ -37,10 +37,10 @@
 		return responseClass{verdict: verdict.NotRun, reason: reason.EndpointRefused}
 	}
 	if why := d.corruptionReason(status, h); why != "" {
-		return unproven(reason.AnswerSpoiled, "answer with %s", why)
+		return unproven(reason.ResponseInvalid, "answer with %s", why)
 	}
 	if d.NotRunValue == "" && promisesNotRun(status) {
-		return unproven(reason.AnswerUnknown, "status %d without the endpoint's word that it did not run the request", status)
+		return unproven(reason.ResponseUnknown, "status %d without the endpoint's word that it did not run the request", status)
 	}
 	return responseClass{verdict: verdict.Ran}
 }
@@ -107,7 +107,7 @@
 // another request, or if an intermediary may have produced or changed it.
 func (c *Client) readReport(res *Result, response *http.Response, sent, heard time.Time) Report {
 	switch res.Reason {
-	case reason.AnswerForeign, reason.AnswerSpoiled, reason.EndpointReplaced:
+	case reason.ResponseMismatched, reason.ResponseInvalid, reason.EndpointReplaced:
 		return Report{}
 	}
 	report := c.reader.Read(response.StatusCode, response.Header, sent, heard)
@@ -134,9 +134,9 @@
 		_ = t.conn.Close() // sealed: nothing was written, and nothing can be any more
 		return Result{Verdict: verdict.NotRun, Reason: reason.NothingWritten, Err: err}
 	case errors.Is(cause, context.DeadlineExceeded):
-		return Result{Verdict: verdict.MayHaveRun, Reason: reason.AnswerLate, Err: err}
+		return Result{Verdict: verdict.MayHaveRun, Reason: reason.ResponseTimeout, Err: err}
 	}
-	return Result{Verdict: verdict.MayHaveRun, Reason: reason.AnswerUnknown, ConnectionBroken: cause == nil, Err: err}
+	return Result{Verdict: verdict.MayHaveRun, Reason: reason.ResponseUnknown, ConnectionBroken: cause == nil, Err: err}
 }
 
 // noConnectionReason returns the reason for an attempt that got no connection. cause is why its
@@ -157,5 +157,5 @@
 	if v == verdict.NotRun {
 		return Result{Verdict: verdict.NotRun, Reason: reason.DeadlineWaiting, Err: context.DeadlineExceeded}
 	}
-	return Result{Verdict: verdict.MayHaveRun, Reason: reason.AnswerLate, Err: context.DeadlineExceeded}
+	return Result{Verdict: verdict.MayHaveRun, Reason: reason.ResponseTimeout, Err: context.DeadlineExceeded}
 }
