--- a/bootstrap/bootstrap.go
+++ b/bootstrap/bootstrap.go
@@ -49,19 +49,19 @@
 
 // State is what this balancer knows of the content of the store.
 type State interface {
-	// Known returns a channel that is closed once a complete copy has been applied.
-	Known() <-chan struct{}
+	// Complete returns a channel that is closed once a complete copy has been applied.
+	Complete() <-chan struct{}
 	// Records returns all records and the revision up to which all changes are known.
 	Records() ([]directory.Record, uint64)
 	// Apply applies a complete copy from another balancer; at is its revision.
 	Apply(records []directory.Record, at uint64)
-	// Partly returns a channel that is closed once enough is known to serve requests: a part
+	// Servable returns a channel that is closed once enough is known to serve requests: a part
 	// or a complete copy.
-	Partly() <-chan struct{}
+	Servable() <-chan struct{}
 	// Part returns the records that a balancer needs to begin to serve, and Whole reports
 	// whether they would be all records, or nearly all.
 	Part() []directory.Record
-	Whole() bool
+	PartIsComplete() bool
 	// ApplyPart applies a part from another balancer.
 	ApplyPart(records []directory.Record)
 	// Relays returns the registered relays, this balancer among them if it is one.
@@ -84,14 +84,14 @@
 
 // Config is the configuration of a Fetcher.
 type Config struct {
-	Self  Peer
-	Seeds []string // addresses of balancers to ask if no relay is known; may include this balancer's own
-	Cores float64  // processor share; balancers with a larger one read the store earlier
-	State State
-	Store Store
-	Peers Peers
-	Giver *Giver // receives each copy before it is decoded, and sends it to others in its packed form
-	Log   hclog.Logger
+	Self   Peer
+	Seeds  []string // addresses of balancers to ask if no relay is known; may include this balancer's own
+	Cores  float64  // processor share; balancers with a larger one read the store earlier
+	State  State
+	Store  Store
+	Peers  Peers
+	Server *Server // receives each copy before it is decoded, and sends it to others in its packed form
+	Log    hclog.Logger
 
 	Options Options
 }
@@ -150,9 +150,9 @@
 
 // Result describes how the first copy was obtained.
 type Result struct {
-	From  string        // address of the balancer that sent the copy, or FromStore; empty if none was obtained
-	After time.Duration // time since the start of Run
-	Asked int           // number of requests to other balancers
+	Source   string        // address of the balancer that sent the copy, or FromStore; empty if none was obtained
+	Duration time.Duration // time since the start of Run
+	Asked    int           // number of requests to other balancers
 }
 
 // FromStore is the value of Result.From if the balancer read the store itself.
@@ -164,13 +164,13 @@
 	defer cancel()
 	began := time.Now()
 	s := f.newSearch(began)
-	for ctx.Err() == nil && !pause.Over(f.cfg.State.Known()) {
+	for ctx.Err() == nil && !pause.Over(f.cfg.State.Complete()) {
 		s.startDueCalls(ctx, time.Now())
 		s.awaitResult(ctx, time.Now())
 	}
-	r := Result{From: s.source, After: time.Since(began), Asked: s.asked}
+	r := Result{Source: s.source, Duration: time.Since(began), Asked: s.asked}
 	if ctx.Err() == nil {
-		f.cfg.Log.Info("first copy in force", "from", r.From, "after", r.After.Round(time.Millisecond), "asked", r.Asked)
+		f.cfg.Log.Info("first copy in force", "from", r.Source, "after", r.Duration.Round(time.Millisecond), "asked", r.Asked)
 	}
 	return r
 }
--- a/bootstrap/bootstrap_test.go
+++ b/bootstrap/bootstrap_test.go
@@ -32,7 +32,7 @@
 type member struct {
 	fleet         *fleet
 	self          bootstrap.Peer
-	giver         *bootstrap.Giver
+	giver         *bootstrap.Server
 	known         chan struct{}
 	partly        chan struct{}
 	relays        []bootstrap.Peer
@@ -54,16 +54,16 @@
 // start starts a balancer.
 func (f *fleet) start(ctx context.Context, self bootstrap.Peer, cores float64) *member {
 	m := &member{fleet: f, self: self, known: make(chan struct{}), partly: make(chan struct{}), startedAt: time.Now()}
-	m.giver = bootstrap.NewGiver(m, 0)
+	m.giver = bootstrap.NewServer(m, 0)
 	f.mu.Lock()
 	f.members[self.Addr] = m
 	f.mu.Unlock()
-	fetcher := bootstrap.New(bootstrap.Config{Self: self, Seeds: f.seeds, Cores: cores, State: m, Store: m, Peers: m, Giver: m.giver})
+	fetcher := bootstrap.New(bootstrap.Config{Self: self, Seeds: f.seeds, Cores: cores, State: m, Store: m, Peers: m, Server: m.giver})
 	go fetcher.Run(ctx)
 	return m
 }
 
-func (m *member) Known() <-chan struct{} { return m.known }
+func (m *member) Complete() <-chan struct{} { return m.known }
 
 func (m *member) Records() ([]directory.Record, uint64) {
 	return []directory.Record{{Key: "k", Value: []byte("v"), Revision: m.at}}, m.at
@@ -79,13 +79,13 @@
 	}
 }
 
-func (m *member) Partly() <-chan struct{} { return m.partly }
+func (m *member) Servable() <-chan struct{} { return m.partly }
 
 func (m *member) Part() []directory.Record {
 	return []directory.Record{{Key: "k", Value: []byte("v"), Revision: 1}}
 }
 
-func (m *member) Whole() bool { return m.fleet.partTime == 0 }
+func (m *member) PartIsComplete() bool { return m.fleet.partTime == 0 }
 
 func (m *member) ApplyPart([]directory.Record) {
 	m.fleet.mu.Lock()
--- a/bootstrap/giver.go
+++ b/bootstrap/giver.go
@@ -32,8 +32,8 @@
 	copyTTL = time.Second
 )
 
-// Giver sends this balancer's copy to others. It is safe for concurrent use.
-type Giver struct {
+// Server sends this balancer's copy to others. It is safe for concurrent use.
+type Server struct {
 	state State
 	rate  float64 // rate of the link, in bytes per second; 0 if unknown
 
@@ -51,14 +51,14 @@
 	at         time.Time // when copy was packed or received
 }
 
-// NewGiver returns a Giver for the content of state. rate is the rate of the balancer's link, in
+// NewServer returns a Giver for the content of state. rate is the rate of the balancer's link, in
 // bytes per second; 0 if unknown.
-func NewGiver(state State, rate float64) *Giver {
-	return &Giver{state: state, rate: rate, received: make(chan struct{}), partReceived: make(chan struct{})}
+func NewServer(state State, rate float64) *Server {
+	return &Server{state: state, rate: rate, received: make(chan struct{}), partReceived: make(chan struct{})}
 }
 
 // Keep stores a complete copy that was received at now, to be sent to others without repacking.
-func (g *Giver) Keep(c Copy, now time.Time) {
+func (g *Server) Keep(c Copy, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.complete.copy, g.complete.at = c, now
@@ -68,7 +68,7 @@
 }
 
 // KeepPart stores a part that was received at now, to be sent to others without repacking.
-func (g *Giver) KeepPart(c Copy, now time.Time) {
+func (g *Server) KeepPart(c Copy, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.partial.copy, g.partial.at = c, now
@@ -80,10 +80,10 @@
 // Answer answers a request for a complete copy or a part. If there is none
 // yet, it waits for args.Wait, but at most for maxWait, and then returns an empty reply. It returns an
 // error if ctx ends first or packing fails.
-func (g *Giver) Answer(ctx context.Context, args CopyArgs) (CopyReply, error) {
-	received, known := g.received, g.state.Known()
+func (g *Server) Answer(ctx context.Context, args CopyArgs) (CopyReply, error) {
+	received, known := g.received, g.state.Complete()
 	if args.Part {
-		received, known = g.partReceived, g.state.Partly()
+		received, known = g.partReceived, g.state.Servable()
 	}
 	timer := time.NewTimer(min(args.Wait, maxWait))
 	defer timer.Stop()
@@ -100,11 +100,11 @@
 
 // answer returns a copy or a part, or redirects the requester to earlier recipients. A request for
 // a part gets a complete copy if that is about as small.
-func (g *Giver) answer(args CopyArgs, now time.Time) (reply CopyReply, err error) {
+func (g *Server) answer(args CopyArgs, now time.Time) (reply CopyReply, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c := &g.complete
-	if args.Part && !g.state.Whole() {
+	if args.Part && !g.state.PartIsComplete() {
 		c, reply.Part = &g.partial, true
 	}
 	if now.Sub(c.at) >= copyTTL {
@@ -122,11 +122,11 @@
 
 // pack packs a new copy or part if the state has one, and leaves c as it is otherwise. The caller
 // holds g.mu.
-func (g *Giver) pack(c *cachedCopy, part bool, now time.Time) (err error) {
+func (g *Server) pack(c *cachedCopy, part bool, now time.Time) (err error) {
 	switch {
-	case part && pause.Over(g.state.Partly()):
+	case part && pause.Over(g.state.Servable()):
 		c.copy, err = Pack(g.state.Part(), 0)
-	case !part && pause.Over(g.state.Known()):
+	case !part && pause.Over(g.state.Complete()):
 		c.copy, err = Pack(g.state.Records())
 	default:
 		return nil // keep the copy that was received last
--- a/bootstrap/rules.go
+++ b/bootstrap/rules.go
@@ -165,9 +165,9 @@
 	relaysKnownFactor = 4
 )
 
-// BySize scales the delay d by a processor share, in cores, so that larger VMs are the first to do a
+// ScaleByCores scales the delay d by a processor share, in cores, so that larger VMs are the first to do a
 // task that any balancer may do. For referenceCores it returns d.
-func BySize(d time.Duration, cores float64) time.Duration {
+func ScaleByCores(d time.Duration, cores float64) time.Duration {
 	return time.Duration(float64(d) * referenceCores / max(cores, minCores))
 }
 
@@ -178,7 +178,7 @@
 	if isRelay || isSeed && !relaysKnown {
 		return 0
 	}
-	wait := BySize(time.Duration(random*float64(o.ReadSpread)), cores)
+	wait := ScaleByCores(time.Duration(random*float64(o.ReadSpread)), cores)
 	if !relaysKnown {
 		return wait
 	}
--- a/bootstrap/search.go
+++ b/bootstrap/search.go
@@ -227,7 +227,7 @@
 		return nil // another part arrived first
 	}
 	c := Copy{Packed: reply.Packed}
-	s.cfg.Giver.KeepPart(c, now)
+	s.cfg.Server.KeepPart(c, now)
 	runtime.Gosched() // as in applyCopy
 	records, err := c.Unpack()
 	if err != nil {
@@ -256,7 +256,7 @@
 		return errNoCopy
 	}
 	c := Copy{At: reply.At, Packed: reply.Packed}
-	s.cfg.Giver.Keep(c, now)
+	s.cfg.Server.Keep(c, now)
 	runtime.Gosched() // lets waiting requests get the packed copy before it is decoded here
 	records, err := c.Unpack()
 	if err != nil {
--- a/relay/bootstrap.go
+++ b/relay/bootstrap.go
@@ -12,7 +12,7 @@
 func (g *Group) Bootstrap(ctx context.Context) {
 	bootstrapResult := bootstrap.New(bootstrap.Config{
 		Self: bootstrap.Peer{Addr: g.cfg.Addr, Zone: g.cfg.Zone}, Seeds: g.cfg.Seeds, Cores: g.cfg.Cores,
-		State: bootstrapState{g}, Store: g.follower, Peers: bootstrapPeers{g}, Giver: g.giver,
+		State: bootstrapState{g}, Store: g.follower, Peers: bootstrapPeers{g}, Server: g.giver,
 		Log: g.cfg.Log.Named("bootstrap"), Options: g.opts.Bootstrap,
 	}).Run(ctx)
 	g.mu.Lock()
@@ -25,24 +25,24 @@
 func (g *Group) bootstrapSource() (Relay, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	from := g.bootstrapResult.From
+	from := g.bootstrapResult.Source
 	return Relay{ID: from, Addr: from}, from != "" && from != bootstrap.FromStore
 }
 
 // bootstrapState implements bootstrap.State on the group's replica.
 type bootstrapState struct{ group *Group }
 
-// Known returns a channel that is closed once a complete copy has been applied.
-func (s bootstrapState) Known() <-chan struct{} { return s.group.replica.complete }
+// Complete returns a channel that is closed once a complete copy has been applied.
+func (s bootstrapState) Complete() <-chan struct{} { return s.group.replica.complete }
 
-// Partly returns a channel that is closed once enough is known to serve requests.
-func (s bootstrapState) Partly() <-chan struct{} { return s.group.replica.servable }
+// Servable returns a channel that is closed once enough is known to serve requests.
+func (s bootstrapState) Servable() <-chan struct{} { return s.group.replica.servable }
 
 // Part returns the records that a balancer needs to begin to serve.
 func (s bootstrapState) Part() []directory.Record { return s.group.replica.part() }
 
-// Whole reports whether the content is complete and so small that a part would be nearly all of it.
-func (s bootstrapState) Whole() bool { return s.group.replica.isSmall() }
+// PartIsComplete reports whether the content is complete and so small that a part would be nearly all of it.
+func (s bootstrapState) PartIsComplete() bool { return s.group.replica.isSmall() }
 
 // ApplyPart applies a partial copy from another balancer.
 func (s bootstrapState) ApplyPart(records []directory.Record) {
--- a/relay/recovery_test.go
+++ b/relay/recovery_test.go
@@ -151,7 +151,7 @@
 	g := New(Config{Zone: "medina", Addr: "10.0.0.2:1", Log: hclog.NewNullLogger(), Options: Options{StartPoll: time.Millisecond}})
 	g.follower = staticFollower{read: reads, retried: new(atomic.Int64)}
 	g.starting.Store(true)
-	g.bootstrapResult = bootstrap.Result{From: giverAddr}
+	g.bootstrapResult = bootstrap.Result{Source: giverAddr}
 	var s subscription
 	g.handleNoRelay(ctx, &s)
 	assert.Equal(t, reads.Load(), int64(1), "the bootstrap source knows no relay")
@@ -163,7 +163,7 @@
 	assert.Equal(t, reads.Load(), int64(1), "the bootstrap source has learned of a relay")
 	got, ok := g.chooseTarget(&s, time.Now())
 	assert.Assert(t, ok && got.Addr == relayAddr)
-	g.bootstrapResult = bootstrap.Result{From: bootstrap.FromStore}
+	g.bootstrapResult = bootstrap.Result{Source: bootstrap.FromStore}
 	g.handleNoRelay(ctx, &subscription{})
 	assert.Equal(t, reads.Load(), int64(2), "the first copy came from the store")
 
--- a/relay/rules.go
+++ b/relay/rules.go
@@ -107,5 +107,5 @@
 // backoff returns how long a balancer waits before it registers, given the random part of the wait
 // and its processor share in cores.
 func (o Options) backoff(jitter time.Duration, cores float64) time.Duration {
-	return bootstrap.BySize(o.BackoffBase+jitter, cores)
+	return bootstrap.ScaleByCores(o.BackoffBase+jitter, cores)
 }
--- a/relay/status.go
+++ b/relay/status.go
@@ -18,7 +18,7 @@
 func (g *Group) Status(now time.Time) Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	st := Status{FirstFrom: g.bootstrapResult.From, FirstAfter: g.bootstrapResult.After, Following: g.currentRelay.ID}
+	st := Status{FirstFrom: g.bootstrapResult.Source, FirstAfter: g.bootstrapResult.Duration, Following: g.currentRelay.ID}
 	confirmedAt := g.confirmedAt
 	if g.follower.Active() {
 		st.Following = WatchesStore
