--- a/bootstrap/bootstrap.go
+++ b/bootstrap/bootstrap.go
@@ -19,15 +19,15 @@
 // duplicate does no more harm than a stale read of the store: no record replaces a newer one, and the
 // balancer then follows the store's changes and so learns what the copy lacks.
 //
-// Fetcher searches for the first copy, and Giver sends this balancer's copy to others and remembers
+// Fetcher searches for the first copy, and Server sends this balancer's copy to others and remembers
 // the recipients. They use a State, which holds what is known, and call a Store and Peers. The
 // functions in rules.go decide whom to ask, when to read the store and which requests to redirect;
 // they depend on their arguments alone and read no clock.
 //
 // # Usage
 //
-//	giver := bootstrap.NewGiver(state, rate) // answers Copy calls from other balancers
-//	fetcher := bootstrap.New(bootstrap.Config{State: state, Store: store, Peers: peers, Giver: giver, Log: log})
+//	server := bootstrap.NewServer(state, rate) // answers Copy calls from other balancers
+//	fetcher := bootstrap.New(bootstrap.Config{State: state, Store: store, Peers: peers, Server: server, Log: log})
 //	result := fetcher.Run(ctx) // returns once a first copy has been applied
 package bootstrap
 
@@ -50,20 +50,20 @@
 
 // State is what this balancer knows of the content of the store.
 type State interface {
-	// Known returns a channel that is closed once a complete copy, from another balancer or the
+	// Complete returns a channel that is closed once a complete copy, from another balancer or the
 	// store, has been applied.
-	Known() <-chan struct{}
+	Complete() <-chan struct{}
 	// Records returns all records and the revision up to which all changes are known.
 	Records() ([]directory.Record, uint64)
 	// Apply applies a complete copy from another balancer; at is its revision.
 	Apply(records []directory.Record, at uint64)
-	// Partly returns a channel that is closed once enough is known to serve requests: a part
+	// Servable returns a channel that is closed once enough is known to serve requests: a part
 	// or a complete copy.
-	Partly() <-chan struct{}
-	// Part returns the records that a balancer needs to begin to serve, and Whole reports
+	Servable() <-chan struct{}
+	// Part returns the records that a balancer needs to begin to serve, and PartIsComplete reports
 	// whether they would be all records, or nearly all.
 	Part() []directory.Record
-	Whole() bool
+	PartIsComplete() bool
 	// ApplyPart applies a part from another balancer.
 	ApplyPart(records []directory.Record)
 	// Relays returns the registered relays, this balancer among them if it is one.
@@ -86,14 +86,14 @@
 
 // Config is the configuration of a Fetcher.
 type Config struct {
-	Self  Peer     // this balancer
-	Seeds []string // addresses of balancers to ask if no relay is known; may include this balancer's own
-	Cores float64  // share of the processor, in cores; balancers with a larger share read the store earlier
-	State State
-	Store Store
-	Peers Peers
-	Giver *Giver // receives each copy before it is decoded, and sends it to others in its packed form
-	Log   hclog.Logger
+	Self   Peer     // this balancer
+	Seeds  []string // addresses of balancers to ask if no relay is known; may include this balancer's own
+	Cores  float64  // share of the processor, in cores; balancers with a larger share read the store earlier
+	State  State
+	Store  Store
+	Peers  Peers
+	Server *Server // receives each copy before it is decoded, and sends it to others in its packed form
+	Log    hclog.Logger
 
 	Options Options
 }
@@ -154,12 +154,12 @@
 
 // Result describes how the first copy was obtained.
 type Result struct {
-	From  string        // address of the balancer that sent the copy, or FromStore; empty if none was obtained
-	After time.Duration // time since the start of Run
-	Asked int           // number of requests to other balancers
+	Source   string        // address of the balancer that sent the copy, or FromStore; empty if none was obtained
+	Duration time.Duration // time since the start of Run
+	Asked    int           // number of requests to other balancers
 }
 
-// FromStore is the value of Result.From if the balancer read the store itself.
+// FromStore is the value of Result.Source if the balancer read the store itself.
 const FromStore = "store"
 
 // Run searches for a first copy and returns once one has been applied or ctx has ended.
@@ -168,13 +168,13 @@
 	defer cancel()
 	began := time.Now()
 	s := f.newSearch(began)
-	for ctx.Err() == nil && !pause.Over(f.cfg.State.Known()) {
+	for ctx.Err() == nil && !pause.Over(f.cfg.State.Complete()) {
 		s.startDueCalls(ctx, time.Now())
 		s.awaitResult(ctx, time.Now())
 	}
-	r := Result{From: s.source, After: time.Since(began), Asked: s.asked}
+	r := Result{Source: s.source, Duration: time.Since(began), Asked: s.asked}
 	if ctx.Err() == nil {
-		f.cfg.Log.Info("first copy applied", "from", r.From, "after", r.After.Round(time.Millisecond), "asked", r.Asked)
+		f.cfg.Log.Info("first copy applied", "from", r.Source, "after", r.Duration.Round(time.Millisecond), "asked", r.Asked)
 	}
 	return r
 }
--- a/bootstrap/rules.go
+++ b/bootstrap/rules.go
@@ -156,18 +156,18 @@
 }
 
 const (
-	// referenceCores is the processor share, in cores, for which BySize returns its argument unchanged.
+	// referenceCores is the processor share, in cores, for which ScaleByCores returns its argument unchanged.
 	referenceCores = 0.2
-	// minCores is the smallest processor share that BySize scales by; it bounds the delay of small VMs.
+	// minCores is the smallest processor share that ScaleByCores scales by; it bounds the delay of small VMs.
 	minCores = 0.1
 	// relaysKnownFactor lengthens the delay while relays are known: their copies are on the way, and
 	// each read of the whole store slows them down.
 	relaysKnownFactor = 4
 )
 
-// BySize scales the delay d by a processor share, in cores, so that larger VMs are the first to do a
+// ScaleByCores scales the delay d by a processor share, in cores, so that larger VMs are the first to do a
 // task that any balancer may do. For referenceCores it returns d.
-func BySize(d time.Duration, cores float64) time.Duration {
+func ScaleByCores(d time.Duration, cores float64) time.Duration {
 	return time.Duration(float64(d) * referenceCores / max(cores, minCores))
 }
 
@@ -179,7 +179,7 @@
 	if isRelay || isSeed && !relaysKnown {
 		return 0
 	}
-	wait := BySize(time.Duration(random*float64(o.ReadSpread)), cores)
+	wait := ScaleByCores(time.Duration(random*float64(o.ReadSpread)), cores)
 	if !relaysKnown {
 		return wait
 	}
--- a/bootstrap/search.go
+++ b/bootstrap/search.go
@@ -27,7 +27,7 @@
 	inFlight             int             // requests without an answer
 	asked                int             // requests so far
 	havePart             bool            // a part has been applied, and a complete copy is still missing
-	source               string          // see Result.From
+	source               string          // see Result.Source
 	results              chan callResult // of finished calls, for the goroutine of Fetcher.Run
 }
 
@@ -228,7 +228,7 @@
 		return nil // another part arrived first
 	}
 	c := Copy{Packed: reply.Packed}
-	s.cfg.Giver.KeepPart(c, now)
+	s.cfg.Server.KeepPart(c, now)
 	runtime.Gosched() // as in applyCopy
 	records, err := c.Unpack()
 	if err != nil {
@@ -257,7 +257,7 @@
 		return errNoCopy
 	}
 	c := Copy{At: reply.At, Packed: reply.Packed}
-	s.cfg.Giver.Keep(c, now)
+	s.cfg.Server.Keep(c, now)
 	runtime.Gosched() // lets waiting requests get the packed copy before it is decoded here
 	records, err := c.Unpack()
 	if err != nil {
--- a/coord/admission/admission.go
+++ b/coord/admission/admission.go
@@ -1,7 +1,7 @@
 // Package admission decides whether and when an endpoint may get a request.
 //
 // The decision depends on four sources: whether the store lists the endpoint as usable, what the
-// endpoint has said in its answers (a Word: that it is leaving, or wants no requests for a while),
+// endpoint has said in its answers (a Signal: that it is leaving, or wants no requests for a while),
 // how many requests per second it accepts, and the outcome of the requests since its last backoff.
 // Decide combines them. A State holds what one incarnation of an endpoint has said.
 //
--- a/demo/crash.go
+++ b/demo/crash.go
@@ -74,7 +74,7 @@
 	for i := range crashEndpoints {
 		p, err := platformtest.StartProcess(f.store, platformtest.ProcessConfig{
 			ID: fmt.Sprintf("fragile-%d", i), Service: "fragile", Zone: "medina", RestartAfter: crashRestart,
-			Behavior: platformtest.Behavior{Work: serviceTime, CrashOn: crashPath},
+			Behavior: platformtest.Behavior{ServiceTime: serviceTime, CrashOn: crashPath},
 		})
 		if err != nil {
 			return nil, err
@@ -124,7 +124,7 @@
 		switch {
 		case err != nil || !st.Ready || st.Copy.Following == "":
 			return false
-		case st.Copy.Following == relay.FollowsStore:
+		case st.Copy.Following == relay.WatchesStore:
 			store++
 		default:
 			others++
--- a/limits/fleet_test.go
+++ b/limits/fleet_test.go
@@ -33,7 +33,7 @@
 }
 
 func (p testTransport) ServesAsRelay() bool {
-	for _, r := range p.Owners() {
+	for _, r := range p.LimitOwners() {
 		if r.Addr == p.addr {
 			return true
 		}
@@ -43,7 +43,7 @@
 
 func (p testTransport) ConnectedToStore() bool { return true }
 
-func (p testTransport) Owners() []limit.Relay {
+func (p testTransport) LimitOwners() []limit.Relay {
 	p.net.mu.Lock()
 	defer p.net.mu.Unlock()
 	return p.net.relays
@@ -109,7 +109,7 @@
 // answerNow returns an answer with the given header values to a request sent now.
 func answerNow(values ...string) limit.Answer {
 	rate, said := limit.Parse(values)
-	return limit.Answer{Said: said, Rate: rate, Asked: time.Now(), Heard: time.Now()}
+	return limit.Answer{Said: said, Rate: rate, SentAt: time.Now(), ReceivedAt: time.Now()}
 }
 
 // standing returns the standing of the endpoint at one balancer.
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -20,7 +20,7 @@
 // # Usage
 //
 //	g := relay.New(relay.Config{ID: id, Zone: zone, Addr: addr, Registry: store, Decoder: store, Log: log})
-//	follower := directory.NewFollower(d, store, directory.Options{Standby: true, Observe: g.Observe, Begin: g.Begin, OnAnswer: g.OnAnswer, OnFailure: g.OnFailure})
+//	follower := directory.NewFollower(d, store, directory.Options{Standby: true, OnApplied: g.ApplyChanges, Bootstrap: g.Bootstrap, OnAnswer: g.OnAnswer, OnFailure: g.OnFailure})
 //	err := g.Start(listener, follower)
 //	defer g.Close()
 package relay
@@ -46,18 +46,18 @@
 )
 
 var (
-	// ErrTaken is returned by Registry.Register for a registration that already exists.
-	ErrTaken = errors.New("relay: already registered")
-	// ErrLapsed is returned by Registry.Renew for a lease that has expired.
-	ErrLapsed = errors.New("relay: lease has expired")
+	// ErrAlreadyRegistered is returned by Registry.Register for a registration that already exists.
+	ErrAlreadyRegistered = errors.New("relay: already registered")
+	// ErrLeaseExpired is returned by Registry.Renew for a lease that has expired.
+	ErrLeaseExpired = errors.New("relay: lease has expired")
 )
 
 // Registry stores registrations under leases.
 type Registry interface {
-	// Register creates a registration under a new lease with the given TTL. It returns ErrTaken if
+	// Register creates a registration under a new lease with the given TTL. It returns ErrAlreadyRegistered if
 	// the registration exists.
 	Register(ctx context.Context, name string, value []byte, ttl time.Duration) error
-	// Renew extends a lease. It returns ErrLapsed if the lease has expired.
+	// Renew extends a lease. It returns ErrLeaseExpired if the lease has expired.
 	Renew(ctx context.Context, lease uint64) error
 	// Release ends a lease and deletes its registrations.
 	Release(ctx context.Context, lease uint64) error
@@ -73,21 +73,21 @@
 	// SetServing says whether other balancers rely on this follower, which then pauses for shorter
 	// times.
 	SetServing(serving bool)
-	// Retry ends the pause after a failed call, because the store has just answered another call.
-	Retry()
+	// EndRetryPause ends the pause after a failed call, because the store has just answered another call.
+	EndRetryPause()
 	// Read reads the full store and applies the result, which may be some seconds old.
 	Read(ctx context.Context) error
 	// ReadRegistrations reads only the registrations and applies them.
 	ReadRegistrations(ctx context.Context) error
 	// Active reports whether the follower watches the store.
 	Active() bool
-	// Answered returns when the store last answered; zero for never.
-	Answered() time.Time
-	// Settled reports whether the follower watches the store and got an answer lately, so that its
+	// LastAnswer returns when the store last answered; zero for never.
+	LastAnswer() time.Time
+	// UpToDate reports whether the follower watches the store and got an answer lately, so that its
 	// content may be passed on as the store's current state.
-	Settled(now time.Time) bool
-	// Watching returns how long the current watch has been open; 0 if there is none.
-	Watching(now time.Time) time.Duration
+	UpToDate(now time.Time) bool
+	// WatchDuration returns how long the current watch has been open; 0 if there is none.
+	WatchDuration(now time.Time) time.Duration
 }
 
 // Decoder interprets records of the store.
@@ -95,8 +95,8 @@
 	// Decode interprets records. at is the revision up to which they are complete, and whole means
 	// that they are the full content.
 	Decode(records []directory.Record, at uint64, whole bool) directory.Changes
-	// NamesEndpoint reports whether key belongs to an endpoint's entry.
-	NamesEndpoint(key string) bool
+	// IsEndpointKey reports whether key belongs to an endpoint's entry.
+	IsEndpointKey(key string) bool
 }
 
 // Config configures a Group.
@@ -129,8 +129,8 @@
 	follower    Follower
 	replica     *replica
 	packer      *packer
-	giver       *bootstrap.Giver // serves first copies to balancers that start
-	notes       *noteLog         // notes of this and of other balancers
+	giver       *bootstrap.Server // serves first copies to balancers that start
+	notes       *noteLog          // notes of this and of other balancers
 	client      *link.Client
 	server      *link.Server
 	stop        context.CancelFunc
@@ -173,13 +173,13 @@
 		createdAt: time.Now(), client: link.NewClient(cfg.TLS), relayOffset: rand.IntN(maxRelayOffset), penalized: map[string]time.Time{},
 		delivering: map[string]bool{}, delivered: map[string]logPosition{}, received: map[string]logPosition{},
 	}
-	g.giver = bootstrap.NewGiver(bootstrapState{g}, cfg.LinkRate)
+	g.giver = bootstrap.NewServer(bootstrapState{g}, cfg.LinkRate)
 	return g
 }
 
-// Observe records changes that the follower has applied. Pass it to the follower as its Observe
+// ApplyChanges records changes that the follower has applied. Pass it to the follower as its OnApplied
 // option.
-func (g *Group) Observe(c directory.Changes) {
+func (g *Group) ApplyChanges(c directory.Changes) {
 	for _, err := range g.replica.apply(c, time.Now()) {
 		g.cfg.Log.Error("could not parse relay registration", "error", err)
 	}
@@ -189,7 +189,7 @@
 }
 
 // Start serves other balancers on a listener and runs the loops that follow relays and maintain the
-// registration, until Close is called. The follower must be the one that calls Observe.
+// registration, until Close is called. The follower must be the one that calls ApplyChanges.
 func (g *Group) Start(l net.Listener, follower Follower) error {
 	g.follower = follower
 	server, err := link.Serve(l, g.cfg.TLS, &rpcService{group: g})
--- a/relay/status.go
+++ b/relay/status.go
@@ -11,18 +11,18 @@
 	Age        time.Duration // since the copy was last confirmed to be the store's current state
 }
 
-// FollowsStore is the value of Status.Following while the balancer watches the store.
-const FollowsStore = "store"
+// WatchesStore is the value of Status.Following while the balancer watches the store.
+const WatchesStore = "store"
 
 // Status returns the status at the time now.
 func (g *Group) Status(now time.Time) Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	st := Status{FirstFrom: g.bootstrapResult.From, FirstAfter: g.bootstrapResult.After, Following: g.currentRelay.ID}
+	st := Status{FirstFrom: g.bootstrapResult.Source, FirstAfter: g.bootstrapResult.Duration, Following: g.currentRelay.ID}
 	confirmedAt := g.confirmedAt
 	if g.follower.Active() {
-		st.Following = FollowsStore
-		if answered := g.follower.Answered(); answered.After(confirmedAt) {
+		st.Following = WatchesStore
+		if answered := g.follower.LastAnswer(); answered.After(confirmedAt) {
 			confirmedAt = answered
 		}
 	}
