--- a/bootstrap/bootstrap_test.go
+++ b/bootstrap/bootstrap_test.go
@@ -32,7 +32,7 @@
 type member struct {
 	fleet         *fleet
 	self          bootstrap.Peer
-	giver         *bootstrap.Server
+	server         *bootstrap.Server
 	known         chan struct{}    // closed once a complete copy was applied
 	partly        chan struct{}    // closed once a part or a complete copy was applied
 	relays        []bootstrap.Peer // as read from the store; nil before
@@ -54,11 +54,11 @@
 // start starts a balancer.
 func (f *fleet) start(ctx context.Context, self bootstrap.Peer, cores float64) *member {
 	m := &member{fleet: f, self: self, known: make(chan struct{}), partly: make(chan struct{}), startedAt: time.Now()}
-	m.giver = bootstrap.NewServer(m, 0)
+	m.server = bootstrap.NewServer(m, 0)
 	f.mu.Lock()
 	f.members[self.Addr] = m
 	f.mu.Unlock()
-	fetcher := bootstrap.New(bootstrap.Config{Self: self, Seeds: f.seeds, Cores: cores, State: m, Store: m, Peers: m, Server: m.giver})
+	fetcher := bootstrap.New(bootstrap.Config{Self: self, Seeds: f.seeds, Cores: cores, State: m, Store: m, Peers: m, Server: m.server})
 	go fetcher.Run(ctx)
 	return m
 }
@@ -147,7 +147,7 @@
 	case peer == nil:
 		return bootstrap.CopyReply{}, errUnreachable
 	}
-	reply, err := peer.giver.Answer(ctx, args)
+	reply, err := peer.server.Answer(ctx, args)
 	if len(reply.Packed) > 0 && !reply.Part {
 		time.Sleep(m.fleet.copyTime)
 	}
--- a/relay/bootstrap.go
+++ b/relay/bootstrap.go
@@ -12,7 +12,7 @@
 func (g *Group) Bootstrap(ctx context.Context) {
 	bootstrapResult := bootstrap.New(bootstrap.Config{
 		Self: bootstrap.Peer{Addr: g.cfg.Addr, Zone: g.cfg.Zone}, Seeds: g.cfg.Seeds, Cores: g.cfg.Cores,
-		State: bootstrapState{g}, Store: g.follower, Peers: bootstrapPeers{g}, Server: g.giver,
+		State: bootstrapState{g}, Store: g.follower, Peers: bootstrapPeers{g}, Server: g.copyServer,
 		Log: g.cfg.Log.Named("bootstrap"), Options: g.opts.Bootstrap,
 	}).Run(ctx)
 	g.mu.Lock()
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -129,7 +129,7 @@
 	follower    Follower
 	replica     *replica
 	packer      *packer
-	giver       *bootstrap.Server // serves first copies to balancers that start
+	copyServer       *bootstrap.Server // serves first copies to balancers that start
 	notes       *noteLog          // notes of this and of other balancers
 	client      *link.Client
 	server      *link.Server
@@ -173,7 +173,7 @@
 		createdAt: time.Now(), client: link.NewClient(cfg.TLS), relayOffset: rand.IntN(maxRelayOffset), penalized: map[string]time.Time{},
 		delivering: map[string]bool{}, delivered: map[string]logPosition{}, received: map[string]logPosition{},
 	}
-	g.giver = bootstrap.NewServer(bootstrapState{g}, cfg.LinkRate)
+	g.copyServer = bootstrap.NewServer(bootstrapState{g}, cfg.LinkRate)
 	return g
 }
 
--- a/relay/server.go
+++ b/relay/server.go
@@ -97,7 +97,7 @@
 
 // Copy returns the full content, or a part of it, to a balancer that starts.
 func (r *rpcService) Copy(args bootstrap.CopyArgs, reply *bootstrap.CopyReply) error {
-	answer, err := r.group.giver.Answer(context.Background(), args)
+	answer, err := r.group.copyServer.Answer(context.Background(), args)
 	if err != nil {
 		return err
 	}
