--- a/bootstrap/bootstrap_test.go
+++ b/bootstrap/bootstrap_test.go
@@ -32,7 +32,7 @@
 type member struct {
 	fleet         *fleet
 	self          bootstrap.Peer
-	server         *bootstrap.Server
+	server        *bootstrap.Server
 	known         chan struct{}    // closed once a complete copy was applied
 	partly        chan struct{}    // closed once a part or a complete copy was applied
 	relays        []bootstrap.Peer // as read from the store; nil before
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -129,7 +129,7 @@
 	follower    Follower
 	replica     *replica
 	packer      *packer
-	copyServer       *bootstrap.Server // serves first copies to balancers that start
+	copyServer  *bootstrap.Server // serves first copies to balancers that start
 	notes       *noteLog          // notes of this and of other balancers
 	client      *link.Client
 	server      *link.Server
